--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -7,11 +7,11 @@
 import type { Table } from "../src/agreement/mod.ts";
 import { Random } from "../src/base/mod.ts";
 import {
-  type FarRegion,
   type HeldSlot,
   Pool,
   type PoolDigest,
   type PoolOutput,
+  type RemoteRegion,
   type SlotAnswer,
   type SlotReport,
   type SlotRequest,
@@ -42,7 +42,7 @@
   renew(_attemptIds: readonly string[], _nowMs: number): void {}
   tick(_nowMs: number): void {}
   observe(_loads: readonly LaggedLoad[], _nowMs: number): void {}
-  setFar(_regions: readonly FarRegion[], _nowMs: number): void {}
+  setFar(_regions: readonly RemoteRegion[], _nowMs: number): void {}
   digest(_nowMs: number): PoolDigest | undefined {
     return undefined;
   }
@@ -172,8 +172,8 @@
   override observe(loads: readonly LaggedLoad[], nowMs: number): void {
     for (const load of loads) this.#emit(this.pool.observe(load, nowMs));
   }
-  override setFar(regions: readonly FarRegion[], nowMs: number): void {
-    this.pool.setFar(regions, nowMs);
+  override setFar(regions: readonly RemoteRegion[], nowMs: number): void {
+    this.pool.setRemoteRegions(regions, nowMs);
   }
   override digest(nowMs: number): PoolDigest {
     return this.pool.digest(nowMs);
--- a/bench/vm_cost.ts
+++ b/bench/vm_cost.ts
@@ -18,7 +18,7 @@
   decodeDigest,
   decodeReport,
   decodeRoster,
-  type Due,
+  type DueMessage,
   RegionView,
   type VmRecord,
 } from "../src/region/mod.ts";
@@ -95,7 +95,7 @@
       const text = JSON.stringify({ jsonrpc: "2.0", method, params });
       for (const ip of ips) socket.send(text, PORT, ip);
     };
-    const tell = (messages: readonly Due[]) => {
+    const tell = (messages: readonly DueMessage[]) => {
       const nowMs = performance.now();
       for (const due of messages) {
         const said = due.type === "report"
@@ -107,8 +107,8 @@
             asked: 0,
           }
           : due.type === "roster"
-          ? { ...view.tellRegion(nowMs, due.withNames), load: {} }
-          : { ...view.tellRegions(nowMs, due.to), room: {} };
+          ? { ...view.buildRoster(nowMs, due.withNames), load: {} }
+          : { ...view.buildDigest(nowMs, due.toRegion), room: {} };
         send(due.type, said, due.ips);
       }
     };
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -6,8 +6,8 @@
 
 import { Random } from "../src/base/mod.ts";
 import {
+  MAX_ATTEMPTS,
   mayRetry,
-  MOST_ATTEMPTS,
   type SlotAnswer,
   type SlotReport,
 } from "../src/decisions/mod.ts";
@@ -363,7 +363,7 @@
       atMostOnce: false,
       ran,
       answerBytes: 0,
-      attempts: Math.min(exclude.length, MOST_ATTEMPTS),
+      attempts: Math.min(exclude.length, MAX_ATTEMPTS),
       deadlineMs: outcome.ask.deadlineMs,
     }, this.now);
     if (!allowed) return this.#refuse(outcome, "upstreamFailed");
--- a/bench/world_types.ts
+++ b/bench/world_types.ts
@@ -6,8 +6,8 @@
 
 import type { Table } from "../src/agreement/mod.ts";
 import {
-  type FarRegion,
   type HeldSlot,
+  type RemoteRegion,
   SLOT_TTL_MS,
 } from "../src/decisions/mod.ts";
 import type { Engine } from "./engine.ts";
@@ -55,7 +55,7 @@
   readonly engines: readonly Engine[];
   readonly byId: ReadonlyMap<string, Engine>;
   policy: Policy;
-  readonly far: Map<string, FarRegion>;
+  readonly far: Map<string, RemoteRegion>;
   readonly held: Set<string>;
 }
 
--- a/src/adapters/suspect_store.ts
+++ b/src/adapters/suspect_store.ts
@@ -55,7 +55,7 @@
     );
   }
 
-  async takeTrial(digest: string): Promise<boolean> {
+  async acquireTrial(digest: string): Promise<boolean> {
     const isTaken = this.#putLeased(
       this.#options.trialPrefix + digest,
       this.#options.vmId,
@@ -71,7 +71,7 @@
     return isMine;
   }
 
-  async strike(digest: string): Promise<void> {
+  async delete(digest: string): Promise<void> {
     const { store, suspectPrefix, trialPrefix } = this.#options;
     await store.transact([
       { type: "delete", key: suspectPrefix + digest },
--- a/src/adapters/ws_link.ts
+++ b/src/adapters/ws_link.ts
@@ -35,7 +35,7 @@
 }
 
 /** Short: a VM replaced under the same address must be found again within a heartbeat or two. */
-const RECONNECT = { firstMs: 50, mostMs: 1000 };
+const RECONNECT = { firstMs: 50, maxMs: 1000 };
 
 /**
  * A VM that is frozen, or behind a cut, keeps its connection open and answers nothing; every call then waits for its
--- a/src/adapters/ws_transport.ts
+++ b/src/adapters/ws_transport.ts
@@ -17,7 +17,7 @@
 import {
   type Clock,
   hash32,
-  PauseWatch,
+  PauseDetector,
   Random,
   secretDigest,
   secretMatches,
@@ -74,7 +74,7 @@
   readonly #rpc: JSONRPCServer<Sender>;
   readonly #links = new Map<string, WsLink>();
   readonly #sweep: Timer;
-  readonly #pause: PauseWatch;
+  readonly #pause: PauseDetector;
   #closed = false;
 
   private constructor(options: WsTransportOptions) {
@@ -92,7 +92,7 @@
       response.writeHead(426, { connection: "close" }).end();
     });
     this.#sockets = this.#listen();
-    this.#pause = new PauseWatch(this.#context.clock);
+    this.#pause = new PauseDetector(this.#context.clock);
     this.#sweep = this.#context.clock.every(SWEEP_MS, () => this.#closeIdle());
   }
 
@@ -258,7 +258,7 @@
     text: string,
     bytes: number,
   ): Promise<void> {
-    if (this.#pause.takePause()) this.#dropAccepted();
+    if (this.#pause.consumePause()) this.#dropAccepted();
     if (!wire.open) return;
     const request = parse(text);
     if (!request) {
--- a/src/agreement/claim_machine.ts
+++ b/src/agreement/claim_machine.ts
@@ -65,7 +65,7 @@
   batch: { events: 512, bytes: 262_144 },
   queueLimit: 2000,
   logBytes: 786_432,
-  backoff: { firstMs: 50, mostMs: 2000 },
+  backoff: { firstMs: 50, maxMs: 2000 },
 };
 
 /** What the machine's driver knows of the region. */
--- a/src/base/backoff.ts
+++ b/src/base/backoff.ts
@@ -9,7 +9,7 @@
 /** Limits of a {@link backoffMs} sequence. */
 export interface BackoffLimits {
   readonly firstMs: number;
-  readonly mostMs: number;
+  readonly maxMs: number;
 }
 
 /**
@@ -22,7 +22,7 @@
   random: Random,
 ): number {
   const ceilingMs = Math.min(
-    limits.mostMs,
+    limits.maxMs,
     limits.firstMs * 2 ** Math.min(attempt, 30),
   );
   return ceilingMs / 2 + (random.next() * ceilingMs) / 2;
--- a/src/base/base_test.ts
+++ b/src/base/base_test.ts
@@ -28,7 +28,7 @@
 });
 
 test("backoff stays within its limits and is the same for the same seed", (t) => {
-  const limits = { firstMs: 50, mostMs: 2000 };
+  const limits = { firstMs: 50, maxMs: 2000 };
   const waits = (seed: number) => {
     const random = new Random(seed);
     return Array.from(
--- a/src/base/codes.ts
+++ b/src/base/codes.ts
@@ -18,7 +18,7 @@
   readonly text: string;
 }
 
-function row(
+function defineCode(
   code: number,
   httpStatus: number,
   ran: Ran,
@@ -33,197 +33,251 @@
  * failed. 5xxx: an operator's request failed. 9xxx: a fault of ours.
  */
 export const codes = {
-  badRequest: row(2001, 400, "no", false, "the request is malformed"),
-  bodyTooLarge: row(2002, 413, "no", false, "the body exceeds the limit"),
-  unauthenticated: row(2003, 401, "no", false, "the key is missing or wrong"),
-  forbidden: row(2004, 403, "no", false, "the key does not allow this"),
-  notFound: row(2005, 404, "no", false, "there is no such path"),
-  unknownService: row(
+  badRequest: defineCode(2001, 400, "no", false, "the request is malformed"),
+  bodyTooLarge: defineCode(
+    2002,
+    413,
+    "no",
+    false,
+    "the body exceeds the limit",
+  ),
+  unauthenticated: defineCode(
+    2003,
+    401,
+    "no",
+    false,
+    "the key is missing or wrong",
+  ),
+  forbidden: defineCode(2004, 403, "no", false, "the key does not allow this"),
+  notFound: defineCode(2005, 404, "no", false, "there is no such path"),
+  unknownService: defineCode(
     2006,
     404,
     "no",
     false,
     "there is no such service or model",
   ),
-  deadlinePassed: row(2007, 408, "no", false, "the deadline has passed"),
-  homeElsewhere: row(
+  deadlinePassed: defineCode(2007, 408, "no", false, "the deadline has passed"),
+  homeElsewhere: defineCode(
     2008,
     421,
     "no",
     false,
     "the request is bound to another region",
   ),
-  keyRequired: row(
+  keyRequired: defineCode(
     2009,
     400,
     "no",
     false,
     "this call needs an Idempotency-Key",
   ),
-  keyReused: row(
+  keyReused: defineCode(
     2010,
     422,
     "no",
     false,
     "the Idempotency-Key was used for a different request",
   ),
-  unknownRequest: row(
+  unknownRequest: defineCode(
     2011,
     404,
     "no",
     false,
     "no request with this key is on record",
   ),
-  bodyTimeout: row(2012, 408, "no", true, "the body did not arrive in time"),
-  headersTooLarge: row(2013, 431, "no", false, "the headers exceed the limit"),
-  queueFull: row(3001, 429, "no", true, "the queue is full"),
-  wouldMissDeadline: row(
+  bodyTimeout: defineCode(
+    2012,
+    408,
+    "no",
+    true,
+    "the body did not arrive in time",
+  ),
+  headersTooLarge: defineCode(
+    2013,
+    431,
+    "no",
+    false,
+    "the headers exceed the limit",
+  ),
+  queueFull: defineCode(3001, 429, "no", true, "the queue is full"),
+  wouldMissDeadline: defineCode(
     3002,
     429,
     "no",
     true,
     "the request would start after its deadline",
   ),
-  rateLimited: row(
+  rateLimited: defineCode(
     3003,
     429,
     "no",
     true,
     "the workspace's rate limit is reached",
   ),
-  spendExhausted: row(3004, 429, "no", true, "the spend limit is reached"),
-  noUpstream: row(3005, 503, "no", true, "no upstream can take the request"),
-  draining: row(3006, 503, "no", true, "this VM is leaving; use another"),
-  noTable: row(3007, 503, "no", true, "this VM has no configuration yet"),
-  stillRunning: row(
+  spendExhausted: defineCode(
+    3004,
+    429,
+    "no",
+    true,
+    "the spend limit is reached",
+  ),
+  noUpstream: defineCode(
+    3005,
+    503,
+    "no",
+    true,
+    "no upstream can take the request",
+  ),
+  draining: defineCode(
+    3006,
+    503,
+    "no",
+    true,
+    "this VM is leaving; use another",
+  ),
+  noTable: defineCode(
+    3007,
+    503,
+    "no",
+    true,
+    "this VM has no configuration yet",
+  ),
+  stillRunning: defineCode(
     3008,
     409,
     "yes",
     true,
     "a request with this key is still running",
   ),
-  claimUnavailable: row(
+  claimUnavailable: defineCode(
     3009,
     503,
     "no",
     true,
     "the claim could not be recorded; the call was not run",
   ),
-  receiverRefused: row(
+  receiverRefused: defineCode(
     3010,
     503,
     "no",
     true,
     "the other region refused the request",
   ),
-  expiredInQueue: row(
+  expiredInQueue: defineCode(
     3011,
     504,
     "no",
     true,
     "the deadline passed while the request was queued",
   ),
-  concurrencyLimited: row(
+  concurrencyLimited: defineCode(
     3012,
     429,
     "no",
     true,
     "the workspace's concurrency limit is reached",
   ),
-  leadUnavailable: row(
+  leadUnavailable: defineCode(
     3013,
     503,
     "no",
     true,
     "the pool's lead cannot be reached",
   ),
-  endsUpstreams: row(
+  endsUpstreams: defineCode(
     3014,
     503,
     "no",
     false,
     "upstreams ended each time that they ran this request; it is not run again",
   ),
-  onTrialElsewhere: row(
+  onTrialElsewhere: defineCode(
     3015,
     503,
     "no",
     true,
     "upstreams ended under this request; another VM runs it once more",
   ),
-  upstreamUnreachable: row(
+  upstreamUnreachable: defineCode(
     4001,
     502,
     "no",
     true,
     "no connection to an upstream could be made",
   ),
-  upstreamRefused: row(
+  upstreamRefused: defineCode(
     4002,
     503,
     "no",
     true,
     "the upstream refused the request without running it",
   ),
-  upstreamFailed: row(
+  upstreamFailed: defineCode(
     4003,
     502,
     "unknown",
     true,
     "the upstream failed after the request was sent",
   ),
-  streamBroken: row(4004, 502, "yes", true, "the stream broke before its end"),
-  upstreamTimeout: row(
+  streamBroken: defineCode(
+    4004,
+    502,
+    "yes",
+    true,
+    "the stream broke before its end",
+  ),
+  upstreamTimeout: defineCode(
     4005,
     504,
     "unknown",
     true,
     "the upstream did not answer in time",
   ),
-  outcomeUnknown: row(
+  outcomeUnknown: defineCode(
     4006,
     409,
     "unknown",
     false,
     "a call with this key was started; its outcome is unknown",
   ),
-  canceled: row(
+  canceled: defineCode(
     4007,
     499,
     "unknown",
     false,
     "the caller closed the connection",
   ),
-  editConflict: row(
+  editConflict: defineCode(
     5001,
     409,
     "no",
     true,
     "the row was changed by another edit",
   ),
-  invalidEdit: row(5002, 422, "no", false, "the edit is not valid"),
-  storeUnavailable: row(
+  invalidEdit: defineCode(5002, 422, "no", false, "the edit is not valid"),
+  storeUnavailable: defineCode(
     5003,
     503,
     "unknown",
     true,
     "the platform's store cannot be reached",
   ),
-  storeRegressed: row(
+  storeRegressed: defineCode(
     5004,
     503,
     "no",
     false,
     "the platform's store holds an older log than is in force",
   ),
-  staleFence: row(
+  staleFence: defineCode(
     5005,
     409,
     "no",
     false,
     "the fencing number is no longer the newest",
   ),
-  internal: row(9001, 500, "unknown", false, "an internal error"),
+  internal: defineCode(9001, 500, "unknown", false, "an internal error"),
 } as const;
 
 /** The name of a result code, for example `queueFull`. */
--- a/src/base/describe.ts
+++ b/src/base/describe.ts
@@ -7,7 +7,7 @@
 import { basename } from "node:path";
 import test, { type ExecutionContext } from "ava";
 
-const names: string[] = [];
+const blockNames: string[] = [];
 
 // Logs that are kept of a test's processes carry its file's name.
 process.env.IBISGAP_TEST_FILE = basename(
@@ -17,9 +17,9 @@
 
 /** Opens a block; tests declared by {@link it} inside `body` carry its name. */
 export function describe(name: string, body: () => void): void {
-  names.push(name);
+  blockNames.push(name);
   body();
-  names.pop();
+  blockNames.pop();
 }
 
 /** Declares a test of the surrounding {@link describe} blocks. */
@@ -27,7 +27,7 @@
   title: string,
   run: (t: ExecutionContext) => void | Promise<void>,
 ): void {
-  test([...names, title].join(" > "), run);
+  test([...blockNames, title].join(" > "), run);
 }
 
 /** Like {@link it}, but run alone, after or before others of the file: for tests that share a process-wide resource. */
@@ -35,5 +35,5 @@
   title: string,
   run: (t: ExecutionContext) => void | Promise<void>,
 ): void {
-  test.serial([...names, title].join(" > "), run);
+  test.serial([...blockNames, title].join(" > "), run);
 }
--- a/src/base/late_watch_test.ts
+++ b/src/base/late_watch_test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from "./describe.ts";
-import { Clock, LateWatch, ManualClock, type Timer } from "./mod.ts";
+import { Clock, LagDetector, ManualClock, type Timer } from "./mod.ts";
 
 /** A clock whose time can pass without its timers running, as when the process has no processor. */
 class StallingClock extends Clock {
@@ -22,25 +22,25 @@
 describe("late watch", () => {
   it("sees nothing while timers run in time", async (t) => {
     const clock = new StallingClock();
-    const watch = new LateWatch(clock);
+    const detector = new LagDetector(clock);
     await clock.inner.advance(5_000);
-    t.false(watch.wasLate);
-    watch.close();
+    t.false(detector.wasLate);
+    detector.close();
   });
 
   for (const first of ["a message", "a timer"]) {
     it(`says for a moment that the process was late: ${first} runs first`, async (t) => {
       const clock = new StallingClock();
-      const watch = new LateWatch(clock);
+      const detector = new LagDetector(clock);
       await clock.inner.advance(1_000);
       clock.stalledMs += 300;
       if (first === "a timer") await clock.inner.advance(50);
-      t.true(watch.wasLate);
+      t.true(detector.wasLate);
       await clock.inner.advance(300);
-      t.true(watch.wasLate);
+      t.true(detector.wasLate);
       await clock.inner.advance(400);
-      t.false(watch.wasLate);
-      watch.close();
+      t.false(detector.wasLate);
+      detector.close();
     });
   }
 });
--- a/src/base/pause_watch_test.ts
+++ b/src/base/pause_watch_test.ts
@@ -1,4 +1,4 @@
-import { Clock, ManualClock, PauseWatch, type Timer } from "./mod.ts";
+import { Clock, ManualClock, PauseDetector, type Timer } from "./mod.ts";
 import { describe, it } from "./describe.ts";
 
 /** A clock whose time can pass without its timers running, as when the process is frozen. */
@@ -22,25 +22,25 @@
 describe("pause watch", () => {
   it("sees no pause while timers run", async (t) => {
     const clock = new FreezableClock();
-    const watch = new PauseWatch(clock);
+    const detector = new PauseDetector(clock);
     await clock.inner.advance(10_000);
-    t.false(watch.takePause());
-    watch.close();
+    t.false(detector.consumePause());
+    detector.close();
   });
 
   // A VM is frozen for five seconds. The first thing that runs after it may be a message or a timer; either way the next
   // question is answered with yes, once.
   it("tells a pause once, whether a message or a timer comes first", async (t) => {
     const clock = new FreezableClock();
-    const watch = new PauseWatch(clock);
+    const detector = new PauseDetector(clock);
     await clock.inner.advance(1000);
     clock.frozenMs += 5000;
-    t.true(watch.takePause());
-    t.false(watch.takePause());
+    t.true(detector.consumePause());
+    t.false(detector.consumePause());
     clock.frozenMs += 5000;
     await clock.inner.advance(1000);
-    t.true(watch.takePause());
-    t.false(watch.takePause());
-    watch.close();
+    t.true(detector.consumePause());
+    t.false(detector.consumePause());
+    detector.close();
   });
 });
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -26,10 +26,10 @@
     return -mean * Math.log(1 - this.next());
   }
   /** Up to `most` of the items, in random order. */
-  sample<T>(items: readonly T[], most: number): T[] {
+  sample<T>(items: readonly T[], max: number): T[] {
     const rest = [...items];
     const sample: T[] = [];
-    while (rest.length > 0 && sample.length < most) {
+    while (rest.length > 0 && sample.length < max) {
       sample.push(rest.splice(this.int(rest.length), 1)[0]);
     }
     return sample;
--- a/src/decisions/dispatcher.ts
+++ b/src/decisions/dispatcher.ts
@@ -6,9 +6,9 @@
 
 import type { ServiceRow, UpstreamRow } from "../agreement/mod.ts";
 import type { Random } from "../base/mod.ts";
-import { type Choice, Chooser } from "./chooser.ts";
+import { type Assignment, Scheduler } from "./chooser.ts";
 import { Fleet } from "./fleet.ts";
-import type { Entry } from "./lane_entry.ts";
+import type { QueueEntry } from "./lane_entry.ts";
 import { Lanes } from "./lanes.ts";
 import type { PlacementView } from "./placement.ts";
 import {
@@ -17,72 +17,76 @@
   type PoolOutput,
   SLOT_TTL_MS,
 } from "./pool_messages.ts";
-import { Release } from "./release.ts";
-import { SlotBook } from "./slot_book.ts";
+import { Autoscaler } from "./release.ts";
+import { GrantedSlots } from "./slot_book.ts";
 import type { SlotReport } from "./slots.ts";
-import { type Held, overdueAt, type Upstream } from "./upstream.ts";
-import { Waits } from "./waits.ts";
+import {
+  computeOverdueAtMs,
+  type HeldAttempt,
+  type Upstream,
+} from "./upstream.ts";
+import { WaitForecaster } from "./waits.ts";
 import { workTokens } from "./work.ts";
 
 /** Upstreams that may have got room since the last step. */
-export type Changed = "all" | readonly string[];
+export type ChangedUpstreams = "all" | readonly string[];
 
 /** See the module. */
 export class Dispatcher {
   readonly lanes = new Lanes();
   readonly fleet = new Fleet();
-  readonly waits = new Waits(this.lanes);
-  readonly #slots = new SlotBook();
-  readonly #chooser: Chooser;
-  readonly #release = new Release();
+  readonly waits = new WaitForecaster(this.lanes);
+  readonly #granted = new GrantedSlots();
+  readonly #scheduler: Scheduler;
+  readonly #autoscaler = new Autoscaler();
 
   constructor(random: Random) {
-    this.#chooser = new Chooser(this.lanes, this.fleet, random);
+    this.#scheduler = new Scheduler(this.lanes, this.fleet, random);
   }
 
   configure(upstreams: readonly UpstreamRow[], nowMs: number): void {
     this.fleet.configure(upstreams);
-    this.#chooser.begin(nowMs);
+    this.#scheduler.start(nowMs);
   }
 
   /** The grant given to this attempt before, if it still holds. */
   grantOf(attemptId: string): PoolOutput | undefined {
-    const held = this.#slots.get(attemptId);
-    return held && grant(held, 0);
+    const held = this.#granted.get(attemptId);
+    return held && grantOutput(held, 0);
   }
 
   /**
    * Places what can be placed: first those that waited for a warm upstream, then in turn. `changed` names the one
    * upstream that may have got room, or all: looking through them at each step would cost more in a larger pool.
    */
-  dispatch(changed: Changed, nowMs: number): PoolOutput[] {
+  dispatch(changed: ChangedUpstreams, nowMs: number): PoolOutput[] {
     const outputs: PoolOutput[] = [];
-    const go = (choice: Choice) => {
-      const held = this.#take(choice, nowMs);
-      outputs.push(grant(held, nowMs - choice.entry.queuedAtMs));
+    const assign = (assignment: Assignment) => {
+      const held = this.#grantSlot(assignment, nowMs);
+      outputs.push(grantOutput(held, nowMs - assignment.entry.queuedAtMs));
     };
-    const { parking } = this.lanes;
-    const ids = changed === "all" ? parking.upstreams() : changed;
-    this.#chooser.parked(nowMs, ids, go);
+    const { affinityQueue: affinity } = this.lanes;
+    const ids = changed === "all" ? affinity.upstreamIds() : changed;
+    this.#scheduler.placeDeferred(nowMs, ids, assign);
     for (;;) {
-      const next = this.#chooser.next(nowMs);
+      const next = this.#scheduler.takeNext(nowMs);
       if (!next) break;
-      go(next);
+      assign(next);
     }
     this.lanes.restore();
     return outputs;
   }
 
   /** Learns from an attempt; returns what it held if it ended. */
-  report(report: SlotReport, nowMs: number): Held | undefined {
-    const held = this.#slots.get(report.attemptId);
+  report(report: SlotReport, nowMs: number): HeldAttempt | undefined {
+    const held = this.#granted.get(report.attemptId);
     if (!held) return undefined;
-    if (report.firstTokenMs !== undefined && !held.started) {
-      this.fleet.started(held, report.firstTokenMs, nowMs);
+    if (report.firstTokenMs !== undefined && !held.hasStarted) {
+      this.fleet.recordFirstToken(held, report.firstTokenMs, nowMs);
     }
     if (report.outcome === "started") return undefined;
-    this.#slots.remove(report.attemptId);
-    this.fleet.ended(held, report.outcome, nowMs, report.cachedTokens);
+    this.#granted.remove(report.attemptId);
+    this.fleet.recordEnd(held, report.outcome, nowMs, report.cachedTokens);
     const actual = workTokens({
       promptTokens: held.coldTokens,
       expectedOutputTokens: report.outputTokens,
@@ -92,70 +96,70 @@
   }
 
   renew(attemptId: string, untilMs: number): boolean {
-    return this.lanes.has(attemptId) || this.#slots.renew(attemptId, untilMs);
+    return this.lanes.has(attemptId) || this.#granted.renew(attemptId, untilMs);
   }
 
   /** The slot's caller has gone. */
-  giveUp(attemptId: string, nowMs: number): Held | undefined {
-    const held = this.#slots.remove(attemptId);
-    if (held) this.fleet.ended(held, "canceled", nowMs);
+  cancel(attemptId: string, nowMs: number): HeldAttempt | undefined {
+    const held = this.#granted.remove(attemptId);
+    if (held) this.fleet.recordEnd(held, "canceled", nowMs);
     return held;
   }
 
   /** Slots that nobody renewed. */
-  expire(nowMs: number): Held[] {
-    const expired = this.#slots.removeExpired(nowMs);
-    for (const held of expired) this.fleet.ended(held, "canceled", nowMs);
+  expire(nowMs: number): HeldAttempt[] {
+    const expired = this.#granted.removeExpired(nowMs);
+    for (const held of expired) this.fleet.recordEnd(held, "canceled", nowMs);
     return expired;
   }
 
   adopt(slot: HeldSlot, nowMs: number): void {
     const upstream = this.fleet.get(slot.upstreamId);
-    if (!upstream || this.#slots.get(slot.attemptId)) return;
-    const held: Held = {
+    if (!upstream || this.#granted.get(slot.attemptId)) return;
+    const held: HeldAttempt = {
       ...slot,
       upstream,
       work: workTokens(slot),
       coldTokens: 0,
-      beliefAgeMs: 0,
+      prefixAgeMs: 0,
       prefixHashes: [],
       lane: "short",
-      long: false,
+      isLong: false,
       enginePriority: 1,
-      probe: false,
+      isProbe: false,
       grantedAtMs: nowMs,
       firstTokenDueMs: nowMs,
       overdueAtMs: Infinity,
       slowness: 1,
-      started: true,
+      hasStarted: true,
     };
-    this.#slots.add(held);
+    this.#granted.add(held);
     upstream.add(held);
   }
 
   observe(load: LoadReport, nowMs: number): void {
-    const cautious = this.#chooser.isCautious(nowMs);
+    const cautious = this.#scheduler.isCautious(nowMs);
     this.fleet.get(load.upstreamId)
       ?.observe(load.running + load.waiting, cautious);
   }
 
   /** Time passes. */
-  pass(nowMs: number): void {
-    this.fleet.judge(nowMs);
-    this.waits.pass(this.fleet.nominalPerMs(nowMs), nowMs);
+  advance(nowMs: number): void {
+    this.fleet.updateHealth(nowMs);
+    this.waits.advance(this.fleet.nominalPerMs(nowMs), nowMs);
   }
 
   /** Orders that keep as many upstreams awake as the service needs. */
-  release(service: ServiceRow | undefined, nowMs: number): PoolOutput[] {
+  scale(service: ServiceRow | undefined, nowMs: number): PoolOutput[] {
     const { active } = this.fleet;
     const [first] = active;
     if (!first) return [];
-    const step = this.#release.plan({
+    const step = this.#autoscaler.plan({
       service,
       awake: active.length,
-      parked: this.fleet.released().length,
+      parked: this.fleet.scaledDown().length,
       perUpstreamPerMs: first.row.prefillTokensPerS / 1000,
-      waitMs: this.waits.emptyMs(),
+      waitMs: this.waits.queueDrainMs(),
       nowMs,
     });
     if (step.type === "park") this.fleet.drainOne();
@@ -163,19 +167,21 @@
       ? this.fleet.wake(step.count, nowMs)
       : [];
     return [
-      ...woken.map((upstream) => order(upstream, "active")),
-      ...this.fleet.park().map((upstream) => order(upstream, "parked")),
+      ...woken.map((upstream) => orderOutput(upstream, "active")),
+      ...this.fleet.parkDrained().map((upstream) =>
+        orderOutput(upstream, "parked")
+      ),
     ];
   }
 
   /** What a placement is decided on now. */
-  view(nowMs: number): PlacementView {
-    return this.#chooser.view(nowMs);
+  placementView(nowMs: number): PlacementView {
+    return this.#scheduler.placementView(nowMs);
   }
 
   /** A request was let into the queue. */
-  push(entry: Entry, nowMs: number): void {
-    if (entry.lane === "short") this.#chooser.sawShort(nowMs);
+  enqueue(entry: QueueEntry, nowMs: number): void {
+    if (entry.lane === "short") this.#scheduler.recordShort(nowMs);
     this.lanes.push(entry);
   }
 
@@ -183,56 +189,59 @@
     return {
       queued: this.lanes.size,
       queuedWork: Math.round(this.lanes.work),
-      held: this.#slots.size,
+      held: this.#granted.size,
       rateFactors: this.waits.dump(),
       upstreams: this.fleet.dump(),
     };
   }
 
-  #take({ entry, found }: Choice, nowMs: number): Held {
+  #grantSlot({ entry, found }: Assignment, nowMs: number): HeldAttempt {
     const { request } = entry;
     const { upstream } = found;
-    const held: Held = {
+    const held: HeldAttempt = {
       attemptId: request.attemptId,
       upstream,
       workspace: request.workspace,
       work: entry.work,
-      use: entry.use,
+      cost: entry.cost,
       promptTokens: request.promptTokens,
       expectedOutputTokens: request.expectedOutputTokens,
       coldTokens: found.coldTokens,
-      beliefAgeMs: upstream.warm.ageMs(
-        request.prefixHashes[found.matched - 1],
+      prefixAgeMs: upstream.cachedPrefixes.ageMs(
+        request.prefixHashes[found.matchedBlocks - 1],
         nowMs,
       ),
       prefixHashes: request.prefixHashes,
       lane: entry.lane,
-      long: found.long,
+      isLong: found.isLong,
       enginePriority: found.enginePriority,
-      probe: found.probe,
+      isProbe: found.isProbe,
       grantedAtMs: nowMs,
-      firstTokenDueMs: nowMs + found.firstMs,
-      overdueAtMs: overdueAt(nowMs, found.firstMs),
+      firstTokenDueMs: nowMs + found.firstTokenMs,
+      overdueAtMs: computeOverdueAtMs(nowMs, found.firstTokenMs),
       slowness: upstream.slowness,
       expiresAtMs: nowMs + SLOT_TTL_MS,
-      started: false,
+      hasStarted: false,
     };
-    if (found.probe) upstream.health.probeSent();
+    if (found.isProbe) upstream.health.recordProbe();
     upstream.add(held);
-    upstream.warm.touch(request.prefixHashes, nowMs);
-    this.#slots.add(held);
-    this.waits.granted(entry, nowMs);
-    this.#chooser.granted({ entry, found }, nowMs);
-    this.#release.granted(entry.work);
+    upstream.cachedPrefixes.touch(request.prefixHashes, nowMs);
+    this.#granted.add(held);
+    this.waits.recordGrant(entry, nowMs);
+    this.#scheduler.recordGrant({ entry, found }, nowMs);
+    this.#autoscaler.recordGrant(entry.work);
     return held;
   }
 }
 
-function order(upstream: Upstream, want: "active" | "parked"): PoolOutput {
+function orderOutput(
+  upstream: Upstream,
+  want: "active" | "parked",
+): PoolOutput {
   return { type: "order", upstreamId: upstream.row.id, want };
 }
 
-function grant(held: Held, queuedMs: number): PoolOutput {
+function grantOutput(held: HeldAttempt, queuedMs: number): PoolOutput {
   return {
     type: "answer",
     attemptId: held.attemptId,
--- a/src/decisions/exchange.ts
+++ b/src/decisions/exchange.ts
@@ -7,35 +7,35 @@
 import { Table, type TrafficRow } from "../agreement/mod.ts";
 import type { Dispatcher } from "./dispatcher.ts";
 import {
-  type FarRegion,
   NEVER_MS,
   type PoolDigest,
   type PoolOptions,
   type PoolOutput,
+  type RemoteRegion,
 } from "./pool_messages.ts";
-import { chooseRegion, mayLeave, ShiftLedger } from "./shift.ts";
+import { canLeaveRegion, chooseRegion, ShiftCounts } from "./shift.ts";
 import type { SlotRequest } from "./slots.ts";
 
 /** Longest queue of a region that takes requests of others: an instant's queue is no lack of room. */
-const MOST_WAIT_TO_TAKE_MS = 500;
+const MAX_ACCEPT_WAIT_MS = 500;
 
 /** What is expected of a request at home. */
 export interface HomeForecast {
   /** Time in the queue. */
   readonly waitMs: number;
   /** Time from leaving the queue to the first token. */
-  readonly firstMs: number;
+  readonly firstTokenMs: number;
   /** Time to prefill the whole prompt, nothing being warm. */
   readonly coldMs: number;
 }
 
 /** See the module. */
-export class Exchange {
+export class RegionRouter {
   readonly #options: PoolOptions;
   readonly #dispatcher: Dispatcher;
-  readonly #ledger = new ShiftLedger();
+  readonly #shiftCounts = new ShiftCounts();
   #table = Table.empty;
-  #far: readonly FarRegion[] = [];
+  #remoteRegions: readonly RemoteRegion[] = [];
 
   constructor(options: PoolOptions, dispatcher: Dispatcher) {
     this.#options = options;
@@ -47,29 +47,29 @@
   }
 
   /** What other regions say. */
-  setFar(regions: readonly FarRegion[]): void {
-    this.#far = regions;
+  setRemoteRegions(regions: readonly RemoteRegion[]): void {
+    this.#remoteRegions = regions;
   }
 
   /** Counts a request of this region's own. */
-  arrived(request: SlotRequest, nowMs: number): void {
+  recordArrival(request: SlotRequest, nowMs: number): void {
     if (request.sentFrom !== undefined || request.exclude.length > 0) return;
-    this.#ledger.arrived(nowMs);
+    this.#shiftCounts.recordArrival(nowMs);
   }
 
   /** Sends the request away if that is allowed and better; `home` is absent if no upstream can take it. */
-  send(
+  trySend(
     request: SlotRequest,
     home: HomeForecast | undefined,
     nowMs: number,
   ): PoolOutput | undefined {
-    const far = this.#chooseRegion(request, home, nowMs);
-    if (!far) return undefined;
-    this.#ledger.sent(far, nowMs);
+    const remote = this.#chooseRegion(request, home, nowMs);
+    if (!remote) return undefined;
+    this.#shiftCounts.recordSent(remote, nowMs);
     return {
       type: "answer",
       attemptId: request.attemptId,
-      answer: { type: "shift", region: far.region },
+      answer: { type: "shift", region: remote.region },
     };
   }
 
@@ -77,10 +77,10 @@
     request: SlotRequest,
     home: HomeForecast | undefined,
     nowMs: number,
-  ): FarRegion | undefined {
+  ): RemoteRegion | undefined {
     const workspace = this.#table.workspace(request.workspace);
     const { sentFrom } = request;
-    if (!mayLeave({ workspace, sentFrom })) return undefined;
+    if (!canLeaveRegion({ workspace, sentFrom })) return undefined;
     if (request.boundByCaller || request.stayHome) return undefined;
     const { service, region } = this.#options;
     return chooseRegion(
@@ -88,16 +88,16 @@
         workspace,
         sentFrom,
         service: this.#table.service(service),
-        traffic: this.#traffic(),
+        traffic: this.#trafficRow(),
         region,
-        homeMs: home ? home.waitMs + home.firstMs : Infinity,
+        homeMs: home ? home.waitMs + home.firstTokenMs : Infinity,
         homeWaitMs: home?.waitMs ?? Infinity,
         coldMs: home?.coldMs ?? 0,
         deadlineMs: request.deadlineMs,
         nowMs,
       },
-      this.#far,
-      this.#ledger,
+      this.#remoteRegions,
+      this.#shiftCounts,
     );
   }
 
@@ -107,8 +107,10 @@
     const { running, slots } = fleet.load(nowMs);
     const usable = slots > 0;
     return {
-      predictedWaitMs: usable ? this.#dispatcher.waits.emptyMs() : NEVER_MS,
-      takesIn: usable && this.takesIn(nowMs),
+      predictedWaitMs: usable
+        ? this.#dispatcher.waits.queueDrainMs()
+        : NEVER_MS,
+      takesIn: usable && this.acceptsRequests(nowMs),
       queued: lanes.size,
       running,
       slots,
@@ -119,16 +121,18 @@
    * Whether it takes a request of another region now. A region that waits itself, or that sends away, has nothing to give;
    * and part of its slots is kept for its own callers, who may come in the second that a digest is old.
    */
-  takesIn(nowMs: number): boolean {
-    if (this.#ledger.sending(nowMs)) return false;
+  acceptsRequests(nowMs: number): boolean {
+    if (this.#shiftCounts.hasSentRecently(nowMs)) return false;
     const { fleet } = this.#dispatcher;
-    if (this.#dispatcher.waits.emptyMs() > MOST_WAIT_TO_TAKE_MS) return false;
+    if (this.#dispatcher.waits.queueDrainMs() > MAX_ACCEPT_WAIT_MS) {
+      return false;
+    }
     const { running, slots } = fleet.load(nowMs);
-    const reserve = this.#traffic()?.reserveShare ?? 0.2;
-    return running < slots * (1 - reserve);
+    const reserveShare = this.#trafficRow()?.reserveShare ?? 0.2;
+    return running < slots * (1 - reserveShare);
   }
 
-  #traffic(): TrafficRow | undefined {
+  #trafficRow(): TrafficRow | undefined {
     const { service, region } = this.#options;
     return this.#table.traffic(service, region);
   }
--- a/src/decisions/fair_queue.ts
+++ b/src/decisions/fair_queue.ts
@@ -27,16 +27,16 @@
   /** Work it used beyond what it was charged for, or less; settled when its next entry starts. */
   debt: number;
   /** Whether it stands in the heap of flows; it may, with all its entries removed. */
-  inHeap: boolean;
+  isInHeap: boolean;
 }
 
 const byRank = <T>(a: Ticket<T>, b: Ticket<T>) => a.rank - b.rank;
-const byTag = <T>(a: Flow<T>, b: Flow<T>) => a.startTag - b.startTag;
+const byStartTag = <T>(a: Flow<T>, b: Flow<T>) => a.startTag - b.startTag;
 
 /** Least number of flows remembered before those that are idle and owe nothing are swept. */
-const SWEEP_FLOWS = 256;
+const MIN_SWEEP_FLOWS = 256;
 /** Removed entries left inside the heaps before they are rebuilt: a storm of cancellations must not hold memory. */
-const GONE_SLACK = 64;
+const REMOVED_SLACK = 64;
 
 /**
  * Entries of many flows. Made for one workspace that sends far more than its share: each pop charges the flow its work
@@ -44,14 +44,14 @@
  */
 export class FairQueue<T> {
   readonly #flows = new Map<string, Flow<T>>();
-  #active = new TinyQueue<Flow<T>>([], byTag);
-  readonly #skipped: Flow<T>[] = [];
-  #virtual = 0;
+  #activeFlows = new TinyQueue<Flow<T>>([], byStartTag);
+  readonly #skippedFlows: Flow<T>[] = [];
+  #virtualTime = 0;
   #size = 0;
   #work = 0;
-  #gone = 0;
+  #removedCount = 0;
   #activeWeight = 0;
-  #sweepAt = SWEEP_FLOWS;
+  #sweepAtSize = MIN_SWEEP_FLOWS;
 
   get size(): number {
     return this.#size;
@@ -65,7 +65,7 @@
     return this.#activeWeight;
   }
   /** Entries and work this flow has queued. */
-  of(flow: string): { readonly count: number; readonly work: number } {
+  queuedOf(flow: string): { readonly count: number; readonly work: number } {
     const found = this.#flows.get(flow);
     return { count: found?.count ?? 0, work: found?.work ?? 0 };
   }
@@ -74,7 +74,7 @@
     value: T,
     entry: { flow: string; weight: number; work: number; rank: number },
   ): Ticket<T> {
-    const flow = this.#flow(entry.flow);
+    const flow = this.#flowOf(entry.flow);
     const ticket: Ticket<T> = {
       value,
       flow: entry.flow,
@@ -84,20 +84,20 @@
     };
     if (flow.count === 0) this.#activate(flow, entry.weight);
     flow.items.push(ticket);
-    this.#count(flow, ticket, 1);
+    this.#updateCounts(flow, ticket, 1);
     return ticket;
   }
 
   /** The entry that goes next. */
   peek(): Ticket<T> | undefined {
     for (;;) {
-      const flow = this.#active.peek();
+      const flow = this.#activeFlows.peek();
       if (!flow) return undefined;
-      dropGone(flow.items);
+      popRemoved(flow.items);
       const ticket = flow.items.peek();
       if (ticket) return ticket;
-      this.#active.pop();
-      flow.inHeap = false;
+      this.#activeFlows.pop();
+      flow.isInHeap = false;
     }
   }
 
@@ -105,52 +105,52 @@
   pop(): Ticket<T> | undefined {
     const ticket = this.peek();
     if (!ticket) return undefined;
-    const flow = this.#active.pop()!;
-    flow.inHeap = false;
+    const flow = this.#activeFlows.pop()!;
+    flow.isInHeap = false;
     flow.items.pop();
-    this.#virtual = Math.max(this.#virtual, flow.startTag);
+    this.#virtualTime = Math.max(this.#virtualTime, flow.startTag);
     flow.startTag += (ticket.work + flow.debt) / flow.weight;
     flow.debt = 0;
     ticket.state = "gone";
-    this.#count(flow, ticket, -1);
-    if (flow.count > 0) this.#enter(flow);
+    this.#updateCounts(flow, ticket, -1);
+    if (flow.count > 0) this.#pushActive(flow);
     return ticket;
   }
 
   /** Passes over the flow that goes next, until {@link restore}. */
   skip(): void {
-    const flow = this.#active.pop();
-    if (flow) this.#skipped.push(flow);
+    const flow = this.#activeFlows.pop();
+    if (flow) this.#skippedFlows.push(flow);
   }
 
   /** Brings back the flows passed over. */
   restore(): void {
-    for (const flow of this.#skipped) this.#active.push(flow);
-    this.#skipped.length = 0;
+    for (const flow of this.#skippedFlows) this.#activeFlows.push(flow);
+    this.#skippedFlows.length = 0;
   }
 
   /** Takes out an entry without charging its flow. */
   remove(ticket: Ticket<T>): void {
     if (ticket.state === "gone") return;
     ticket.state = "gone";
-    this.#count(this.#flow(ticket.flow), ticket, -1);
-    this.#gone++;
-    if (this.#gone > this.#size + GONE_SLACK) this.#rebuild();
+    this.#updateCounts(this.#flowOf(ticket.flow), ticket, -1);
+    this.#removedCount++;
+    if (this.#removedCount > this.#size + REMOVED_SLACK) this.#rebuild();
   }
 
   /** Takes out an entry before its turn and charges its flow, which then waits for its next turn the longer. */
-  take(ticket: Ticket<T>): void {
+  takeOutOfTurn(ticket: Ticket<T>): void {
     this.remove(ticket);
     this.charge(ticket.flow, ticket.work);
   }
 
   /** How far a flow's service runs ahead of the others', in work per weight. */
-  lead(flowId: string): number {
+  aheadOfShare(flowId: string): number {
     const flow = this.#flows.get(flowId);
     if (!flow) return 0;
     return Math.max(
       0,
-      flow.startTag - this.#virtual + flow.debt / flow.weight,
+      flow.startTag - this.#virtualTime + flow.debt / flow.weight,
     );
   }
 
@@ -159,13 +159,14 @@
    * again, and no more than there is. A flow that was idle comes in at the present virtual time, where up to one entry of
    * each other flow stands already.
    */
-  ahead(flowId: string, weight: number): number {
+  workAhead(flowId: string, weight: number): number {
     if (this.#size === 0) return 0;
-    const own = this.of(flowId);
-    const round = this.#work / this.#size;
-    const turn = this.lead(flowId) + (own.work + round) / weight;
-    const others = this.#activeWeight + (own.count > 0 ? 0 : weight);
-    return Math.min(this.#work, turn * others);
+    const queued = this.queuedOf(flowId);
+    const meanWork = this.#work / this.#size;
+    const untilTurn = this.aheadOfShare(flowId) +
+      (queued.work + meanWork) / weight;
+    const totalWeight = this.#activeWeight + (queued.count > 0 ? 0 : weight);
+    return Math.min(this.#work, untilTurn * totalWeight);
   }
 
   /** Charges a flow for work that turned out larger than was told, or smaller if negative. */
@@ -183,10 +184,10 @@
     }
   }
 
-  #flow(id: string): Flow<T> {
+  #flowOf(id: string): Flow<T> {
     let flow = this.#flows.get(id);
     if (!flow) {
-      if (this.#flows.size >= this.#sweepAt) this.#sweep();
+      if (this.#flows.size >= this.#sweepAtSize) this.#sweep();
       flow = {
         id,
         weight: 1,
@@ -195,7 +196,7 @@
         work: 0,
         startTag: 0,
         debt: 0,
-        inHeap: false,
+        isInHeap: false,
       };
       this.#flows.set(id, flow);
     }
@@ -206,17 +207,17 @@
   // or a workspace silent all night would shut the others out in the morning.
   #activate(flow: Flow<T>, weight: number): void {
     flow.weight = Math.max(weight, 1e-6);
-    if (flow.inHeap) return;
-    flow.startTag = Math.max(this.#virtual, flow.startTag);
-    this.#enter(flow);
+    if (flow.isInHeap) return;
+    flow.startTag = Math.max(this.#virtualTime, flow.startTag);
+    this.#pushActive(flow);
   }
 
-  #enter(flow: Flow<T>): void {
-    flow.inHeap = true;
-    this.#active.push(flow);
+  #pushActive(flow: Flow<T>): void {
+    flow.isInHeap = true;
+    this.#activeFlows.push(flow);
   }
 
-  #count(flow: Flow<T>, ticket: Ticket<T>, sign: 1 | -1): void {
+  #updateCounts(flow: Flow<T>, ticket: Ticket<T>, sign: 1 | -1): void {
     const wasActive = flow.count > 0;
     flow.count += sign;
     flow.work += sign * ticket.work;
@@ -230,26 +231,28 @@
   // An idle flow whose tag lies in the past is no different from one never seen.
   #sweep(): void {
     for (const [id, flow] of this.#flows) {
-      if (flow.count === 0 && !flow.inHeap && flow.startTag <= this.#virtual) {
+      if (
+        flow.count === 0 && !flow.isInHeap && flow.startTag <= this.#virtualTime
+      ) {
         this.#flows.delete(id);
       }
     }
     // Doubling spreads the cost: each sweep is paid by as many new flows as it visits.
-    this.#sweepAt = Math.max(SWEEP_FLOWS, 2 * this.#flows.size);
+    this.#sweepAtSize = Math.max(MIN_SWEEP_FLOWS, 2 * this.#flows.size);
   }
 
   #rebuild(): void {
     for (const flow of this.#flows.values()) {
       const live = flow.items.data.filter((t) => t.state === "queued");
       flow.items = new TinyQueue(live, byRank);
-      flow.inHeap = flow.count > 0;
+      flow.isInHeap = flow.count > 0;
     }
     const active = [...this.#flows.values()].filter((f) => f.count > 0);
-    this.#active = new TinyQueue(active, byTag);
-    this.#gone = 0;
+    this.#activeFlows = new TinyQueue(active, byStartTag);
+    this.#removedCount = 0;
   }
 }
 
-function dropGone<T>(items: TinyQueue<Ticket<T>>): void {
+function popRemoved<T>(items: TinyQueue<Ticket<T>>): void {
   while (items.peek()?.state === "gone") items.pop();
 }
--- a/src/decisions/gate.ts
+++ b/src/decisions/gate.ts
@@ -8,62 +8,62 @@
 import { type CodeName, type Failure, failure } from "../base/mod.ts";
 import type { Random } from "../base/mod.ts";
 import type { Dispatcher } from "./dispatcher.ts";
-import type { Exchange, HomeForecast } from "./exchange.ts";
-import type { Entry, LaneName } from "./lane_entry.ts";
-import { LimitBook, type Use } from "./limits.ts";
-import { candidates, weigh } from "./placement.ts";
+import type { HomeForecast, RegionRouter } from "./exchange.ts";
+import type { LaneName, QueueEntry } from "./lane_entry.ts";
+import { Limiter, type RequestCost } from "./limits.ts";
+import { candidateUpstreams, evaluate } from "./placement.ts";
 import type { PoolOptions, PoolOutput } from "./pool_messages.ts";
 import { RetryBudget } from "./retry.ts";
 import type { SlotRequest } from "./slots.ts";
-import type { Held, Upstream } from "./upstream.ts";
+import type { HeldAttempt, Upstream } from "./upstream.ts";
 import { priceMicrocents, workTokens } from "./work.ts";
 
 /**
  * A workspace may fill the queue up to its share, by weight, of this many times what is left free. One alone gets two
  * thirds of the queue, and there is always room for the first requests of another.
  */
-const QUEUE_ALPHA = 2;
+const QUEUE_SHARE_FACTOR = 2;
 /** Queue limit where the table has no row of the service. */
-const DEFAULT_QUEUE = 1000;
+const DEFAULT_QUEUE_LIMIT = 1000;
 /** Earliest return of a refused caller. Sooner, and the same refusal would be all it gets. */
-const RETRY_MS = { least: 200, most: 30_000 };
+const RETRY_DELAY_MS = { min: 200, max: 30_000 };
 /** Callers refused together are spread over this part of their wait, or they would come back together. */
-const RETRY_SPREAD = 0.5;
+const RETRY_JITTER = 0.5;
 
 /** What became of an arrival. */
-export type Arrival =
-  | { readonly type: "queue"; readonly entry: Entry }
+export type AdmissionResult =
+  | { readonly type: "queue"; readonly entry: QueueEntry }
   | { readonly type: "answered"; readonly output: PoolOutput };
 
 interface Forecast extends HomeForecast {
   readonly lane: LaneName;
-  readonly warmAt: string | undefined;
+  readonly warmUpstreamId: string | undefined;
   readonly rawWaitMs: number;
   readonly work: number;
-  readonly use: Use;
+  readonly cost: RequestCost;
 }
 
 /** See the module. */
-export class Gate {
+export class AdmissionControl {
   readonly #options: PoolOptions;
   readonly #dispatcher: Dispatcher;
   readonly #random: Random;
-  readonly #limits: LimitBook;
-  readonly #exchange: Exchange;
-  readonly #retries = new RetryBudget(0);
+  readonly #limiter: Limiter;
+  readonly #regionRouter: RegionRouter;
+  readonly #retryBudget = new RetryBudget(0);
   #table = Table.empty;
 
   constructor(
     options: PoolOptions,
     dispatcher: Dispatcher,
-    exchange: Exchange,
+    regionRouter: RegionRouter,
     random: Random,
   ) {
     this.#options = options;
-    this.#exchange = exchange;
+    this.#regionRouter = regionRouter;
     this.#dispatcher = dispatcher;
     this.#random = random;
-    this.#limits = new LimitBook(this.#table, { ...options, pools: 1 });
+    this.#limiter = new Limiter(this.#table, { ...options, pools: 1 });
   }
 
   configure(table: Table, nowMs: number): void {
@@ -72,67 +72,70 @@
     const poolSize = table.service(service)?.poolSize ?? Infinity;
     const upstreams = table.upstreams(service, region).length;
     const pools = Math.max(1, Math.ceil(upstreams / poolSize));
-    this.#limits.configure(table, { service, region, pools }, nowMs);
+    this.#limiter.configure(table, { service, region, pools }, nowMs);
   }
 
-  arrive(request: SlotRequest, nowMs: number): Arrival {
-    const bound = this.#residency(request);
-    if (bound) return refused(request, bound);
-    this.#exchange.arrived(request, nowMs);
+  admit(request: SlotRequest, nowMs: number): AdmissionResult {
+    const residencyFailure = this.#checkResidency(request);
+    if (residencyFailure) return refusedResult(request, residencyFailure);
+    this.#regionRouter.recordArrival(request, nowMs);
     if (request.deadlineMs <= nowMs) {
-      return refused(request, failure("deadlinePassed"));
+      return refusedResult(request, failure("deadlinePassed"));
     }
     const forecast = this.#forecast(request, nowMs);
-    const sent = this.#exchange.send(request, forecast, nowMs);
+    const sent = this.#regionRouter.trySend(request, forecast, nowMs);
     if (sent) return { type: "answered", output: sent };
-    const no = this.#refusal(request, forecast, nowMs);
-    if (no || !forecast) {
-      return refused(request, no ?? this.#noUpstream(nowMs));
+    const refusal = this.#findRefusal(request, forecast, nowMs);
+    if (refusal || !forecast) {
+      return refusedResult(request, refusal ?? this.#noUpstreamFailure(nowMs));
     }
-    return { type: "queue", entry: this.#enter(request, forecast, nowMs) };
+    return {
+      type: "queue",
+      entry: this.#createEntry(request, forecast, nowMs),
+    };
   }
 
   /** Refuses what can no longer start in time; once no upstream is left, sends away or refuses all. */
   refuseLate(nowMs: number): PoolOutput[] {
     const { lanes, fleet } = this.#dispatcher;
-    if (!fleet.usable(nowMs)) {
+    if (!fleet.hasUsable(nowMs)) {
       return lanes.clear().map((entry) => {
-        this.forget(entry);
-        return this.#exchange.send(entry.request, undefined, nowMs) ??
-          answer(entry.request, this.#noUpstream(nowMs));
+        this.releaseQueued(entry);
+        return this.#regionRouter.trySend(entry.request, undefined, nowMs) ??
+          refusalOutput(entry.request, this.#noUpstreamFailure(nowMs));
       });
     }
     return lanes.removeLate(nowMs).map((entry) => {
-      this.forget(entry);
-      this.#dispatcher.waits.ended(entry, nowMs);
-      const waitMs = this.#dispatcher.waits.emptyMs();
-      const why = this.#later("expiredInQueue", waitMs, nowMs);
-      return answer(entry.request, why);
+      this.releaseQueued(entry);
+      this.#dispatcher.waits.recordWait(entry, nowMs);
+      const waitMs = this.#dispatcher.waits.queueDrainMs();
+      const reason = this.#retryableFailure("expiredInQueue", waitMs, nowMs);
+      return refusalOutput(entry.request, reason);
     });
   }
 
   /** A queued request was given up: it used nothing. */
-  forget(entry: Entry): void {
+  releaseQueued(entry: QueueEntry): void {
     const nothing = { workTokens: 0, microcents: 0 };
-    this.#limits.release(entry.request.workspace, entry.use, nothing);
+    this.#limiter.release(entry.request.workspace, entry.cost, nothing);
   }
 
   /** A slot came back after an answer of this many tokens. */
-  release(held: Held, outputTokens: number): void {
-    if (!held.use) return;
-    const actual = this.#use(
+  releaseHeld(held: HeldAttempt, outputTokens: number): void {
+    if (!held.cost) return;
+    const actual = this.#costOf(
       workTokens({
         promptTokens: held.coldTokens,
         expectedOutputTokens: outputTokens,
       }),
       held.upstream,
     );
-    this.#limits.release(held.workspace, held.use, actual);
+    this.#limiter.release(held.workspace, held.cost, actual);
   }
 
   // Checked here too, although the VM that took the request checks it first: a version of the table older than the edit
   // that bound a workspace may still be in force there.
-  #residency(request: SlotRequest): Failure | undefined {
+  #checkResidency(request: SlotRequest): Failure | undefined {
     const row = this.#table.workspace(request.workspace);
     const { region } = this.#options;
     if (request.sentFrom === undefined) {
@@ -142,104 +145,126 @@
     return row?.bound === false ? undefined : failure("homeElsewhere");
   }
 
-  #refusal(
+  #findRefusal(
     request: SlotRequest,
     forecast: Forecast | undefined,
     nowMs: number,
   ): Failure | undefined {
-    if (!forecast) return this.#noUpstream(nowMs);
-    if (request.sentFrom !== undefined && !this.#exchange.takesIn(nowMs)) {
-      return this.#later("receiverRefused", 0, nowMs);
+    if (!forecast) return this.#noUpstreamFailure(nowMs);
+    if (
+      request.sentFrom !== undefined &&
+      !this.#regionRouter.acceptsRequests(nowMs)
+    ) {
+      return this.#retryableFailure("receiverRefused", 0, nowMs);
     }
-    const full = this.#queueFull(request, nowMs);
+    const full = this.#checkQueueLimit(request, nowMs);
     if (full) return full;
     const slackMs = request.deadlineMs - nowMs;
-    const totalMs = forecast.waitMs + forecast.firstMs;
+    const totalMs = forecast.waitMs + forecast.firstTokenMs;
     if (totalMs > slackMs) {
-      return this.#later("wouldMissDeadline", totalMs - slackMs, nowMs);
+      return this.#retryableFailure(
+        "wouldMissDeadline",
+        totalMs - slackMs,
+        nowMs,
+      );
     }
-    const limited = this.#limits.refusal(
+    const limited = this.#limiter.findRefusal(
       request.workspace,
-      forecast.use,
+      forecast.cost,
       nowMs,
     );
     if (limited) return limited;
-    return request.exclude.length > 0 ? this.#retryRefusal(nowMs) : undefined;
+    return request.exclude.length > 0 ? this.#takeRetry(nowMs) : undefined;
   }
 
-  #retryRefusal(nowMs: number): Failure | undefined {
-    if (this.#retries.tryTake(nowMs)) return undefined;
+  #takeRetry(nowMs: number): Failure | undefined {
+    if (this.#retryBudget.tryTake(nowMs)) return undefined;
     return failure("noUpstream", {
-      retryAtMs: this.#retries.readyAtMs(nowMs),
+      retryAtMs: this.#retryBudget.readyAtMs(nowMs),
       message: "the retry budget is used up",
     });
   }
 
-  #queueFull(request: SlotRequest, nowMs: number): Failure | undefined {
+  #checkQueueLimit(request: SlotRequest, nowMs: number): Failure | undefined {
     const { lanes } = this.#dispatcher;
     const { service } = this.#options;
-    const limit = this.#table.service(service)?.queueLimit ?? DEFAULT_QUEUE;
+    const limit = this.#table.service(service)?.queueLimit ??
+      DEFAULT_QUEUE_LIMIT;
     const free = Math.max(0, limit - lanes.size);
-    const weight = this.#weight(request.workspace);
+    const weight = this.#weightOf(request.workspace);
     const share = weight / Math.max(weight, lanes.activeWeight);
-    const allowed = Math.max(1, QUEUE_ALPHA * free * share);
+    const allowed = Math.max(1, QUEUE_SHARE_FACTOR * free * share);
     if (free > 0 && lanes.countOf(request.workspace) < allowed) {
       return undefined;
     }
-    return this.#later(
+    return this.#retryableFailure(
       "queueFull",
-      this.#dispatcher.waits.emptyMs(),
+      this.#dispatcher.waits.queueDrainMs(),
       nowMs,
     );
   }
 
-  #enter(request: SlotRequest, forecast: Forecast, nowMs: number): Entry {
-    if (request.exclude.length === 0) this.#retries.firstAttempt();
-    this.#limits.take(request.workspace, forecast.use, nowMs);
+  #createEntry(
+    request: SlotRequest,
+    forecast: Forecast,
+    nowMs: number,
+  ): QueueEntry {
+    if (request.exclude.length === 0) this.#retryBudget.recordFirstAttempt();
+    this.#limiter.charge(request.workspace, forecast.cost, nowMs);
     return {
       request,
       lane: forecast.lane,
-      weight: this.#weight(request.workspace),
+      weight: this.#weightOf(request.workspace),
       work: forecast.work,
-      use: forecast.use,
+      cost: forecast.cost,
       queuedAtMs: nowMs,
       rawWaitMs: forecast.rawWaitMs,
-      latestStartMs: request.deadlineMs - forecast.firstMs,
-      warmAt: forecast.warmAt,
-      bypassed: 0,
+      latestStartMs: request.deadlineMs - forecast.firstTokenMs,
+      warmUpstreamId: forecast.warmUpstreamId,
+      bypassCount: 0,
     };
   }
 
   #forecast(request: SlotRequest, nowMs: number): Forecast | undefined {
-    const view = this.#dispatcher.view(nowMs);
-    let best: ReturnType<typeof weigh> | undefined;
+    const view = this.#dispatcher.placementView(nowMs);
+    let best: ReturnType<typeof evaluate> | undefined;
     let bestMs = Infinity;
-    for (const upstream of candidates(request, view)) {
+    for (const upstream of candidateUpstreams(request, view)) {
       if (request.exclude.includes(upstream.row.id)) continue;
-      if (!upstream.health.usable(nowMs)) continue;
-      const found = weigh(request, upstream, view);
-      if (found.firstMs >= bestMs) continue;
+      if (!upstream.health.isUsable(nowMs)) continue;
+      const found = evaluate(request, upstream, view);
+      if (found.firstTokenMs >= bestMs) continue;
       best = found;
-      bestMs = found.firstMs;
+      bestMs = found.firstTokenMs;
     }
     if (!best) return undefined;
-    const { upstream, coldTokens, savedMs, firstMs, long } = best;
+    const {
+      upstream,
+      coldTokens,
+      savedMs,
+      firstTokenMs: firstMs,
+      isLong: long,
+    } = best;
     const lane = long ? "long" : "short";
-    const weight = this.#weight(request.workspace);
-    const ahead = this.#dispatcher.lanes.ahead(lane, request.workspace, weight);
+    const weight = this.#weightOf(request.workspace);
+    const ahead = this.#dispatcher.lanes.workAhead(
+      lane,
+      request.workspace,
+      weight,
+    );
     const work = workTokens(request, request.promptTokens - coldTokens);
     return {
       lane,
-      warmAt: savedMs > 0 ? upstream.row.id : undefined,
+      warmUpstreamId: savedMs > 0 ? upstream.row.id : undefined,
       ...this.#dispatcher.waits.forecast(lane, ahead),
-      firstMs,
-      coldMs: upstream.ownMs(request.promptTokens),
+      firstTokenMs: firstMs,
+      coldMs: upstream.idleFirstTokenMs(request.promptTokens),
       work,
-      use: this.#use(work, upstream),
+      cost: this.#costOf(work, upstream),
     };
   }
 
-  #use(work: number, upstream: Upstream): Use {
+  #costOf(work: number, upstream: Upstream): RequestCost {
     const region = this.#table.region(this.#options.region);
     const price = region?.upstreamHourMicrocents ?? 0;
     return {
@@ -248,32 +273,32 @@
     };
   }
 
-  #weight(workspace: string): number {
+  #weightOf(workspace: string): number {
     return this.#table.workspace(workspace)?.weight ?? 1;
   }
 
-  #noUpstream(nowMs: number): Failure {
-    return this.#later("noUpstream", 1000, nowMs);
+  #noUpstreamFailure(nowMs: number): Failure {
+    return this.#retryableFailure("noUpstream", 1000, nowMs);
   }
 
-  #later(code: CodeName, waitMs: number, nowMs: number): Failure {
-    const spread = 1 + RETRY_SPREAD * this.#random.next();
+  #retryableFailure(code: CodeName, waitMs: number, nowMs: number): Failure {
+    const jitter = 1 + RETRY_JITTER * this.#random.next();
     const bounded = Math.min(
-      RETRY_MS.most,
-      Math.max(RETRY_MS.least, waitMs * spread),
+      RETRY_DELAY_MS.max,
+      Math.max(RETRY_DELAY_MS.min, waitMs * jitter),
     );
     return failure(code, { retryAtMs: Math.ceil(nowMs + bounded) });
   }
 }
 
-function refused(request: SlotRequest, why: Failure): Arrival {
-  return { type: "answered", output: answer(request, why) };
+function refusedResult(request: SlotRequest, reason: Failure): AdmissionResult {
+  return { type: "answered", output: refusalOutput(request, reason) };
 }
 
-function answer(request: SlotRequest, why: Failure): PoolOutput {
+function refusalOutput(request: SlotRequest, reason: Failure): PoolOutput {
   return {
     type: "answer",
     attemptId: request.attemptId,
-    answer: { type: "refuse", failure: why },
+    answer: { type: "refuse", failure: reason },
   };
 }
--- a/src/decisions/health.ts
+++ b/src/decisions/health.ts
@@ -8,16 +8,16 @@
 export type HealthState = "ok" | "aside" | "ramp";
 
 /** Failures in a row after the request was sent that set an upstream aside: one may be the request's own fault. */
-const FAILURES = 2;
+const EJECT_FAILURES = 2;
 /** First and longest pause between probes. The first is short, as most faults are restarts; it doubles each time. */
-const PROBE_FIRST_MS = 1000;
-const PROBE_MOST_MS = 15_000;
+const MIN_PROBE_INTERVAL_MS = 1000;
+const MAX_PROBE_INTERVAL_MS = 15_000;
 /** A returning upstream's limit starts here and doubles each step: its cache is cold, and it may fail again. */
-const RAMP_FIRST = 2;
+const RAMP_START_LIMIT = 2;
 const RAMP_STEP_MS = 500;
-/** Factor of the limit on a first token far later than predicted; applied once in {@link SHRINK_PAUSE_MS}. */
-const SHRINK = 0.7;
-const SHRINK_PAUSE_MS = 500;
+/** Factor of the limit on a first token far later than predicted; applied once in {@link SHRINK_INTERVAL_MS}. */
+const SHRINK_FACTOR = 0.7;
+const SHRINK_INTERVAL_MS = 500;
 /** A first token later than this many times its prediction says that the upstream is overloaded. */
 const LATE_RATIO = 3;
 
@@ -26,11 +26,11 @@
   #state: HealthState = "ok";
   #slots: number;
   #limit: number;
-  #failures = 0;
+  #failuresInRow = 0;
   #probeAtMs = 0;
-  #probePauseMs = PROBE_FIRST_MS;
-  #probeInFlight = false;
-  #rampFromMs = 0;
+  #probeIntervalMs = MIN_PROBE_INTERVAL_MS;
+  #isProbeInFlight = false;
+  #rampStartMs = 0;
   #shrunkAtMs = 0;
 
   constructor(slots: number) {
@@ -41,7 +41,7 @@
   get state(): HealthState {
     return this.#state;
   }
-  get probing(): boolean {
+  get isProbing(): boolean {
     return this.#state === "aside";
   }
 
@@ -57,74 +57,79 @@
   limit(nowMs: number): number {
     if (this.#state === "aside") return 0;
     if (this.#state === "ok") return Math.floor(this.#limit);
-    const steps = Math.floor((nowMs - this.#rampFromMs) / RAMP_STEP_MS);
-    const ramp = RAMP_FIRST * 2 ** Math.min(steps, 30);
+    const steps = Math.floor((nowMs - this.#rampStartMs) / RAMP_STEP_MS);
+    const ramp = RAMP_START_LIMIT * 2 ** Math.min(steps, 30);
     if (ramp >= this.#limit) this.#state = "ok";
     return Math.floor(Math.min(ramp, this.#limit));
   }
 
   /** Whether a probe is due: one request at a time, so that an upstream still ill costs one caller and not many. */
-  probeDue(nowMs: number): boolean {
-    return this.#state === "aside" && !this.#probeInFlight &&
+  isProbeDue(nowMs: number): boolean {
+    return this.#state === "aside" && !this.#isProbeInFlight &&
       nowMs >= this.#probeAtMs;
   }
   /** Whether it can take a request now or soon. */
-  usable(nowMs: number): boolean {
-    return this.#state !== "aside" || this.probeDue(nowMs);
+  isUsable(nowMs: number): boolean {
+    return this.#state !== "aside" || this.isProbeDue(nowMs);
   }
-  probeSent(): void {
-    this.#probeInFlight = true;
+  recordProbe(): void {
+    this.#isProbeInFlight = true;
   }
 
   /** A first token came, `ratio` times as late as predicted. */
-  answered(ratio: number, nowMs: number): void {
-    this.#failures = 0;
+  recordFirstToken(ratio: number, nowMs: number): void {
+    this.#failuresInRow = 0;
     if (ratio > LATE_RATIO) this.#shrink(nowMs);
     else this.#limit = Math.min(this.#slots, this.#limit + 0.25);
   }
 
-  probeEnded(): void {
-    this.#probeInFlight = false;
+  recordProbeEnd(): void {
+    this.#isProbeInFlight = false;
   }
 
   /** It refused an attempt without running it: it is fuller than its limit says. */
-  overloaded(nowMs: number): void {
+  recordRefusal(nowMs: number): void {
     this.#shrink(nowMs);
   }
 
   /** An attempt failed. Returns whether the upstream ought to be set aside. */
-  failed(unreachable: boolean): boolean {
-    this.#probeInFlight = false;
-    this.#failures += unreachable ? FAILURES : 1;
-    return this.#failures >= FAILURES;
+  recordFailure(isUnreachable: boolean): boolean {
+    this.#isProbeInFlight = false;
+    this.#failuresInRow += isUnreachable ? EJECT_FAILURES : 1;
+    return this.#failuresInRow >= EJECT_FAILURES;
   }
 
-  setAside(nowMs: number): void {
+  eject(nowMs: number): void {
     if (this.#state === "aside") {
-      this.#probePauseMs = Math.min(PROBE_MOST_MS, this.#probePauseMs * 2);
-    } else if (this.#state === "ok") this.#probePauseMs = PROBE_FIRST_MS;
+      this.#probeIntervalMs = Math.min(
+        MAX_PROBE_INTERVAL_MS,
+        this.#probeIntervalMs * 2,
+      );
+    } else if (this.#state === "ok") {
+      this.#probeIntervalMs = MIN_PROBE_INTERVAL_MS;
+    }
     this.#state = "aside";
-    this.#probeAtMs = nowMs + this.#probePauseMs;
+    this.#probeAtMs = nowMs + this.#probeIntervalMs;
   }
 
   /** The probe was answered as fast as by others. */
   restore(nowMs: number): void {
     if (this.#state !== "aside") return;
-    this.ramp(nowMs);
+    this.startRamp(nowMs);
   }
 
   /** Gets work again little by little. */
-  ramp(nowMs: number): void {
+  startRamp(nowMs: number): void {
     this.#state = "ramp";
-    this.#rampFromMs = nowMs;
-    this.#failures = 0;
-    this.#probeInFlight = false;
+    this.#rampStartMs = nowMs;
+    this.#failuresInRow = 0;
+    this.#isProbeInFlight = false;
     this.#limit = this.#slots;
   }
 
   #shrink(nowMs: number): void {
-    if (nowMs - this.#shrunkAtMs < SHRINK_PAUSE_MS) return;
+    if (nowMs - this.#shrunkAtMs < SHRINK_INTERVAL_MS) return;
     this.#shrunkAtMs = nowMs;
-    this.#limit = Math.max(1, this.#limit * SHRINK);
+    this.#limit = Math.max(1, this.#limit * SHRINK_FACTOR);
   }
 }
--- a/src/decisions/lane_entry.ts
+++ b/src/decisions/lane_entry.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { Use } from "./limits.ts";
+import type { RequestCost } from "./limits.ts";
 import type { SlotRequest } from "./slots.ts";
 
 /** The two lanes. */
@@ -13,19 +13,19 @@
 export const LANES: readonly LaneName[] = ["short", "long"];
 
 /** A queued request. */
-export interface Entry {
+export interface QueueEntry {
   readonly request: SlotRequest;
   readonly lane: LaneName;
   readonly weight: number;
   readonly work: number;
-  readonly use: Use;
+  readonly cost: RequestCost;
   readonly queuedAtMs: number;
   /** Its wait as forecast, before any correction. */
   readonly rawWaitMs: number;
   /** Starting later than this, its first token would miss the deadline. */
   readonly latestStartMs: number;
   /** The upstream believed to hold most of its prefix, if any does. */
-  readonly warmAt: string | undefined;
+  readonly warmUpstreamId: string | undefined;
   /** Times another request went before it for being warm. */
-  bypassed: number;
+  bypassCount: number;
 }
--- a/src/decisions/limit_parts.ts
+++ b/src/decisions/limit_parts.ts
@@ -7,7 +7,7 @@
 import type { Table, WorkspaceRow } from "../agreement/mod.ts";
 
 /** Which part of the table's limits this lead holds. */
-export interface LimitPlace {
+export interface LimitScope {
   readonly service: string;
   readonly region: string;
   /** Pools that the service has in the region. */
@@ -28,22 +28,26 @@
  * small weight holds a small part even while the others rest: parts that grew with use would have to be agreed on, and
  * would add up to more than the limit while regions cannot reach each other.
  */
-export function limitPart(
+export function computeLimitPart(
   table: Table,
   workspace: WorkspaceRow,
-  place: LimitPlace,
+  scope: LimitScope,
   weights: ReadonlyMap<string, HomeWeights>,
 ): number {
   const { home, bound } = workspace;
-  const { service, region, pools } = place;
+  const { service, region, pools } = scope;
   const regions = servingRegions(table, service, home, bound);
   if (!regions.includes(region)) return 0;
-  const all = weights.get(home)?.[bound ? "bound" : "free"] ?? 0;
-  return all > 0 ? weightOf(table, service, region) / all / pools : 0;
+  const totalWeight = weights.get(home)?.[bound ? "bound" : "free"] ?? 0;
+  return totalWeight > 0
+    ? weightOf(table, service, region) / totalWeight / pools
+    : 0;
 }
 
 /** The {@link HomeWeights} of each region. */
-export function homeWeights(table: Table): ReadonlyMap<string, HomeWeights> {
+export function computeHomeWeights(
+  table: Table,
+): ReadonlyMap<string, HomeWeights> {
   const services: string[] = [];
   const homes: string[] = [];
   for (const { row } of table.rows()) {
--- a/src/decisions/limits.ts
+++ b/src/decisions/limits.ts
@@ -9,12 +9,12 @@
 
 import type { Table, WorkspaceRow } from "../agreement/mod.ts";
 import { type Failure, failure } from "../base/mod.ts";
-import { Bucket } from "./bucket.ts";
+import { TokenBucket } from "./bucket.ts";
 import {
+  computeHomeWeights,
+  computeLimitPart,
   type HomeWeights,
-  homeWeights,
-  limitPart,
-  type LimitPlace,
+  type LimitScope,
 } from "./limit_parts.ts";
 
 /** A rate's bucket holds this much of it: callers send in clumps, and a second smooths them. */
@@ -24,17 +24,17 @@
  * Part of an hour's spend that may go at once. The rest fills evenly over the hour, so that no 60 minutes, wherever they
  * start, cost more than the limit.
  */
-const SPEND_BURST = 1 / 12;
+const SPEND_BURST_SHARE = 1 / 12;
 /** Earliest return of a caller whose limit gives no time: a concurrency limit frees when one of its requests ends. */
 const CONCURRENCY_RETRY_MS = 500;
 /** A limit of zero never frees by itself; callers are told to come back when an operator may have raised it. */
-const CLOSED_RETRY_MS = 60_000;
+const ZERO_LIMIT_RETRY_MS = 60_000;
 /** Meters kept before those idle for {@link IDLE_MS} are dropped. */
-const SWEEP_METERS = 512;
+const MIN_SWEEP_METERS = 512;
 const IDLE_MS = HOUR_MS;
 
 /** What a request would use. */
-export interface Use {
+export interface RequestCost {
   readonly workTokens: number;
   readonly microcents: number;
 }
@@ -49,70 +49,91 @@
 class Meter {
   running = 0;
   usedAtMs = 0;
-  #requests?: Bucket;
-  #tokens?: Bucket;
-  #spend?: Bucket;
+  #requests?: TokenBucket;
+  #tokens?: TokenBucket;
+  #spend?: TokenBucket;
 
   configure(limits: Limits, part: number, nowMs: number): void {
     const { requestsPerS, tokensPerS, spendMicrocentsPerHour } = limits;
-    this.#requests = rate(this.#requests, requestsPerS, part, nowMs);
-    this.#tokens = rate(this.#tokens, tokensPerS, part, nowMs);
-    this.#spend = spend(this.#spend, spendMicrocentsPerHour, part, nowMs);
+    this.#requests = fitRateBucket(this.#requests, requestsPerS, part, nowMs);
+    this.#tokens = fitRateBucket(this.#tokens, tokensPerS, part, nowMs);
+    this.#spend = fitSpendBucket(
+      this.#spend,
+      spendMicrocentsPerHour,
+      part,
+      nowMs,
+    );
   }
 
-  refusal(use: Use, retryOf: string, nowMs: number): Failure | undefined {
-    return check(this.#requests, 1, "rateLimited", retryOf, nowMs) ??
-      check(this.#tokens, use.workTokens, "rateLimited", retryOf, nowMs) ??
-      check(this.#spend, use.microcents, "spendExhausted", retryOf, nowMs);
+  findRefusal(
+    cost: RequestCost,
+    rowName: string,
+    nowMs: number,
+  ): Failure | undefined {
+    return checkBucket(this.#requests, 1, "rateLimited", rowName, nowMs) ??
+      checkBucket(
+        this.#tokens,
+        cost.workTokens,
+        "rateLimited",
+        rowName,
+        nowMs,
+      ) ??
+      checkBucket(
+        this.#spend,
+        cost.microcents,
+        "spendExhausted",
+        rowName,
+        nowMs,
+      );
   }
 
-  take(use: Use, nowMs: number): void {
+  charge(cost: RequestCost, nowMs: number): void {
     this.usedAtMs = nowMs;
     this.#requests?.take(1, nowMs);
-    this.#tokens?.take(use.workTokens, nowMs);
-    this.#spend?.take(use.microcents, nowMs);
+    this.#tokens?.take(cost.workTokens, nowMs);
+    this.#spend?.take(cost.microcents, nowMs);
   }
 
-  settle(estimated: Use, actual: Use): void {
+  settle(estimated: RequestCost, actual: RequestCost): void {
     this.#tokens?.refund(estimated.workTokens - actual.workTokens);
     this.#spend?.refund(estimated.microcents - actual.microcents);
   }
 }
 
-function rate(
-  bucket: Bucket | undefined,
+function fitRateBucket(
+  bucket: TokenBucket | undefined,
   perS: number | undefined,
   part: number,
   nowMs: number,
-): Bucket | undefined {
+): TokenBucket | undefined {
   if (perS === undefined) return undefined;
   const perMs = (perS * part) / 1000;
   // At least one request fits, or a small part of a small limit would let none pass.
-  const most = perS === 0 ? 0 : Math.max(1, perMs * RATE_BURST_MS);
-  if (!bucket) return new Bucket(perMs, most, nowMs);
-  bucket.resize(perMs, most, nowMs);
+  const capacity = perS === 0 ? 0 : Math.max(1, perMs * RATE_BURST_MS);
+  if (!bucket) return new TokenBucket(perMs, capacity, nowMs);
+  bucket.resize(perMs, capacity, nowMs);
   return bucket;
 }
 
-function spend(
-  bucket: Bucket | undefined,
+function fitSpendBucket(
+  bucket: TokenBucket | undefined,
   perHour: number | undefined,
   part: number,
   nowMs: number,
-): Bucket | undefined {
+): TokenBucket | undefined {
   if (perHour === undefined) return undefined;
-  const most = perHour * part * SPEND_BURST;
-  const perMs = (perHour * part * (1 - SPEND_BURST)) / HOUR_MS;
-  if (!bucket) return new Bucket(perMs, most, nowMs);
-  bucket.resize(perMs, most, nowMs);
+  const capacity = perHour * part * SPEND_BURST_SHARE;
+  const perMs = (perHour * part * (1 - SPEND_BURST_SHARE)) / HOUR_MS;
+  if (!bucket) return new TokenBucket(perMs, capacity, nowMs);
+  bucket.resize(perMs, capacity, nowMs);
   return bucket;
 }
 
-function check(
-  bucket: Bucket | undefined,
+function checkBucket(
+  bucket: TokenBucket | undefined,
   amount: number,
   code: "rateLimited" | "spendExhausted",
-  row: string,
+  rowName: string,
   nowMs: number,
 ): Failure | undefined {
   if (!bucket) return undefined;
@@ -120,89 +141,101 @@
   if (readyAtMs <= nowMs) return undefined;
   const retryAtMs = Number.isFinite(readyAtMs)
     ? Math.ceil(readyAtMs)
-    : nowMs + CLOSED_RETRY_MS;
+    : nowMs + ZERO_LIMIT_RETRY_MS;
   return failure(code, {
     retryAtMs,
-    message: `the limit of ${row} is used up`,
+    message: `the limit of ${rowName} is used up`,
   });
 }
 
 /** The meters of a lead. */
-export class LimitBook {
+export class Limiter {
   readonly #meters = new Map<string, Meter>();
   #table: Table;
-  #place: LimitPlace;
+  #scope: LimitScope;
   #weights: ReadonlyMap<string, HomeWeights> = new Map();
-  #traffic?: Meter;
+  #trafficMeter?: Meter;
 
-  constructor(table: Table, place: LimitPlace) {
+  constructor(table: Table, scope: LimitScope) {
     this.#table = table;
-    this.#place = place;
+    this.#scope = scope;
   }
 
-  configure(table: Table, place: LimitPlace, nowMs: number): void {
+  configure(table: Table, scope: LimitScope, nowMs: number): void {
     this.#table = table;
-    this.#place = place;
-    this.#weights = homeWeights(table);
-    for (const [id, meter] of this.#meters) this.#fit(id, meter, nowMs);
-    const row = table.traffic(place.service, place.region);
-    this.#traffic ??= new Meter();
-    this.#traffic.configure(row ?? {}, 1 / place.pools, nowMs);
+    this.#scope = scope;
+    this.#weights = computeHomeWeights(table);
+    for (const [id, meter] of this.#meters) {
+      this.#configureMeter(id, meter, nowMs);
+    }
+    const row = table.traffic(scope.service, scope.region);
+    this.#trafficMeter ??= new Meter();
+    this.#trafficMeter.configure(row ?? {}, 1 / scope.pools, nowMs);
   }
 
   /** Why the request may not pass now, if so. */
-  refusal(workspace: string, use: Use, nowMs: number): Failure | undefined {
-    const meter = this.#meter(workspace, nowMs);
-    const { service, region } = this.#place;
+  findRefusal(
+    workspace: string,
+    cost: RequestCost,
+    nowMs: number,
+  ): Failure | undefined {
+    const meter = this.#meterOf(workspace, nowMs);
+    const { service, region } = this.#scope;
     const row = this.#table.workspace(workspace);
     const limit = row?.concurrency;
     if (
       limit !== undefined &&
-      meter.running >= concurrencyPart(limit, this.#part(row))
+      meter.running >= concurrencyPart(limit, this.#partOf(row))
     ) {
       return failure("concurrencyLimited", {
         retryAtMs: nowMs + CONCURRENCY_RETRY_MS,
       });
     }
-    return meter.refusal(use, `workspace ${workspace}`, nowMs) ??
-      this.#traffic?.refusal(use, `${service} in ${region}`, nowMs);
+    return meter.findRefusal(cost, `workspace ${workspace}`, nowMs) ??
+      this.#trafficMeter?.findRefusal(cost, `${service} in ${region}`, nowMs);
   }
 
   /** The request passed: it counts from now, queued or running. */
-  take(workspace: string, use: Use, nowMs: number): void {
-    const meter = this.#meter(workspace, nowMs);
+  charge(workspace: string, cost: RequestCost, nowMs: number): void {
+    const meter = this.#meterOf(workspace, nowMs);
     meter.running++;
-    meter.take(use, nowMs);
-    this.#traffic?.take(use, nowMs);
+    meter.charge(cost, nowMs);
+    this.#trafficMeter?.charge(cost, nowMs);
   }
 
   /** The request ended; what it did not use is given back. */
-  release(workspace: string, estimated: Use, actual: Use): void {
+  release(
+    workspace: string,
+    estimated: RequestCost,
+    actual: RequestCost,
+  ): void {
     const meter = this.#meters.get(workspace);
     if (!meter) return;
     meter.running = Math.max(0, meter.running - 1);
     meter.settle(estimated, actual);
-    this.#traffic?.settle(estimated, actual);
+    this.#trafficMeter?.settle(estimated, actual);
   }
 
-  #meter(workspace: string, nowMs: number): Meter {
+  #meterOf(workspace: string, nowMs: number): Meter {
     let meter = this.#meters.get(workspace);
     if (!meter) {
-      if (this.#meters.size >= SWEEP_METERS) this.#sweep(nowMs);
+      if (this.#meters.size >= MIN_SWEEP_METERS) this.#sweep(nowMs);
       meter = new Meter();
-      this.#fit(workspace, meter, nowMs);
+      this.#configureMeter(workspace, meter, nowMs);
       this.#meters.set(workspace, meter);
     }
     return meter;
   }
 
-  #fit(workspace: string, meter: Meter, nowMs: number): void {
+  #configureMeter(workspace: string, meter: Meter, nowMs: number): void {
     const row = this.#table.workspace(workspace);
-    meter.configure(row ?? {}, this.#part(row), nowMs);
+    meter.configure(row ?? {}, this.#partOf(row), nowMs);
   }
 
-  #part(row: WorkspaceRow | undefined): number {
-    return row ? limitPart(this.#table, row, this.#place, this.#weights) : 1;
+  #partOf(row: WorkspaceRow | undefined): number {
+    return row
+      ? computeLimitPart(this.#table, row, this.#scope, this.#weights)
+      : 1;
   }
 
   #sweep(nowMs: number): void {
--- a/src/decisions/load_test.ts
+++ b/src/decisions/load_test.ts
@@ -171,15 +171,23 @@
   });
 
   it("weights against sending away send less", (t) => {
-    const sent = (objective: object) =>
+    const countSent = (objective: object) =>
       outcomesOf({
         regions,
         objective,
         perS: (_, region) => (region === "agadir" ? 36 : 6),
       }).filter((o) => o.moves > 0).length;
-    const latency = sent({ latencyWeight: 1, costWeight: 0, awayWeight: 0 });
-    const public_ = sent({ latencyWeight: 1, costWeight: 4, awayWeight: 8 });
-    t.true(latency > 0);
-    t.true(public_ < latency);
+    const latencyOnly = countSent({
+      latencyWeight: 1,
+      costWeight: 0,
+      awayWeight: 0,
+    });
+    const penalized = countSent({
+      latencyWeight: 1,
+      costWeight: 4,
+      awayWeight: 8,
+    });
+    t.true(latencyOnly > 0);
+    t.true(penalized < latencyOnly);
   });
 });
--- a/src/decisions/mod.ts
+++ b/src/decisions/mod.ts
@@ -7,4 +7,4 @@
 export * from "./slots.ts";
 export * from "./pool_messages.ts";
 export * from "./pool.ts";
-export { type FailedAttempt, mayRetry, MOST_ATTEMPTS } from "./retry.ts";
+export { type FailedAttempt, MAX_ATTEMPTS, mayRetry } from "./retry.ts";
--- a/src/decisions/parking.ts
+++ b/src/decisions/parking.ts
@@ -5,10 +5,10 @@
  */
 
 import TinyQueue from "tinyqueue";
-import type { Entry } from "./lane_entry.ts";
+import type { QueueEntry } from "./lane_entry.ts";
 
-interface Parked {
-  readonly entry: Entry;
+interface DeferredEntry {
+  readonly entry: QueueEntry;
   readonly upstreamId: string;
   /** When waiting costs more than a cold prefill elsewhere. */
   readonly untilMs: number;
@@ -16,63 +16,68 @@
 }
 
 /** See the module. */
-export class Parking {
-  readonly #byId = new Map<string, Parked>();
-  readonly #byUpstream = new Map<string, Set<Parked>>();
-  readonly #ready = new Set<Parked>();
-  readonly #due = new TinyQueue<Parked>(
+export class AffinityQueue {
+  readonly #byAttemptId = new Map<string, DeferredEntry>();
+  readonly #byUpstream = new Map<string, Set<DeferredEntry>>();
+  readonly #ready = new Set<DeferredEntry>();
+  readonly #byDeadline = new TinyQueue<DeferredEntry>(
     [],
     (a, b) => a.untilMs - b.untilMs,
   );
 
-  park(entry: Entry, upstreamId: string, untilMs: number): void {
-    const parked: Parked = { entry, upstreamId, untilMs, state: "waiting" };
-    this.#byId.set(entry.request.attemptId, parked);
+  add(entry: QueueEntry, upstreamId: string, untilMs: number): void {
+    const deferred: DeferredEntry = {
+      entry,
+      upstreamId,
+      untilMs,
+      state: "waiting",
+    };
+    this.#byAttemptId.set(entry.request.attemptId, deferred);
     let waiting = this.#byUpstream.get(upstreamId);
     if (!waiting) this.#byUpstream.set(upstreamId, waiting = new Set());
-    waiting.add(parked);
-    this.#due.push(parked);
+    waiting.add(deferred);
+    this.#byDeadline.push(deferred);
   }
 
   /** Upstreams that requests wait for. */
-  upstreams(): string[] {
+  upstreamIds(): string[] {
     return [...this.#byUpstream.keys()];
   }
-  countAt(upstreamId: string): number {
+  countFor(upstreamId: string): number {
     return this.#byUpstream.get(upstreamId)?.size ?? 0;
   }
   /** The one that has waited longest for this upstream. */
-  firstAt(upstreamId: string): Entry | undefined {
+  firstFor(upstreamId: string): QueueEntry | undefined {
     const [first] = this.#byUpstream.get(upstreamId) ?? [];
     return first?.entry;
   }
 
   /** Those that waited long enough and now take any place, oldest first. */
-  ready(nowMs: number): Entry[] {
+  readyEntries(nowMs: number): QueueEntry[] {
     for (;;) {
-      const next = this.#due.peek();
+      const next = this.#byDeadline.peek();
       if (!next || next.untilMs > nowMs) break;
-      this.#due.pop();
+      this.#byDeadline.pop();
       if (next.state !== "waiting") continue;
-      this.#leave(next);
+      this.#removeWaiting(next);
       next.state = "ready";
       this.#ready.add(next);
     }
-    return [...this.#ready].map((parked) => parked.entry);
+    return [...this.#ready].map((deferred) => deferred.entry);
   }
 
   remove(attemptId: string): void {
-    const parked = this.#byId.get(attemptId);
-    if (!parked) return;
-    this.#byId.delete(attemptId);
-    this.#ready.delete(parked);
-    this.#leave(parked);
-    parked.state = "gone";
+    const deferred = this.#byAttemptId.get(attemptId);
+    if (!deferred) return;
+    this.#byAttemptId.delete(attemptId);
+    this.#ready.delete(deferred);
+    this.#removeWaiting(deferred);
+    deferred.state = "gone";
   }
 
-  #leave(parked: Parked): void {
-    const waiting = this.#byUpstream.get(parked.upstreamId);
-    waiting?.delete(parked);
-    if (waiting?.size === 0) this.#byUpstream.delete(parked.upstreamId);
+  #removeWaiting(deferred: DeferredEntry): void {
+    const waiting = this.#byUpstream.get(deferred.upstreamId);
+    waiting?.delete(deferred);
+    if (waiting?.size === 0) this.#byUpstream.delete(deferred.upstreamId);
   }
 }
--- a/src/decisions/parts_test.ts
+++ b/src/decisions/parts_test.ts
@@ -1,15 +1,15 @@
 import fc from "fast-check";
 import { Table, type TableRow, tableRow } from "../agreement/mod.ts";
 import { describe, it } from "../base/describe.ts";
-import { WaitBias } from "./admission.ts";
+import { WaitCorrection } from "./admission.ts";
 import { FairQueue } from "./fair_queue.ts";
 import { Health } from "./health.ts";
-import { homeWeights, limitPart } from "./limit_parts.ts";
-import { LimitBook } from "./limits.ts";
+import { computeHomeWeights, computeLimitPart } from "./limit_parts.ts";
+import { Limiter } from "./limits.ts";
 import { mayRetry, RetryBudget } from "./retry.ts";
-import { chooseRegion, ShiftLedger, type ShiftView } from "./shift.ts";
-import { Usage } from "./usage.ts";
-import { WarmSet } from "./warm.ts";
+import { chooseRegion, ShiftCounts, type ShiftView } from "./shift.ts";
+import { RecentUsage } from "./usage.ts";
+import { CachedPrefixes } from "./warm.ts";
 
 function tableOf(...rows: object[]): Table {
   const parsed = rows.map((row) => tableRow.parse(row));
@@ -59,7 +59,7 @@
           queue.skip();
           queue.restore();
         } else if (any) {
-          if (type === "take") queue.take(any);
+          if (type === "take") queue.takeOutOfTurn(any);
           else queue.remove(any);
           live.delete(any.value);
         }
@@ -106,43 +106,50 @@
   // workspace would spend it once in each.
   it("the parts of all leads never add up to more than the limit", (t) => {
     const row = table.workspace("road")!;
-    const weights = homeWeights(table);
+    const weights = computeHomeWeights(table);
     let sum = 0;
     for (const service of ["plan", "ledger"]) {
       for (const region of ["agadir", "marrakech"]) {
-        sum += limitPart(table, row, { service, region, pools: 1 }, weights);
+        sum += computeLimitPart(
+          table,
+          row,
+          { service, region, pools: 1 },
+          weights,
+        );
       }
     }
     t.true(sum <= 1 + 1e-9);
   });
 
   it("no sixty minutes cost more than the limit", (t) => {
-    const place = { service: "plan", region: "agadir", pools: 1 };
-    const book = new LimitBook(table, place);
-    book.configure(table, place, 0);
-    const use = { workTokens: 1, microcents: 5 };
+    const scope = { service: "plan", region: "agadir", pools: 1 };
+    const limiter = new Limiter(table, scope);
+    limiter.configure(table, scope, 0);
+    const cost = { workTokens: 1, microcents: 5 };
     const spends: number[] = [];
     for (let nowMs = 0; nowMs < 3 * 3_600_000; nowMs += 2000) {
-      if (book.refusal("flour", use, nowMs)) continue;
-      book.take("flour", use, nowMs);
-      book.release("flour", use, use);
+      if (limiter.findRefusal("flour", cost, nowMs)) continue;
+      limiter.charge("flour", cost, nowMs);
+      limiter.release("flour", cost, cost);
       spends.push(nowMs);
     }
     t.true(spends.length > 300);
     for (const from of spends) {
       const hour = spends.filter((s) => s >= from && s < from + 3_600_000);
-      t.true(hour.length * use.microcents <= 1200 / 2 + use.microcents);
+      t.true(hour.length * cost.microcents <= 1200 / 2 + cost.microcents);
     }
   });
 
   it("an edit hands out no second burst", (t) => {
-    const place = { service: "plan", region: "agadir", pools: 1 };
-    const book = new LimitBook(table, place);
-    book.configure(table, place, 0);
-    const use = { workTokens: 1, microcents: 50 };
-    while (!book.refusal("flour", use, 0)) book.take("flour", use, 0);
-    book.configure(table, place, 0);
-    t.is(book.refusal("flour", use, 0)?.code, "spendExhausted");
+    const scope = { service: "plan", region: "agadir", pools: 1 };
+    const limiter = new Limiter(table, scope);
+    limiter.configure(table, scope, 0);
+    const cost = { workTokens: 1, microcents: 50 };
+    while (!limiter.findRefusal("flour", cost, 0)) {
+      limiter.charge("flour", cost, 0);
+    }
+    limiter.configure(table, scope, 0);
+    t.is(limiter.findRefusal("flour", cost, 0)?.code, "spendExhausted");
   });
 });
 
@@ -168,7 +175,7 @@
     const budget = new RetryBudget(0);
     let retries = 0;
     for (let i = 0; i < 1000; i++) {
-      budget.firstAttempt();
+      budget.recordFirstAttempt();
       if (budget.tryTake(0)) retries++;
     }
     t.true(retries <= 132);
@@ -203,44 +210,44 @@
     deadlineMs: 8000,
     nowMs: 0,
   };
-  const far = {
+  const remote = {
     region: "marrakech",
     linkMs: 40,
     predictedWaitMs: 0,
     takesIn: true,
     seenAtMs: 0,
   };
-  const sent = (more: Partial<ShiftView>, other = far) =>
-    chooseRegion({ ...view, ...more }, [other], new ShiftLedger())?.region;
+  const choose = (more: Partial<ShiftView>, region = remote) =>
+    chooseRegion({ ...view, ...more }, [region], new ShiftCounts())?.region;
 
   it("goes where it is sooner", (t) => {
-    t.is(sent({}), "marrakech");
+    t.is(choose({}), "marrakech");
   });
   it("never leaves home if bound, or unknown, or sent here", (t) => {
-    t.is(sent({ workspace: { ...view.workspace!, bound: true } }), undefined);
-    t.is(sent({ workspace: undefined }), undefined);
-    t.is(sent({ sentFrom: "casablanca" }), undefined);
-    t.is(sent({ homeMs: Infinity, workspace: undefined }), undefined);
+    t.is(choose({ workspace: { ...view.workspace!, bound: true } }), undefined);
+    t.is(choose({ workspace: undefined }), undefined);
+    t.is(choose({ sentFrom: "casablanca" }), undefined);
+    t.is(choose({ homeMs: Infinity, workspace: undefined }), undefined);
   });
   it("goes only where the table, the link and the receiver allow", (t) => {
     const traffic = { ...view.traffic!, mayGoTo: [] };
-    t.is(sent({ traffic }), undefined);
-    t.is(sent({}, { ...far, takesIn: false }), undefined);
-    t.is(sent({ nowMs: 10_000, deadlineMs: 20_000 }), undefined);
-    t.is(sent({}, { ...far, linkMs: 4000 }), undefined);
+    t.is(choose({ traffic }), undefined);
+    t.is(choose({}, { ...remote, takesIn: false }), undefined);
+    t.is(choose({ nowMs: 10_000, deadlineMs: 20_000 }), undefined);
+    t.is(choose({}, { ...remote, linkMs: 4000 }), undefined);
   });
   it("keeps the share sent away under its limit", (t) => {
-    const ledger = new ShiftLedger();
+    const counts = new ShiftCounts();
     const limited = {
       ...view,
       traffic: { ...view.traffic!, awayShareLimit: 0.1 },
     };
     let count = 0;
     for (let i = 0; i < 200; i++) {
-      ledger.arrived(0);
-      const to = chooseRegion(limited, [{ ...far, seenAtMs: -i }], ledger);
+      counts.recordArrival(0);
+      const to = chooseRegion(limited, [{ ...remote, seenAtMs: -i }], counts);
       if (!to) continue;
-      ledger.sent(to, 0);
+      counts.recordSent(to, 0);
       count++;
     }
     t.true(count > 10 && count <= 21);
@@ -250,35 +257,37 @@
 describe("judgements", () => {
   it("a returning upstream is ramped", (t) => {
     const health = new Health(16);
-    health.setAside(0);
+    health.eject(0);
     t.is(health.limit(500), 0);
-    t.true(health.probeDue(1000));
+    t.true(health.isProbeDue(1000));
     health.restore(1000);
     t.is(health.limit(1000), 2);
     t.is(health.limit(2000), 8);
     t.is(health.limit(3000), 16);
   });
   it("only one workspace can be far over its share, and only beside others", (t) => {
-    const usage = new Usage();
+    const usage = new RecentUsage();
     usage.add("hog", 1, 1000, 0);
-    t.false(usage.isOver("hog", 0));
+    t.false(usage.isOverShare("hog", 0));
     for (let i = 0; i < 8; i++) usage.add(`w${i}`, 1, 20, 0);
-    t.true(usage.isOver("hog", 0));
-    t.false(usage.isOver("w1", 0));
-    t.false(usage.isOver("hog", 60_000));
+    t.true(usage.isOverShare("hog", 0));
+    t.false(usage.isOverShare("w1", 0));
+    t.false(usage.isOverShare("hog", 60_000));
   });
   it("belief in a prefix is bounded and ends", (t) => {
-    const warm = new WarmSet();
+    const warm = new CachedPrefixes();
     warm.touch([1, 2, 3], 0);
-    t.is(warm.matched([1, 2, 3, 4], 10), 3);
-    t.is(warm.matched([9, 2], 10), 0);
-    t.is(warm.matched([1, 2, 3], 400_000), 0);
+    t.is(warm.countMatched([1, 2, 3, 4], 10), 3);
+    t.is(warm.countMatched([9, 2], 10), 0);
+    t.is(warm.countMatched([1, 2, 3], 400_000), 0);
     warm.touch(Array.from({ length: 5000 }, (_, i) => i + 10), 0);
     t.true(warm.size <= 2048);
   });
   it("the correction of waits follows their high quantile", (t) => {
-    const bias = new WaitBias();
-    for (let i = 0; i < 2000; i++) bias.learn(4000, i % 4 === 0 ? 8000 : 4000);
-    t.true(bias.corrected(1000) > 1500);
+    const correction = new WaitCorrection();
+    for (let i = 0; i < 2000; i++) {
+      correction.recordWait(4000, i % 4 === 0 ? 8000 : 4000);
+    }
+    t.true(correction.correct(1000) > 1500);
   });
 });
--- a/src/decisions/pool.ts
+++ b/src/decisions/pool.ts
@@ -6,16 +6,16 @@
 
 import type { ServiceRow, Table, UpstreamRow } from "../agreement/mod.ts";
 import { Random } from "../base/mod.ts";
-import { type Arrival, Gate } from "./gate.ts";
-import { type Changed, Dispatcher } from "./dispatcher.ts";
-import { Exchange } from "./exchange.ts";
+import { AdmissionControl, type AdmissionResult } from "./gate.ts";
+import { type ChangedUpstreams, Dispatcher } from "./dispatcher.ts";
+import { RegionRouter } from "./exchange.ts";
 import {
-  type FarRegion,
   type HeldSlot,
   type LoadReport,
   type PoolDigest,
   type PoolOptions,
   type PoolOutput,
+  type RemoteRegion,
   SLOT_TTL_MS,
 } from "./pool_messages.ts";
 import type { SlotReport, SlotRequest } from "./slots.ts";
@@ -24,16 +24,21 @@
 export class Pool {
   readonly options: PoolOptions;
   readonly #dispatcher: Dispatcher;
-  readonly #exchange: Exchange;
-  readonly #gate: Gate;
+  readonly #regionRouter: RegionRouter;
+  readonly #admission: AdmissionControl;
   #service?: ServiceRow;
 
   constructor(options: PoolOptions) {
     this.options = options;
     const random = new Random(options.seed);
     this.#dispatcher = new Dispatcher(random);
-    this.#exchange = new Exchange(options, this.#dispatcher);
-    this.#gate = new Gate(options, this.#dispatcher, this.#exchange, random);
+    this.#regionRouter = new RegionRouter(options, this.#dispatcher);
+    this.#admission = new AdmissionControl(
+      options,
+      this.#dispatcher,
+      this.#regionRouter,
+      random,
+    );
   }
 
   /** Takes the rows in force: the pool's upstreams and whatever else of the table decides. */
@@ -43,8 +48,8 @@
     nowMs: number,
   ): PoolOutput[] {
     this.#dispatcher.configure(upstreams, nowMs);
-    this.#gate.configure(table, nowMs);
-    this.#exchange.configure(table);
+    this.#admission.configure(table, nowMs);
+    this.#regionRouter.configure(table);
     this.#service = table.service(this.options.service);
     return this.tick(nowMs);
   }
@@ -54,18 +59,18 @@
     const granted = this.#dispatcher.grantOf(request.attemptId);
     if (granted) return [granted];
     if (this.#dispatcher.lanes.has(request.attemptId)) return [];
-    const arrival: Arrival = this.#gate.arrive(request, nowMs);
+    const arrival: AdmissionResult = this.#admission.admit(request, nowMs);
     if (arrival.type === "answered") return [arrival.output];
-    this.#dispatcher.push(arrival.entry, nowMs);
-    return this.#settle([], nowMs);
+    this.#dispatcher.enqueue(arrival.entry, nowMs);
+    return this.#dispatch([], nowMs);
   }
 
   /** An attempt got its first token or ended: learns from it, and frees its slot at the end. */
   report(report: SlotReport, nowMs: number): PoolOutput[] {
     const ended = this.#dispatcher.report(report, nowMs);
-    if (!ended) return this.#settle([], nowMs);
-    this.#gate.release(ended, report.outputTokens);
-    return this.#settle([ended.upstream.row.id], nowMs);
+    if (!ended) return this.#dispatch([], nowMs);
+    this.#admission.releaseHeld(ended, report.outputTokens);
+    return this.#dispatch([ended.upstream.row.id], nowMs);
   }
 
   /** Holds these slots for another {@link SLOT_TTL_MS}; answers with those it does not know. */
@@ -77,42 +82,42 @@
   /** The caller has gone: forgets a queued attempt or frees its slot. */
   cancel(attemptId: string, nowMs: number): PoolOutput[] {
     const queued = this.#dispatcher.lanes.remove(attemptId);
-    if (queued) this.#gate.forget(queued);
-    const held = this.#dispatcher.giveUp(attemptId, nowMs);
-    if (held) this.#gate.release(held, 0);
-    return this.#settle("all", nowMs);
+    if (queued) this.#admission.releaseQueued(queued);
+    const held = this.#dispatcher.cancel(attemptId, nowMs);
+    if (held) this.#admission.releaseHeld(held, 0);
+    return this.#dispatch("all", nowMs);
   }
 
   /** An upstream's own report of its load. */
   observe(load: LoadReport, nowMs: number): PoolOutput[] {
     this.#dispatcher.observe(load, nowMs);
-    return this.#settle("all", nowMs);
+    return this.#dispatch("all", nowMs);
   }
 
   /** What other regions say; replaces what they said before. */
-  setFar(regions: readonly FarRegion[], _nowMs: number): void {
-    this.#exchange.setFar(regions);
+  setRemoteRegions(regions: readonly RemoteRegion[], _nowMs: number): void {
+    this.#regionRouter.setRemoteRegions(regions);
   }
 
   /** A new lead learns what entry VMs hold; it starts cautious until it has heard them. */
   adopt(held: readonly HeldSlot[], nowMs: number): PoolOutput[] {
     for (const slot of held) this.#dispatcher.adopt(slot, nowMs);
-    return this.#settle("all", nowMs);
+    return this.#dispatch("all", nowMs);
   }
 
   /** Time passes: expired slots come back, late requests are refused, queued ones are placed. Every 50 ms or so. */
   tick(nowMs: number): PoolOutput[] {
     for (const held of this.#dispatcher.expire(nowMs)) {
-      this.#gate.release(held, held.expectedOutputTokens);
+      this.#admission.releaseHeld(held, held.expectedOutputTokens);
     }
-    this.#dispatcher.pass(nowMs);
-    const orders = this.#dispatcher.release(this.#service, nowMs);
-    return [...orders, ...this.#settle("all", nowMs)];
+    this.#dispatcher.advance(nowMs);
+    const orders = this.#dispatcher.scale(this.#service, nowMs);
+    return [...orders, ...this.#dispatch("all", nowMs)];
   }
 
   /** What other regions are told. */
   digest(nowMs: number): PoolDigest {
-    return this.#exchange.digest(nowMs);
+    return this.#regionRouter.digest(nowMs);
   }
 
   /** The pool's state for people. */
@@ -121,8 +126,8 @@
   }
 
   // Answers are given in the step in which they become known: a caller told early can still go elsewhere.
-  #settle(changed: Changed, nowMs: number): PoolOutput[] {
-    const refused = this.#gate.refuseLate(nowMs);
+  #dispatch(changed: ChangedUpstreams, nowMs: number): PoolOutput[] {
+    const refused = this.#admission.refuseLate(nowMs);
     return [...refused, ...this.#dispatcher.dispatch(changed, nowMs)];
   }
 }
--- a/src/decisions/pool_messages.ts
+++ b/src/decisions/pool_messages.ts
@@ -28,7 +28,7 @@
 }
 
 /** What another region's digest says of this service there. */
-export interface FarRegion {
+export interface RemoteRegion {
   readonly region: string;
   /** One-way delay of the link. */
   readonly linkMs: number;
@@ -41,7 +41,7 @@
 
 /** What a region tells others of one of its pools. */
 export interface PoolDigest {
-  /** See {@link FarRegion.predictedWaitMs}; {@link NEVER_MS} if no upstream can take anything. */
+  /** See {@link RemoteRegion.predictedWaitMs}; {@link NEVER_MS} if no upstream can take anything. */
   readonly predictedWaitMs: number;
   readonly takesIn: boolean;
   readonly queued: number;
--- a/src/decisions/pool_test.ts
+++ b/src/decisions/pool_test.ts
@@ -22,7 +22,7 @@
   { kind: "workspace", id: "road", home: "agadir", bound: false },
 ];
 
-function upstream(id: string, more = {}) {
+function upstreamRow(id: string, more = {}) {
   return {
     kind: "upstream",
     id,
@@ -46,10 +46,10 @@
   return pool;
 }
 
-let made = 0;
-function ask(more: Partial<SlotRequest> = {}): SlotRequest {
+let attemptCount = 0;
+function slotRequest(more: Partial<SlotRequest> = {}): SlotRequest {
   return {
-    attemptId: `a${made++}`,
+    attemptId: `a${attemptCount++}`,
     service: "plan",
     workspace: "road",
     priority: 0,
@@ -64,7 +64,7 @@
   };
 }
 
-function only(t: ExecutionContext, outputs: PoolOutput[]): SlotAnswer {
+function onlyAnswer(t: ExecutionContext, outputs: PoolOutput[]): SlotAnswer {
   t.is(outputs.length, 1);
   const [output] = outputs;
   if (output.type !== "answer") throw new Error("not an answer");
@@ -75,17 +75,17 @@
   return answer.type === "refuse" ? answer.failure.code : answer.type;
 }
 
-const LATER = 2000;
+const AFTER_CAUTION_MS = 2000;
 
 describe("pool", () => {
   describe("slots", () => {
     it("grants no more than there are and the rest when one comes back", (t) => {
-      const pool = poolOf(tableOf(upstream("u1")));
-      const first = ask();
-      t.is(only(t, pool.request(first, LATER)).type, "grant");
-      pool.request(ask(), LATER);
-      const third = ask();
-      t.deepEqual(pool.request(third, LATER), []);
+      const pool = poolOf(tableOf(upstreamRow("u1")));
+      const first = slotRequest();
+      t.is(onlyAnswer(t, pool.request(first, AFTER_CAUTION_MS)).type, "grant");
+      pool.request(slotRequest(), AFTER_CAUTION_MS);
+      const third = slotRequest();
+      t.deepEqual(pool.request(third, AFTER_CAUTION_MS), []);
       const outputs = pool.report({
         attemptId: first.attemptId,
         service: "plan",
@@ -93,84 +93,96 @@
         outcome: "done",
         outputTokens: 50,
         totalMs: 400,
-      }, LATER + 400);
+      }, AFTER_CAUTION_MS + 400);
       t.is(outputs.length, 1);
-      t.is(only(t, outputs).type, "grant");
+      t.is(onlyAnswer(t, outputs).type, "grant");
     });
 
     // The caller of a dead entry VM is gone, and so is whoever would free its slot. Without an end by time the
     // upstream would stay full for ever and later callers be refused.
     it("come back when nobody renews them", (t) => {
-      const pool = poolOf(tableOf(upstream("u1", { slots: 1 })));
-      const lost = ask();
-      pool.request(lost, LATER);
-      pool.request(ask(), LATER);
-      t.deepEqual(pool.renew([lost.attemptId], LATER + 5000), []);
-      t.deepEqual(pool.tick(LATER + 7000), []);
-      t.is(only(t, pool.tick(LATER + 11_001)).type, "grant");
-      t.deepEqual(pool.renew([lost.attemptId], LATER + 11_001), [
+      const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
+      const lost = slotRequest();
+      pool.request(lost, AFTER_CAUTION_MS);
+      pool.request(slotRequest(), AFTER_CAUTION_MS);
+      t.deepEqual(pool.renew([lost.attemptId], AFTER_CAUTION_MS + 5000), []);
+      t.deepEqual(pool.tick(AFTER_CAUTION_MS + 7000), []);
+      t.is(onlyAnswer(t, pool.tick(AFTER_CAUTION_MS + 11_001)).type, "grant");
+      t.deepEqual(pool.renew([lost.attemptId], AFTER_CAUTION_MS + 11_001), [
         lost.attemptId,
       ]);
     });
 
     it("stay with a repeated request", (t) => {
-      const pool = poolOf(tableOf(upstream("u1")));
-      const request = ask();
-      const first = only(t, pool.request(request, LATER));
-      t.deepEqual(only(t, pool.request(request, LATER)), first);
+      const pool = poolOf(tableOf(upstreamRow("u1")));
+      const request = slotRequest();
+      const first = onlyAnswer(t, pool.request(request, AFTER_CAUTION_MS));
+      t.deepEqual(
+        onlyAnswer(t, pool.request(request, AFTER_CAUTION_MS)),
+        first,
+      );
     });
 
     it("adopted by a new lead count as taken", (t) => {
-      const pool = poolOf(tableOf(upstream("u1", { slots: 1 })));
+      const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
       pool.adopt([{
         attemptId: "old",
         upstreamId: "u1",
-        expiresAtMs: LATER + 6000,
+        expiresAtMs: AFTER_CAUTION_MS + 6000,
         promptTokens: 1,
         expectedOutputTokens: 1,
         workspace: "road",
-      }], LATER);
-      t.deepEqual(pool.request(ask(), LATER), []);
-      t.is(only(t, pool.cancel("old", LATER)).type, "grant");
+      }], AFTER_CAUTION_MS);
+      t.deepEqual(pool.request(slotRequest(), AFTER_CAUTION_MS), []);
+      t.is(onlyAnswer(t, pool.cancel("old", AFTER_CAUTION_MS)).type, "grant");
     });
 
     it("of a leaving upstream are not given out", (t) => {
-      const pool = poolOf(tableOf(upstream("u1", { state: "leaving" })));
-      const answer = only(t, pool.request(ask(), LATER));
+      const pool = poolOf(tableOf(upstreamRow("u1", { state: "leaving" })));
+      const answer = onlyAnswer(
+        t,
+        pool.request(slotRequest(), AFTER_CAUTION_MS),
+      );
       t.is(codeOf(answer), "noUpstream");
     });
   });
 
   describe("refusal", () => {
     it("comes at once when the start would miss the deadline", (t) => {
-      const pool = poolOf(tableOf(upstream("u1", { slots: 1 })));
+      const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
       for (let i = 0; i < 10; i++) {
-        pool.request(ask({ expectedOutputTokens: 2000 }), LATER);
+        pool.request(
+          slotRequest({ expectedOutputTokens: 2000 }),
+          AFTER_CAUTION_MS,
+        );
       }
-      const answer = only(
+      const answer = onlyAnswer(
         t,
         pool.request(
-          ask({ deadlineMs: LATER + 300, expectedOutputTokens: 2000 }),
-          LATER,
+          slotRequest({
+            deadlineMs: AFTER_CAUTION_MS + 300,
+            expectedOutputTokens: 2000,
+          }),
+          AFTER_CAUTION_MS,
         ),
       );
       t.is(codeOf(answer), "wouldMissDeadline");
       if (answer.type !== "refuse") return t.fail();
       t.is(answer.failure.ran, "no");
-      t.true(answer.failure.retryAtMs! > LATER);
+      t.true(answer.failure.retryAtMs! > AFTER_CAUTION_MS);
     });
 
     it("bounds the queue and leaves room in it for another workspace", (t) => {
-      const pool = poolOf(tableOf(upstream("u1", { slots: 1 })));
-      const deadlineMs = LATER + 1e7;
+      const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
+      const deadlineMs = AFTER_CAUTION_MS + 1e7;
       const answers = Array.from(
         { length: 40 },
-        () => pool.request(ask({ deadlineMs }), LATER),
+        () => pool.request(slotRequest({ deadlineMs }), AFTER_CAUTION_MS),
       ).flat();
       const codes = answers.map((o) => o.type === "answer" && codeOf(o.answer));
       t.true(codes.includes("queueFull"));
-      const other = ask({ deadlineMs, workspace: "convoy" });
-      t.deepEqual(pool.request(other, LATER), []);
+      const other = slotRequest({ deadlineMs, workspace: "convoy" });
+      t.deepEqual(pool.request(other, AFTER_CAUTION_MS), []);
     });
   });
 });
--- a/src/decisions/retry.ts
+++ b/src/decisions/retry.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Ran } from "../base/mod.ts";
-import { Bucket } from "./bucket.ts";
+import { TokenBucket } from "./bucket.ts";
 
 /**
  * Retries per first attempt. When an upstream dies, a retry saves its requests; when all are overloaded, retries are
@@ -15,17 +15,21 @@
 /** Retries saved up: the requests in flight at one upstream that dies are retried at once. */
 const RETRY_BURST = 32;
 /** Retries a second allowed without any traffic, so that a quiet service still survives a failure. */
-const RETRY_TRICKLE_PER_S = 1;
+const MIN_RETRIES_PER_S = 1;
 
 /** The retry budget of a pool. */
 export class RetryBudget {
-  readonly #bucket: Bucket;
+  readonly #bucket: TokenBucket;
 
   constructor(nowMs: number) {
-    this.#bucket = new Bucket(RETRY_TRICKLE_PER_S / 1000, RETRY_BURST, nowMs);
+    this.#bucket = new TokenBucket(
+      MIN_RETRIES_PER_S / 1000,
+      RETRY_BURST,
+      nowMs,
+    );
   }
 
-  firstAttempt(): void {
+  recordFirstAttempt(): void {
     this.#bucket.refund(RETRY_SHARE);
   }
 
@@ -54,14 +58,14 @@
 }
 
 /** Attempts of one request in all: after three upstreams the fault is likely the request's. */
-export const MOST_ATTEMPTS = 3;
+export const MAX_ATTEMPTS = 3;
 
 /**
  * Whether the request may be attempted again elsewhere. Never after the caller got a part of an answer, since a second
  * answer would not continue the first; never if a call that must run at most once may have run.
  */
 export function mayRetry(attempt: FailedAttempt, nowMs: number): boolean {
-  if (attempt.attempts >= MOST_ATTEMPTS) return false;
+  if (attempt.attempts >= MAX_ATTEMPTS) return false;
   if (nowMs >= attempt.deadlineMs) return false;
   if (attempt.answerBytes > 0) return false;
   return !attempt.atMostOnce || attempt.ran === "no";
--- a/src/decisions/slot_book.ts
+++ b/src/decisions/slot_book.ts
@@ -5,13 +5,13 @@
  */
 
 import TinyQueue from "tinyqueue";
-import type { Held } from "./upstream.ts";
+import type { HeldAttempt } from "./upstream.ts";
 
 /** See the module. An entry VM that dies renews nothing, so its slots come back without anyone noticing its death. */
-export class SlotBook {
-  readonly #held = new Map<string, Held>();
+export class GrantedSlots {
+  readonly #held = new Map<string, HeldAttempt>();
   // An entry may stand under an old deadline; it is put back under its new one when the old one comes.
-  readonly #expiry = new TinyQueue<{ atMs: number; held: Held }>(
+  readonly #expiry = new TinyQueue<{ atMs: number; held: HeldAttempt }>(
     [],
     (a, b) => a.atMs - b.atMs,
   );
@@ -19,14 +19,14 @@
   get size(): number {
     return this.#held.size;
   }
-  get(attemptId: string): Held | undefined {
+  get(attemptId: string): HeldAttempt | undefined {
     return this.#held.get(attemptId);
   }
-  add(held: Held): void {
+  add(held: HeldAttempt): void {
     this.#held.set(held.attemptId, held);
     this.#expiry.push({ atMs: held.expiresAtMs, held });
   }
-  remove(attemptId: string): Held | undefined {
+  remove(attemptId: string): HeldAttempt | undefined {
     const held = this.#held.get(attemptId);
     this.#held.delete(attemptId);
     return held;
@@ -39,8 +39,8 @@
     return true;
   }
   /** Takes out the slots that nobody renewed. */
-  removeExpired(nowMs: number): Held[] {
-    const expired: Held[] = [];
+  removeExpired(nowMs: number): HeldAttempt[] {
+    const expired: HeldAttempt[] = [];
     for (;;) {
       const next = this.#expiry.peek();
       if (!next || next.atMs > nowMs) return expired;
@@ -55,7 +55,7 @@
       expired.push(held);
     }
   }
-  values(): IterableIterator<Held> {
+  values(): IterableIterator<HeldAttempt> {
     return this.#held.values();
   }
 }
--- a/src/decisions/waits.ts
+++ b/src/decisions/waits.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-import { DrainRate, WaitBias } from "./admission.ts";
-import { type Entry, type LaneName, LANES } from "./lane_entry.ts";
+import { DrainRate, WaitCorrection } from "./admission.ts";
+import { type LaneName, LANES, type QueueEntry } from "./lane_entry.ts";
 import type { Lanes } from "./lanes.ts";
 
 /** A forecast wait, and the same before it is corrected. */
@@ -15,10 +15,13 @@
 }
 
 /** See the module. */
-export class Waits {
+export class WaitForecaster {
   readonly #lanes: Lanes;
   readonly #rates = { short: new DrainRate(), long: new DrainRate() };
-  readonly #bias = { short: new WaitBias(), long: new WaitBias() };
+  readonly #corrections = {
+    short: new WaitCorrection(),
+    long: new WaitCorrection(),
+  };
   #nominalPerMs = 0;
 
   constructor(lanes: Lanes) {
@@ -26,34 +29,37 @@
   }
 
   /** Time passes with upstreams of this rate at hand. */
-  pass(nominalPerMs: number, nowMs: number): void {
+  advance(nominalPerMs: number, nowMs: number): void {
     this.#nominalPerMs = nominalPerMs;
     for (const lane of LANES) {
-      const busy = this.#lanes.sizeOf(lane) > 0;
-      this.#rates[lane].pass(nominalPerMs, busy, nowMs);
+      const hasQueue = this.#lanes.sizeOf(lane) > 0;
+      this.#rates[lane].advance(nominalPerMs, hasQueue, nowMs);
     }
   }
 
   /** An entry left the queue for an upstream. */
-  granted(entry: Entry, nowMs: number): void {
-    this.ended(entry, nowMs);
-    this.#rates[entry.lane].granted(entry.work);
+  recordGrant(entry: QueueEntry, nowMs: number): void {
+    this.recordWait(entry, nowMs);
+    this.#rates[entry.lane].recordGrant(entry.work);
   }
 
   /** An entry's wait is over, well or not. */
-  ended(entry: Entry, nowMs: number): void {
+  recordWait(entry: QueueEntry, nowMs: number): void {
     if (entry.rawWaitMs <= 0) return;
-    this.#bias[entry.lane].learn(entry.rawWaitMs, nowMs - entry.queuedAtMs);
+    this.#corrections[entry.lane].recordWait(
+      entry.rawWaitMs,
+      nowMs - entry.queuedAtMs,
+    );
   }
 
   /** Time in a lane behind this much work. */
   forecast(lane: LaneName, work: number): WaitForecast {
     const rawWaitMs = this.#drainMs(lane, work);
-    return { rawWaitMs, waitMs: this.#bias[lane].corrected(rawWaitMs) };
+    return { rawWaitMs, waitMs: this.#corrections[lane].correct(rawWaitMs) };
   }
 
   /** Time until all that is queued now is started. */
-  emptyMs(): number {
+  queueDrainMs(): number {
     const waits = LANES.map((lane) =>
       this.#drainMs(lane, this.#lanes.workOf(lane))
     );
@@ -66,6 +72,6 @@
   }
 
   #drainMs(lane: LaneName, work: number): number {
-    return work / this.#rates[lane].perMs(this.#nominalPerMs);
+    return work / this.#rates[lane].workPerMs(this.#nominalPerMs);
   }
 }
--- a/src/decisions/warm.ts
+++ b/src/decisions/warm.ts
@@ -5,35 +5,35 @@
  */
 
 /** Prefix blocks remembered for one upstream at the start and at most, some 200 KB; and at least. */
-const MOST_BLOCKS = 2048;
-const LEAST_BLOCKS = 64;
+const MAX_BLOCKS = 2048;
+const MIN_BLOCKS = 64;
 /**
  * Factors of the bound when a belief proves wrong, and when one proves right: it settles where one in twenty is wrong,
  * near what the engine's cache holds, which nobody tells the lead.
  */
-const SHRINK = 0.9;
-const GROW = 1.005;
+const MISS_FACTOR = 0.9;
+const HIT_FACTOR = 1.005;
 /** A belief not renewed for this long counts nothing: the engine has evicted it, or will soon. */
-const BELIEF_MS = 300_000;
+const PREFIX_TTL_MS = 300_000;
 
 /**
  * The prefixes placed on one upstream, least recently used first. The lead sees no eviction, so belief ends by age and
  * by the bound, and is taken back when a first token comes as late as a cold one would.
  */
-export class WarmSet {
+export class CachedPrefixes {
   readonly #seenAtMs = new Map<number, number>();
-  #bound = MOST_BLOCKS;
+  #maxBlocks = MAX_BLOCKS;
 
   /** Leading blocks of the prompt believed cached. A prefix implies its own prefixes, so the search is binary. */
-  matched(hashes: readonly number[], nowMs: number): number {
-    let least = 0;
-    let most = hashes.length;
-    while (least < most) {
-      const middle = (least + most + 1) >> 1;
-      if (this.#has(hashes[middle - 1], nowMs)) least = middle;
-      else most = middle - 1;
+  countMatched(hashes: readonly number[], nowMs: number): number {
+    let low = 0;
+    let high = hashes.length;
+    while (low < high) {
+      const middle = (low + high + 1) >> 1;
+      if (this.#isFresh(hashes[middle - 1], nowMs)) low = middle;
+      else high = middle - 1;
     }
-    return least;
+    return low;
   }
 
   /** The prompt was placed here: its blocks are, or will be, cached. Longest first, so that its tail is evicted first. */
@@ -46,14 +46,14 @@
   }
 
   /** A prompt believed warm turned out cold: it was evicted, and what was used before it surely was too. */
-  wasCold(): void {
-    this.#bound = Math.max(LEAST_BLOCKS, this.#bound * SHRINK);
+  recordMiss(): void {
+    this.#maxBlocks = Math.max(MIN_BLOCKS, this.#maxBlocks * MISS_FACTOR);
     this.#evict();
   }
 
   /** A prompt believed warm was warm. */
-  wasWarm(): void {
-    this.#bound = Math.min(MOST_BLOCKS, this.#bound * GROW);
+  recordHit(): void {
+    this.#maxBlocks = Math.min(MAX_BLOCKS, this.#maxBlocks * HIT_FACTOR);
   }
 
   /** How long ago a block was last placed here. */
@@ -72,13 +72,13 @@
 
   #evict(): void {
     for (const oldest of this.#seenAtMs.keys()) {
-      if (this.#seenAtMs.size <= this.#bound) break;
+      if (this.#seenAtMs.size <= this.#maxBlocks) break;
       this.#seenAtMs.delete(oldest);
     }
   }
 
-  #has(hash: number, nowMs: number): boolean {
+  #isFresh(hash: number, nowMs: number): boolean {
     const seenAtMs = this.#seenAtMs.get(hash);
-    return seenAtMs !== undefined && nowMs - seenAtMs < BELIEF_MS;
+    return seenAtMs !== undefined && nowMs - seenAtMs < PREFIX_TTL_MS;
   }
 }
--- a/src/decisions/work.ts
+++ b/src/decisions/work.ts
@@ -12,7 +12,7 @@
  * adds one token a pass, so counting both alike would let a workspace of short prompts and long answers take most of
  * an engine while it seems to use little. 5 is the ratio of the default rates in the table.
  */
-export const OUTPUT_COST = 5;
+export const OUTPUT_TOKEN_COST = 5;
 
 /** Least work of a request. Calls of plain services bring no tokens; at zero they would escape fairness and limits. */
 export const MIN_WORK_TOKENS = 64;
@@ -20,20 +20,23 @@
 /** The work of a request whose first `warmTokens` are cached, in prefill-equivalent tokens. */
 export function workTokens(
   size: Pick<SlotRequest, "promptTokens" | "expectedOutputTokens">,
-  warmTokens = 0,
+  cachedTokens = 0,
 ): number {
-  const prefill = Math.max(0, size.promptTokens - warmTokens);
+  const prefill = Math.max(0, size.promptTokens - cachedTokens);
   return Math.max(
     MIN_WORK_TOKENS,
-    prefill + size.expectedOutputTokens * OUTPUT_COST,
+    prefill + size.expectedOutputTokens * OUTPUT_TOKEN_COST,
   );
 }
 
 /** Tokens that a cached prefix of `matched` blocks saves; the blocks are taken as equal parts of the prompt. */
-export function warmTokens(request: SlotRequest, matched: number): number {
+export function cachedPrefixTokens(
+  request: SlotRequest,
+  matchedBlocks: number,
+): number {
   const blocks = request.prefixHashes.length;
   if (blocks === 0) return 0;
-  return Math.floor((request.promptTokens * matched) / blocks);
+  return Math.floor((request.promptTokens * matchedBlocks) / blocks);
 }
 
 /** Time an upstream of these rates needs to prefill that many tokens, alone and healthy. */
--- a/src/edge/context.ts
+++ b/src/edge/context.ts
@@ -7,7 +7,7 @@
 import type { Log } from "../kernel/mod.ts";
 import type { UpstreamClient } from "../adapters/mod.ts";
 import type { Clock } from "../base/mod.ts";
-import type { Port } from "../kernel/mod.ts";
+import type { TaskPort } from "../kernel/mod.ts";
 import type {
   ClaimsMessages,
   DirectoryMessages,
@@ -38,13 +38,13 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly upstreams: UpstreamClient;
-  readonly table: Port<TableMessages>;
-  readonly members: Port<MembersMessages>;
-  readonly slots: Port<SlotsMessages>;
-  readonly claims: Port<ClaimsMessages>;
-  readonly directory: Port<DirectoryMessages>;
-  readonly suspects: Port<SuspectsMessages>;
-  readonly metrics: Port<MetricsMessages>;
+  readonly table: TaskPort<TableMessages>;
+  readonly members: TaskPort<MembersMessages>;
+  readonly slots: TaskPort<SlotsMessages>;
+  readonly claims: TaskPort<ClaimsMessages>;
+  readonly directory: TaskPort<DirectoryMessages>;
+  readonly suspects: TaskPort<SuspectsMessages>;
+  readonly metrics: TaskPort<MetricsMessages>;
   /** A new id for an attempt, unlike any other's. */
   newAttemptId(): string;
 }
--- a/src/gateway/beliefs.ts
+++ b/src/gateway/beliefs.ts
@@ -11,32 +11,32 @@
 import {
   CONFIG_KEY,
   decodeConfig,
+  decodeEvacuationKey,
   decodeUpstream,
-  evacuatedDomain,
+  decodeUpstreamId,
+  hashApiKeys,
   OPERATOR_PREFIX,
-  sealEntry,
   UPSTREAM_PREFIX,
-  upstreamId,
 } from "../platform/mod.ts";
-import { Fleet, type GatewayConfig, isNewsOf } from "../routing/mod.ts";
+import { Fleet, type GatewayConfig, hasChanged } from "../routing/mod.ts";
 import type { Revisions } from "../region/mod.ts";
 import { type FollowedStore, Follower } from "./follower.ts";
 import type { News } from "./replica.ts";
 
 /** The two matters that are followed. */
-export type Matter = keyof Revisions;
+export type NewsTopic = keyof Revisions;
 
 /** What the beliefs service answers; its name is `beliefs`. */
-export type BeliefMessages = {
+export type StoreViewMessages = {
   /** What a VM lacks that has got to the revision `since` of the matter's news. */
   news: {
-    in: { readonly matter: Matter; readonly since: number };
+    in: { readonly matter: NewsTopic; readonly since: number };
     out: News;
   };
   /** What another VM told. */
   adopt: {
     in: {
-      readonly matter: Matter;
+      readonly matter: NewsTopic;
       readonly news: News;
       readonly from: string;
     };
@@ -44,65 +44,65 @@
   };
 };
 
-/** Options of {@link Beliefs}. */
-export interface BeliefOptions {
+/** Options of {@link StoreView}. */
+export interface StoreViewOptions {
   readonly store: FollowedStore;
   /** Region of each failure domain. */
   readonly failureDomains: Readonly<Record<string, string>>;
   /** Whether this VM asks the store what changes, for others of its region too. */
   readonly isReader: () => boolean;
   /** How long a question for changes of the configuration waits; a usual time if left out. */
-  readonly operatorWaitMs?: number;
+  readonly operatorPollWaitMs?: number;
 }
 
 /**
  * How long a question for changes of the configuration waits, usually. A connection that has gone silent is found only after
  * that, but another VM tells of a newer revision within a second.
  */
-const OPERATOR_WAIT_MS = 4_000;
+const OPERATOR_POLL_WAIT_MS = 4_000;
 /** The same for upstreams, which write about every second each, so that an answer comes at once. */
-const UPSTREAM_WAIT_MS = 1_000;
+const UPSTREAM_POLL_WAIT_MS = 1_000;
 /**
  * A reader whose last answer is older than this is taken for cut off by the others. Usual are 1.2 s of pause and some
  * tens of ms; its own call gives up only after three seconds.
  */
-const SERVED_MS = 2_500;
+const MAX_ANSWER_AGE_MS = 2_500;
 /**
  * Pause between questions about upstreams. Each upstream writes every 1.2 s; without a pause every write would cost every
  * VM a call. What is learnt late by this much must be within the time that leaving upstreams still serve, seconds.
  */
-const UPSTREAM_PAUSE_MS = 1_200;
+const UPSTREAM_POLL_PAUSE_MS = 1_200;
 /**
  * Entries that lapsed in an outage are back within two seconds of its end. Until then they are used on: without this
  * the end of each outage would leave no upstream at all for a second.
  */
-const RETURN_MS = 2_300;
+const LAPSED_GRACE_MS = 2_300;
 /** A lapsed entry is forgotten late by up to this much. */
-const SWEEP_MS = 500;
+const SWEEP_INTERVAL_MS = 500;
 /** A cold time that ends later by more than this is a new one, and no delay of the news of the old. */
-const COLD_AGAIN_MS = 1_000;
+const MIN_COLD_EXTENSION_MS = 1_000;
 
-/** See the module; {@link Beliefs.config} and {@link Beliefs.fleet} are read on each request. */
-export class Beliefs extends Task<BeliefMessages> {
+/** See the module; {@link StoreView.config} and {@link StoreView.fleet} are read on each request. */
+export class StoreView extends Task<StoreViewMessages> {
   readonly name = "beliefs";
   readonly fleet: Fleet;
-  readonly #options: BeliefOptions;
+  readonly #options: StoreViewOptions;
   readonly #evacuated = new Set<string>();
   /** Upstreams whose entry is gone but may come back, with the time until which they are kept. */
   readonly #lapsed = new Map<string, number>();
   #failureDomains: Readonly<Record<string, string>>;
   #config: GatewayConfig | undefined;
-  #followers!: Readonly<Record<Matter, Follower>>;
+  #followers!: Readonly<Record<NewsTopic, Follower>>;
   #clock!: Clock;
   #log!: Log;
   #timer: Timer | undefined;
 
-  protected readonly handlers: Handlers<BeliefMessages> = {
-    news: ({ matter, since }) => this.#followers[matter].newsSince(since),
-    adopt: ({ matter, news, from }) => this.#adopt(matter, news, from),
+  protected readonly handlers: Handlers<StoreViewMessages> = {
+    news: ({ matter: topic, since }) => this.#followers[topic].newsSince(since),
+    adopt: ({ matter: topic, news, from }) => this.#adopt(topic, news, from),
   };
 
-  constructor(options: BeliefOptions) {
+  constructor(options: StoreViewOptions) {
     super();
     this.#options = options;
     this.#failureDomains = options.failureDomains;
@@ -117,19 +117,19 @@
   /** What this VM says of its news to others. */
   get revisions(): Revisions {
     return {
-      operators: this.#followers.operators.saidRev,
-      upstreams: this.#followers.upstreams.saidRev,
+      operators: this.#followers.operators.announcedRev,
+      upstreams: this.#followers.upstreams.announcedRev,
     };
   }
 
   /** How long ago the store itself told this VM the newest configuration. */
   get configAgeMs(): number {
-    return this.#clock.monoMs() - this.#followers.operators.heardMonoMs;
+    return this.#clock.monoMs() - this.#followers.operators.answeredMonoMs;
   }
 
   /** Revision up to which nothing of a matter's news is missing here. */
-  newsRev(matter: Matter): number {
-    return this.#followers[matter].newsRev;
+  newsRev(topic: NewsTopic): number {
+    return this.#followers[topic].newsRev;
   }
 
   /** Takes in changed settings; upstreams of a new failure domain are used from their next entry on. */
@@ -139,8 +139,9 @@
 
   /** Whether the store answers this VM's questions about upstreams at the moment. */
   get isServed(): boolean {
-    const { isFailing, heardMonoMs } = this.#followers.upstreams;
-    return !isFailing && this.#clock.monoMs() - heardMonoMs < SERVED_MS;
+    const { isFailing, answeredMonoMs } = this.#followers.upstreams;
+    return !isFailing &&
+      this.#clock.monoMs() - answeredMonoMs < MAX_ANSWER_AGE_MS;
   }
 
   start(kernel: Kernel): Promise<void> {
@@ -153,32 +154,35 @@
         prefix: OPERATOR_PREFIX,
         clock: this.#clock,
         log: this.#log,
-        waitMs: this.#options.operatorWaitMs ?? OPERATOR_WAIT_MS,
+        waitMs: this.#options.operatorPollWaitMs ?? OPERATOR_POLL_WAIT_MS,
         pauseMs: 0,
         isReader: this.#options.isReader,
         isNews: () => true,
         isRenewed: false,
-        seal: sealEntry,
-        onPut: (entry) => this.#operatorPut(entry),
-        onDelete: (key) => this.#operatorDelete(key),
+        seal: hashApiKeys,
+        onPut: (entry) => this.#onOperatorPut(entry),
+        onDelete: (key) => this.#onOperatorDelete(key),
       }),
       upstreams: new Follower({
         store,
         prefix: UPSTREAM_PREFIX,
         clock: this.#clock,
         log: this.#log,
-        waitMs: UPSTREAM_WAIT_MS,
-        pauseMs: UPSTREAM_PAUSE_MS,
+        waitMs: UPSTREAM_POLL_WAIT_MS,
+        pauseMs: UPSTREAM_POLL_PAUSE_MS,
         isReader: this.#options.isReader,
         isNews: (entry) => this.#isUpstreamNews(entry),
         isRenewed: true,
-        onPut: (entry) => this.#upstreamPut(entry),
-        onDelete: (key) => this.#upstreamDelete(key),
+        onPut: (entry) => this.#onUpstreamPut(entry),
+        onDelete: (key) => this.#onUpstreamDelete(key),
       }),
     };
     this.#followers.operators.start();
     this.#followers.upstreams.start();
-    this.#timer = this.#clock.every(SWEEP_MS, () => this.#sweep());
+    this.#timer = this.#clock.every(
+      SWEEP_INTERVAL_MS,
+      () => this.#removeLapsed(),
+    );
     return Promise.resolve();
   }
 
@@ -196,17 +200,17 @@
       revisions: this.revisions,
       isServed: this.isServed,
       heardAgoMs: {
-        operators: nowMs - this.#followers.operators.heardMonoMs,
-        upstreams: nowMs - this.#followers.upstreams.heardMonoMs,
+        operators: nowMs - this.#followers.operators.answeredMonoMs,
+        upstreams: nowMs - this.#followers.upstreams.answeredMonoMs,
       },
       fleet: this.fleet.dump(),
     };
   }
 
-  #adopt(matter: Matter, news: News, from: string): void {
-    if (!this.#followers[matter].adopt(news, from)) return;
+  #adopt(topic: NewsTopic, news: News, from: string): void {
+    if (!this.#followers[topic].adopt(news, from)) return;
     this.#log.info("learnt from a peer", {
-      matter,
+      matter: topic,
       from,
       rev: news.newsRev,
       entries: news.entries.length,
@@ -216,19 +220,19 @@
 
   /** Upstreams write every second to show that they live; only a change of what they say is told on. */
   #isUpstreamNews(entry: Entry): boolean {
-    const before = this.fleet.get(upstreamId(entry.key));
+    const before = this.fleet.get(decodeUpstreamId(entry.key));
     try {
-      const after = decodeUpstream(upstreamId(entry.key), entry.value);
-      return before === undefined || isNewsOf(before, after) ||
+      const after = decodeUpstream(decodeUpstreamId(entry.key), entry.value);
+      return before === undefined || hasChanged(before, after) ||
         this.#clock.monoMs() + after.coldLeftMs >
-          before.coldUntilMs + COLD_AGAIN_MS;
+          before.coldUntilMs + MIN_COLD_EXTENSION_MS;
     } catch {
       return true;
     }
   }
 
-  #operatorPut(entry: Entry): void {
-    const domain = evacuatedDomain(entry.key);
+  #onOperatorPut(entry: Entry): void {
+    const domain = decodeEvacuationKey(entry.key);
     if (domain !== undefined) {
       return this.#setEvacuated(domain, true, entry.rev);
     }
@@ -252,8 +256,8 @@
     }
   }
 
-  #operatorDelete(key: string): void {
-    const domain = evacuatedDomain(key);
+  #onOperatorDelete(key: string): void {
+    const domain = decodeEvacuationKey(key);
     if (domain !== undefined) this.#setEvacuated(domain, false, 0);
   }
 
@@ -267,8 +271,8 @@
     });
   }
 
-  #upstreamPut(entry: Entry): void {
-    const id = upstreamId(entry.key);
+  #onUpstreamPut(entry: Entry): void {
+    const id = decodeUpstreamId(entry.key);
     this.#lapsed.delete(id);
     try {
       const record = decodeUpstream(id, entry.value);
@@ -292,19 +296,24 @@
     }
   }
 
-  #upstreamDelete(key: string): void {
-    const id = upstreamId(key);
-    const sinceReturnMs = this.#clock.monoMs() -
+  #onUpstreamDelete(key: string): void {
+    const id = decodeUpstreamId(key);
+    const sinceRecoveryMs = this.#clock.monoMs() -
       this.#followers.upstreams.recoveredMonoMs;
     // A leaving upstream whose entry goes has left; only a ready one may have lapsed.
-    if (sinceReturnMs < RETURN_MS && this.fleet.get(id)?.state === "ready") {
-      this.#lapsed.set(id, this.#clock.monoMs() + RETURN_MS - sinceReturnMs);
+    if (
+      sinceRecoveryMs < LAPSED_GRACE_MS && this.fleet.get(id)?.state === "ready"
+    ) {
+      this.#lapsed.set(
+        id,
+        this.#clock.monoMs() + LAPSED_GRACE_MS - sinceRecoveryMs,
+      );
       return;
     }
-    this.#forget(id, "entry gone");
+    this.#removeUpstream(id, "entry gone");
   }
 
-  #forget(id: string, reason: string): void {
+  #removeUpstream(id: string, reason: string): void {
     const before = this.fleet.delete(id);
     if (before) {
       this.#log.info("upstream gone", {
@@ -315,12 +324,12 @@
     }
   }
 
-  #sweep(): void {
+  #removeLapsed(): void {
     const nowMs = this.#clock.monoMs();
     for (const [id, untilMs] of this.#lapsed) {
       if (nowMs < untilMs) continue;
       this.#lapsed.delete(id);
-      this.#forget(id, "lapsed in an outage and not back");
+      this.#removeUpstream(id, "lapsed in an outage and not back");
     }
   }
 }
--- a/src/gateway/body.ts
+++ b/src/gateway/body.ts
@@ -8,24 +8,24 @@
 import { err, ok, type Result } from "neverthrow";
 
 /** Why there is no body. */
-export type BodyProblem = "tooLarge" | "noMemory" | "broken";
+export type BodyError = "tooLarge" | "noMemory" | "broken";
 
 /** Bytes of bodies held at once by this process. */
 export class BodyMemory {
-  readonly #mostBytes: number;
+  readonly #maxBytes: number;
   #bytes = 0;
 
-  constructor(mostBytes: number) {
-    this.#mostBytes = mostBytes;
+  constructor(maxBytes: number) {
+    this.#maxBytes = maxBytes;
   }
 
-  tryTake(bytes: number): boolean {
-    if (this.#bytes + bytes > this.#mostBytes) return false;
+  tryReserve(bytes: number): boolean {
+    if (this.#bytes + bytes > this.#maxBytes) return false;
     this.#bytes += bytes;
     return true;
   }
 
-  giveBack(bytes: number): void {
+  release(bytes: number): void {
     this.#bytes -= bytes;
   }
 }
@@ -37,28 +37,28 @@
  */
 export function readBody(
   request: IncomingMessage,
-  mostBytes: number,
+  maxBytes: number,
   memory: BodyMemory,
   onClosed: (run: () => void) => void,
-): Promise<Result<Buffer, BodyProblem>> {
-  if (Number(request.headers["content-length"] ?? 0) > mostBytes) {
+): Promise<Result<Buffer, BodyError>> {
+  if (Number(request.headers["content-length"] ?? 0) > maxBytes) {
     return Promise.resolve(err("tooLarge"));
   }
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
     let isOver = false;
-    const stop = (problem: BodyProblem) => {
+    const stop = (error: BodyError) => {
       if (isOver) return;
       isOver = true;
-      memory.giveBack(bytes);
+      memory.release(bytes);
       request.removeAllListeners("data");
       request.resume();
-      resolve(err(problem));
+      resolve(err(error));
     };
     request.on("data", (chunk: Buffer) => {
-      if (bytes + chunk.length > mostBytes) return stop("tooLarge");
-      if (!memory.tryTake(chunk.length)) return stop("noMemory");
+      if (bytes + chunk.length > maxBytes) return stop("tooLarge");
+      if (!memory.tryReserve(chunk.length)) return stop("noMemory");
       bytes += chunk.length;
       chunks.push(chunk);
     });
--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -6,38 +6,47 @@
 
 import { type CodeName, type Failure, failure } from "../base/mod.ts";
 import {
+  canRetry,
   chooseService,
-  mayRepeat,
-  maySendAgain,
-  type ServiceRow,
+  isRepeatable,
+  type ServiceConfig,
   type Step,
 } from "../routing/mod.ts";
 import { readBody } from "./body.ts";
-import { BODY_CODES, type CallInput, REFUSAL_CODES } from "./call_input.ts";
-import { CallPlaces } from "./call_places.ts";
+import {
+  BODY_ERROR_CODES,
+  type CallInput,
+  REFUSAL_CODES,
+} from "./call_input.ts";
+import { CallPlacement } from "./call_places.ts";
 import { CallRecord } from "./call_record.ts";
 import { CallSends, type SendState } from "./call_sends.ts";
 import { CallSuspicion } from "./call_suspicion.ts";
 import type { GatewayContext } from "./context.ts";
-import { nextPoll } from "./next_poll.ts";
-import { type BodyPass, EventPass, type Passed, passOf } from "./pass_on.ts";
+import { waitForNextPoll } from "./next_poll.ts";
+import {
+  type BodyForwarder,
+  createForwarder,
+  EventForwarder,
+  type ForwardResult,
+} from "./pass_on.ts";
 import type { Reply } from "./reply.ts";
 import { RelaySend } from "./relay_send.ts";
 import type { Answered, Send, Unanswered } from "./send.ts";
 import { UpstreamSend } from "./upstream_send.ts";
-import { type GoesOn, StreamMove } from "./stream_move.ts";
+import { type MoveResult, StreamMover } from "./stream_move.ts";
 import type { LinkedCandidate } from "./upstream_link.ts";
 
 /**
  * A process that is further behind than this reads requests whose callers have left meanwhile; it looks whether they have
  * before it sends them on, as an upstream would work for nobody.
  */
-const BEHIND_MS = 50;
+const HIGH_LAG_MS = 50;
 /** Tries of one request, connections that failed included: each costs up to a quarter of a second. */
-const MOST_TRIES = 4;
+const MAX_TRIES = 4;
 
 /** What another VM knows against a request holds here too, though this one was not told yet. */
-const FINAL_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
+const NO_RETRY_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
   "endsUpstreams",
   "onTrialElsewhere",
 ]);
@@ -47,21 +56,21 @@
   readonly #context: GatewayContext;
   readonly #input: CallInput;
   readonly #reply: Reply;
-  readonly #service: ServiceRow;
+  readonly #service: ServiceConfig;
   readonly #record: CallRecord;
   readonly #arrivedMs: number;
-  readonly #places: CallPlaces;
+  readonly #placement: CallPlacement;
   readonly #sends: CallSends;
   readonly #suspicion: CallSuspicion;
   #body: Buffer = Buffer.alloc(0);
   #send: Send | undefined;
-  #pass: BodyPass | undefined;
-  readonly #move: StreamMove;
-  #goesOn: GoesOn | undefined;
+  #forwarder: BodyForwarder | undefined;
+  readonly #mover: StreamMover;
+  #moveResult: MoveResult | undefined;
   #mayHaveRun = false;
-  #over = false;
-  #last: Failure | undefined;
-  #wake: (() => void) | undefined;
+  #isOver = false;
+  #lastFailure: Failure | undefined;
+  #wakeUp: (() => void) | undefined;
 
   constructor(context: GatewayContext, input: CallInput, reply: Reply) {
     this.#context = context;
@@ -74,8 +83,8 @@
     this.#arrivedMs = context.clock.monoMs();
     this.#record = new CallRecord(context, input, name, this.#arrivedMs);
     this.#suspicion = new CallSuspicion(context, input, this.#record);
-    this.#move = new StreamMove(context, input, this.#service);
-    this.#places = new CallPlaces(
+    this.#mover = new StreamMover(context, input, this.#service);
+    this.#placement = new CallPlacement(
       context,
       input,
       this.#service,
@@ -86,7 +95,7 @@
       context,
       input,
       service: this.#service,
-      places: this.#places,
+      places: this.#placement,
       record: this.#record,
     });
   }
@@ -98,7 +107,7 @@
       Math.max(0, this.#input.deadlineMonoMs - clock.monoMs()),
       () => this.#expire(),
     );
-    this.#context.open++;
+    this.#context.openRequests++;
     try {
       const body = await readBody(
         this.#input.request,
@@ -106,127 +115,137 @@
         bodies,
         (run) => this.#reply.onClosed(run),
       );
-      if (body.isErr()) this.#fail(failure(BODY_CODES[body.error]), 0);
+      if (body.isErr()) this.#fail(failure(BODY_ERROR_CODES[body.error]), 0);
       else {
         this.#body = body.value;
         this.#suspicion.body = body.value;
-        if (this.#mayBeLeft) await this.#context.turns.next();
-        this.#context.budget(this.#service.name).countRequest(clock.monoMs());
+        if (this.#mayBeStale) await this.#context.turns.waitTurn();
+        this.#context.retryBudget(this.#service.name).countRequest(
+          clock.monoMs(),
+        );
         await this.#serve();
       }
     } catch (error) {
-      this.#record.fault(error);
+      this.#record.noteInternalError(error);
       this.#fail(
         failure("internal", { ran: this.#mayHaveRun ? "unknown" : "no" }),
         0,
       );
     } finally {
       timer.close();
-      bodies.giveBack(this.#body.length);
-      this.#context.open--;
+      bodies.release(this.#body.length);
+      this.#context.openRequests--;
     }
   }
 
   /** The other side left: whatever is under way is given up, so that no upstream works for nobody. */
   cancel(): void {
-    if (this.#over) return;
+    if (this.#isOver) return;
     this.#finish("canceled", "caller left");
     this.#send?.cancel("caller left");
-    this.#wake?.();
+    this.#wakeUp?.();
   }
 
   async #serve(): Promise<void> {
-    while (!this.#over) {
-      if (this.#goesOn) {
-        await this.#goOn(this.#goesOn);
+    while (!this.#isOver) {
+      if (this.#moveResult) {
+        await this.#continueMoved(this.#moveResult);
         continue;
       }
-      const verdict = await this.#suspicion.judge();
-      if (this.#over) return;
+      const verdict = await this.#suspicion.checkMayRun();
+      if (this.#isOver) return;
       if (verdict.type === "refused") {
         return this.#refuseRun(verdict.code, verdict.comeBackMs);
       }
-      this.#places.isSuspect = this.#suspicion.isSuspect;
-      const { step, settle } = await this.#places.place();
-      if (this.#isBehind) await nextPoll();
-      const send = this.#over ? undefined : this.#take(step);
+      this.#placement.isSuspect = this.#suspicion.isSuspect;
+      const { step, settle } = await this.#placement.place();
+      if (this.#isLagging) await waitForNextPoll();
+      const send = this.#isOver ? undefined : this.#startStep(step);
       settle();
-      if (send) await this.#follow(send);
+      if (send) await this.#runSend(send);
       else if (step.type === "wait") await this.#sleep(step.untilMs);
     }
   }
 
   /** Node takes one new connection a turn, so that a busy process reads a first request seconds after it was sent. */
-  get #mayBeLeft(): boolean {
-    return this.#input.isFirst || this.#isBehind;
+  get #mayBeStale(): boolean {
+    return this.#input.isFirst || this.#isLagging;
   }
 
-  get #isBehind(): boolean {
-    return this.#context.members.lagMs > BEHIND_MS;
+  get #isLagging(): boolean {
+    return this.#context.members.lagMs > HIGH_LAG_MS;
   }
 
   /** Does a step; returns the send that it began. */
-  #take(step: Step<LinkedCandidate>): Send | undefined {
+  #startStep(step: Step<LinkedCandidate>): Send | undefined {
     if (step.type === "wait") return undefined;
-    if (step.type !== "refuse") return this.#sends.open(step, this.#state());
+    if (step.type !== "refuse") {
+      return this.#sends.open(step, this.#sendState());
+    }
     this.#refuse(step);
     return undefined;
   }
 
   /** A stream that was stopped in order to move goes on at its new engine. */
-  async #goOn({ candidate, goesOnFrom }: GoesOn): Promise<void> {
-    this.#goesOn = undefined;
+  async #continueMoved({ candidate, goesOnFrom }: MoveResult): Promise<void> {
+    this.#moveResult = undefined;
     this.#mayHaveRun = true;
-    const send = this.#sends.goOn(candidate, goesOnFrom, this.#state());
-    if (!send) return this.#broken("the engine that it moved to is gone");
-    await this.#follow(send);
+    const send = this.#sends.continueMoved(
+      candidate,
+      goesOnFrom,
+      this.#sendState(),
+    );
+    if (!send) {
+      return this.#handleBrokenStream("the engine that it moved to is gone");
+    }
+    await this.#runSend(send);
   }
 
   /** What the next send of the request carries. */
-  #state(): SendState {
+  #sendState(): SendState {
     return {
       body: this.#body,
-      lastEventId: this.#pass instanceof EventPass
-        ? this.#pass.lastEventId
+      lastEventId: this.#forwarder instanceof EventForwarder
+        ? this.#forwarder.lastEventId
         : undefined,
       onStreamCheck: this.#onStreamCheck,
       isSuspect: this.#suspicion.isSuspect,
-      isOnTrial: this.#suspicion.hasLeave,
+      isTrialRun: this.#suspicion.isTrialRun,
     };
   }
 
   /** Follows one send to its end; returns with the call over, or ready for the next step. */
-  async #follow(send: Send): Promise<void> {
+  async #runSend(send: Send): Promise<void> {
     this.#record.tries++;
     this.#send = send;
     this.#suspicion.noteSend();
     try {
-      const head = await send.head();
-      if (this.#over) return;
+      const head = await send.waitForHead();
+      if (this.#isOver) return;
       if (head.type === "unanswered") {
         await this.#noteLoss(send);
-        if (!this.#over) this.#unanswered(send, head);
+        if (!this.#isOver) this.#handleUnanswered(send, head);
         return;
       }
-      if (!send.goesOn) this.#record.noteArrival();
-      if (head.read.status >= 500 && this.#sendsFailedAgain(head)) {
+      if (!send.isContinuation) this.#record.noteAccepted();
+      if (head.decoded.status >= 500 && this.#retryFailedAnswer(head)) {
         return;
       }
-      if (this.#reply.isBegun && head.read.status !== 200) {
-        return this.#broken(`resumed with ${head.read.status}`);
+      if (this.#reply.hasStarted && head.decoded.status !== 200) {
+        return this.#handleBrokenStream(`resumed with ${head.decoded.status}`);
       }
-      const passed = await this.#passOn(send, head);
-      if (this.#over) return;
-      if (passed === "whole") {
+      const result = await this.#forwardBody(send, head);
+      if (this.#isOver) return;
+      if (result === "whole") {
         this.#reply.end();
-        if (head.read.status < 500) this.#suspicion.noteServed();
+        if (head.decoded.status < 500) this.#suspicion.noteServed();
         return this.#finish("ok", undefined);
       }
-      this.#goesOn = await this.#move.moved();
-      if (this.#over || this.#goesOn) return;
+      this.#moveResult = await this.#mover.waitForMove();
+      if (this.#isOver || this.#moveResult) return;
       send.noteBroken();
       await this.#noteLoss(send);
-      if (!this.#over) this.#broken("upstream broke off");
+      if (!this.#isOver) this.#handleBrokenStream("upstream broke off");
     } finally {
       send.close();
     }
@@ -235,71 +254,87 @@
   /** A send was lost; what may go on elsewhere waits until it is known whether it has ended its upstream. */
   #noteLoss(send: Send): Promise<void> {
     const { route, relayed } = this.#input;
-    return this.#suspicion.noteLoss(send, mayRepeat(route) || relayed);
+    return this.#suspicion.noteLoss(send, isRepeatable(route) || relayed);
   }
 
-  #passOn(send: Send, { answer, read }: Answered): Promise<Passed> {
-    if (!this.#pass) {
-      this.#reply.begin(read.status, read.headers, read.bodyBytes);
-      this.#pass = passOf(this.#reply, this.#needsEvents(), () => {
-        this.#send?.noteChunk();
-        this.#record.noteChunk();
-        this.#suspicion.noteChunk();
-      });
-    } else if (this.#pass instanceof EventPass) this.#pass.dropPart();
+  #forwardBody(
+    send: Send,
+    { answer, decoded }: Answered,
+  ): Promise<ForwardResult> {
+    if (!this.#forwarder) {
+      this.#reply.start(decoded.status, decoded.headers, decoded.bodyBytes);
+      this.#forwarder = createForwarder(
+        this.#reply,
+        this.#canResumeElsewhere(),
+        () => {
+          this.#send?.noteChunk();
+          this.#record.noteChunk();
+          this.#suspicion.noteChunk();
+        },
+      );
+    } else if (this.#forwarder instanceof EventForwarder) {
+      this.#forwarder.dropPartial();
+    }
     this.#send = send;
-    return this.#pass.run(answer);
+    return this.#forwarder.run(answer);
   }
 
   /** Whether the answer may go on from another upstream. */
-  #needsEvents(): boolean {
+  #canResumeElsewhere(): boolean {
     const { route, relayed } = this.#input;
     const { engine } = this.#service;
     // The VM that the caller is connected to resumes; a second one would count its sends from zero.
-    const resumes = route.resumable && !relayed;
+    const isResumable = route.resumable && !relayed;
     return route.kind === "stream" &&
-      (engine?.moves === true || resumes);
+      (engine?.moves === true || isResumable);
   }
 
   /** Looks whether a stream is better off at another engine. */
   readonly #onStreamCheck = (): void => {
     const send = this.#send;
     if (this.#suspicion.isSuspect) return;
-    if (!(send instanceof UpstreamSend && this.#pass instanceof EventPass)) {
+    if (
+      !(send instanceof UpstreamSend &&
+        this.#forwarder instanceof EventForwarder)
+    ) {
       return;
     }
-    this.#move.consider(
+    this.#mover.considerMove(
       send.candidate,
-      this.#pass.events,
-      () => this.#places.othersThan(send.candidate),
+      this.#forwarder.events,
+      () => this.#placement.candidatesExcept(send.candidate),
     );
   };
 
   /** Whether a failed answer is left aside for another send. */
-  #sendsFailedAgain({ answer, read }: Answered): boolean {
-    if (!this.#places.hasOtherHere() || !this.#mayRunAgain(true)) return false;
+  #retryFailedAnswer({ answer, decoded }: Answered): boolean {
+    if (!this.#placement.hasLocalAlternative() || !this.#tryTakeRetry(true)) {
+      return false;
+    }
     answer.resume();
     this.#mayHaveRun = true;
-    this.#record.sentAgain(`upstream answered ${read.status}`);
+    this.#record.noteRetry(`upstream answered ${decoded.status}`);
     return true;
   }
 
-  #unanswered(send: Send, head: Unanswered): void {
+  #handleUnanswered(send: Send, head: Unanswered): void {
     // A VM that is gone says nothing of its region: another one there may take the request.
-    if (send instanceof RelaySend && !head.reached) {
-      this.#places.forgetTriedRegion(send.region);
+    if (send instanceof RelaySend && !head.wasSent) {
+      this.#placement.forgetTriedRegion(send.region);
     }
     if (head.endedUpstream !== undefined) {
       this.#suspicion.noteEndElsewhere(head.endedUpstream);
     }
-    if (head.arrived) this.#record.sends++;
+    if (head.wasAccepted) this.#record.sends++;
     this.#record.arrivals += head.arrivals;
-    this.#last = head.failure;
+    this.#lastFailure = head.failure;
     // A moved stream that its new engine turns away has run all the same.
-    const mayHaveRun = head.mayHaveRun || this.#reply.isBegun;
+    const mayHaveRun = head.mayHaveRun || this.#reply.hasStarted;
     this.#mayHaveRun ||= mayHaveRun;
-    if (!FINAL_CODES.has(head.failure.code) && this.#mayRunAgain(mayHaveRun)) {
-      return this.#record.sentAgain(head.reason);
+    if (
+      !NO_RETRY_CODES.has(head.failure.code) && this.#tryTakeRetry(mayHaveRun)
+    ) {
+      return this.#record.noteRetry(head.reason);
     }
     this.#fail(
       this.#mayHaveRun && head.failure.ran === "no"
@@ -311,33 +346,34 @@
   }
 
   /** A stream broke in the middle: it goes on at another upstream, or the caller's connection breaks too. */
-  #broken(reason: string): void {
+  #handleBrokenStream(reason: string): void {
     this.#mayHaveRun = true;
     const { relayed } = this.#input;
     if (
-      this.#pass instanceof EventPass && !relayed && this.#mayRunAgain(true)
+      this.#forwarder instanceof EventForwarder && !relayed &&
+      this.#tryTakeRetry(true)
     ) {
-      return this.#record.sentAgain(reason);
+      return this.#record.noteRetry(reason);
     }
     this.#finish("streamBroken", reason);
-    this.#reply.breakOff();
+    this.#reply.abort();
   }
 
-  #mayRunAgain(mayHaveRun: boolean): boolean {
+  #tryTakeRetry(mayHaveRun: boolean): boolean {
     const { route } = this.#input;
     const { clock, members } = this.#context;
-    const allowed = this.#record.tries < MOST_TRIES && maySendAgain({
-      repeatable: mayRepeat(route),
+    const isAllowed = this.#record.tries < MAX_TRIES && canRetry({
+      isRepeatable: isRepeatable(route),
       mayHaveRun,
       sends: this.#record.sends,
       mostUpstreams: this.#input.mostUpstreams,
     });
-    if (!allowed) return false;
+    if (!isAllowed) return false;
     // Until it came to an upstream, another try is the first arrival anywhere and costs nothing of the budget.
     return this.#record.arrivals === 0 ||
-      this.#context.budget(this.#service.name).tryTake(
+      this.#context.retryBudget(this.#service.name).tryTake(
         clock.monoMs(),
-        members.count(),
+        members.vmCount(),
       );
   }
 
@@ -350,25 +386,25 @@
   /** Refuses to run the request; one that may have run already can't be told that it has not. */
   #refuseRun(code: CodeName, comeBackMs: number): void {
     if (!this.#mayHaveRun) return this.#fail(failure(code), comeBackMs);
-    this.#fail(this.#last ?? failure("upstreamFailed"), 0);
+    this.#fail(this.#lastFailure ?? failure("upstreamFailed"), 0);
   }
 
   #expire(): void {
-    if (this.#over) return;
-    const sent = this.#send !== undefined || this.#mayHaveRun;
+    if (this.#isOver) return;
+    const wasSent = this.#send !== undefined || this.#mayHaveRun;
     this.#fail(
-      sent ? failure("upstreamTimeout") : failure("expiredInQueue"),
+      wasSent ? failure("upstreamTimeout") : failure("expiredInQueue"),
       0,
     );
     this.#send?.cancel("deadline passed");
-    this.#wake?.();
+    this.#wakeUp?.();
   }
 
   #fail(cause: Failure, comeBackMs: number, reason = cause.message): void {
-    if (this.#over) return;
-    if (cause.ran === "no") this.#places.giveBackUse();
+    if (this.#isOver) return;
+    if (cause.ran === "no") this.#placement.refundQuota();
     this.#finish(cause.code, reason, comeBackMs);
-    if (this.#reply.isBegun) this.#reply.breakOff();
+    if (this.#reply.hasStarted) this.#reply.abort();
     else {
       const { arrivals, endedUpstream } = this.#record;
       this.#reply.fail(cause, comeBackMs, { arrivals, endedUpstream });
@@ -380,16 +416,16 @@
     reason: string | undefined,
     comeBackMs?: number,
   ): void {
-    this.#over = true;
+    this.#isOver = true;
     this.#record.finish(outcome, reason, comeBackMs);
   }
 
   #sleep(untilMs: number): Promise<void> {
     const { clock } = this.#context;
-    if (this.#over) return Promise.resolve();
+    if (this.#isOver) return Promise.resolve();
     return new Promise((resolve) => {
       const timer = clock.after(Math.max(1, untilMs - clock.monoMs()), resolve);
-      this.#wake = () => {
+      this.#wakeUp = () => {
         timer.close();
         resolve();
       };
--- a/src/gateway/call_input.ts
+++ b/src/gateway/call_input.ts
@@ -9,10 +9,10 @@
 import type { CallerHead } from "../platform/mod.ts";
 import type { GatewayConfig, Route } from "../routing/mod.ts";
 import type { KnownCaller } from "../workspaces/mod.ts";
-import type { BodyProblem } from "./body.ts";
+import type { BodyError } from "./body.ts";
 
-/** The result code of each {@link BodyProblem}. */
-export const BODY_CODES: Record<BodyProblem, CodeName> = {
+/** The result code of each {@link BodyError}. */
+export const BODY_ERROR_CODES: Record<BodyError, CodeName> = {
   tooLarge: "bodyTooLarge",
   noMemory: "queueFull",
   broken: "canceled",
@@ -40,7 +40,7 @@
   /** Whether another VM handed it over; it then stays in this region. */
   readonly relayed: boolean;
   /** Whether the other VM has the leave to run it although upstreams ended under it. */
-  readonly isOnTrial: boolean;
+  readonly isTrialRun: boolean;
   /** Upstreams that this VM may send it to; fewer than the route's if another VM has sent it already. */
   readonly mostUpstreams: number;
 }
--- a/src/gateway/call_places.ts
+++ b/src/gateway/call_places.ts
@@ -5,51 +5,51 @@
  */
 
 import {
-  endGapMs,
+  computeEndGapMs,
   hasRoom,
-  type PlaceTerms,
-  type ServiceRow,
+  type PlacementCriteria,
+  type ServiceConfig,
   type Step,
   urgencyRank,
 } from "../routing/mod.ts";
 import type { QuotaUse } from "../quota/mod.ts";
-import { quotaUnits } from "../workspaces/mod.ts";
+import { countQuotaUnits } from "../workspaces/mod.ts";
 import type { CallInput } from "./call_input.ts";
 import type { CallRecord } from "./call_record.ts";
 import type { GatewayContext } from "./context.ts";
-import { isHomeOf, type PlaceAsk } from "./place_here.ts";
-import type { Placed } from "./placing.ts";
+import { isHomeRegion, type PlacementRequest } from "./place_here.ts";
+import type { PlacedStep } from "./placing.ts";
 import type { CountedBy } from "./quotas.ts";
 import type { LinkedCandidate } from "./upstream_link.ts";
 
 /** What a request uses of its workspace's limit. */
-function useOf({ caller, head }: CallInput): QuotaUse | undefined {
+function quotaUseOf({ caller, head }: CallInput): QuotaUse | undefined {
   const { workspace } = caller;
   if (!workspace?.quota) return undefined;
   const tokens = head.promptTokens + head.outputTokens;
   return {
     workspace: workspace.name,
-    units: quotaUnits(workspace.quota, tokens),
+    units: countQuotaUnits(workspace.quota, tokens),
   };
 }
 
 /** See the module. */
-export class CallPlaces {
+export class CallPlacement {
   readonly #context: GatewayContext;
   readonly #input: CallInput;
-  readonly #service: ServiceRow;
+  readonly #service: ServiceConfig;
   readonly #record: CallRecord;
   /** Whether upstreams ended as the request began to run. */
   isSuspect = false;
-  #ask: PlaceAsk;
-  #counted: { readonly use: QuotaUse; readonly by: CountedBy } | undefined;
+  #request: PlacementRequest;
+  #countedUse: { readonly use: QuotaUse; readonly by: CountedBy } | undefined;
   readonly #tried = new Set<string>();
   readonly #triedRegions = new Set<string>();
 
   constructor(
     context: GatewayContext,
     input: CallInput,
-    service: ServiceRow,
+    service: ServiceConfig,
     arrivedMs: number,
     record: CallRecord,
   ) {
@@ -59,14 +59,17 @@
     this.#record = record;
     const { route, head, config, caller, deadlineMonoMs, relayed } = input;
     const { engine } = service;
-    this.#ask = {
+    this.#request = {
       service,
       config,
       prompt: { parts: head.promptParts, tokens: head.promptTokens },
       objectiveMs: route.objectiveMs,
       eventGapMs: route.eventGapMs,
       endGapMs: engine
-        ? endGapMs(route.timeoutMs, head.outputTokens / engine.tokensPerEvent)
+        ? computeEndGapMs(
+          route.timeoutMs,
+          head.outputTokens / engine.tokensPerEvent,
+        )
         : Infinity,
       arrivedMs,
       deadlineMs: deadlineMonoMs,
@@ -75,7 +78,7 @@
       homeRegions: caller.homeRegions,
       isRelayed: relayed,
       isSuspect: false,
-      quota: relayed ? undefined : useOf(input),
+      quota: relayed ? undefined : quotaUseOf(input),
     };
   }
 
@@ -95,35 +98,35 @@
   }
 
   /** What to do next with the request. Its use of its workspace's limit is counted with its first send. */
-  async place(): Promise<Placed> {
-    this.#ask = { ...this.#ask, isSuspect: this.isSuspect };
-    const placed = await this.#context.placing.place(this.#ask);
-    const { quota: use } = this.#ask;
+  async place(): Promise<PlacedStep> {
+    this.#request = { ...this.#request, isSuspect: this.isSuspect };
+    const placed = await this.#context.placing.place(this.#request);
+    const { quota: use } = this.#request;
     if (placed.countedBy && use) {
       this.#record.noteQuota(use, placed.countedBy);
       if (placed.step.type === "refuse") return placed;
-      this.#counted = { use, by: placed.countedBy };
-      this.#ask = { ...this.#ask, quota: undefined };
+      this.#countedUse = { use, by: placed.countedBy };
+      this.#request = { ...this.#request, quota: undefined };
     }
     return placed;
   }
 
   /** The request has not run and never will: it uses nothing of the limit. */
-  giveBackUse(): void {
-    if (!this.#counted) return;
-    this.#context.quotas.giveBack(this.#counted.use, this.#counted.by);
-    this.#counted = undefined;
+  refundQuota(): void {
+    if (!this.#countedUse) return;
+    this.#context.quotas.refund(this.#countedUse.use, this.#countedUse.by);
+    this.#countedUse = undefined;
   }
 
   /** The same as far as this VM knows by itself, without doing it. */
-  next(): Step<LinkedCandidate> {
-    return this.#context.placing.here(this.#ask);
+  nextLocally(): Step<LinkedCandidate> {
+    return this.#context.placing.placeLocally(this.#request);
   }
 
-  #terms(): PlaceTerms {
+  #placeTerms(): PlacementCriteria {
     return {
-      ...this.#ask,
-      pace: this.#context.upstreams.pace(this.#service),
+      ...this.#request,
+      pace: this.#context.upstreams.paceOf(this.#service),
     };
   }
 
@@ -131,27 +134,28 @@
   urgency(promptTokens: number): number {
     const { clock, upstreams } = this.#context;
     return urgencyRank({
-      waitedMs: clock.monoMs() - this.#ask.arrivedMs,
+      waitedMs: clock.monoMs() - this.#request.arrivedMs,
       objectiveMs: this.#input.route.objectiveMs,
-      readMs: upstreams.pace(this.#service).readMs(promptTokens),
+      readMs: upstreams.paceOf(this.#service).readMs(promptTokens),
     });
   }
 
   /** Whether a region may serve, cache and hold the request. */
-  readonly isHome = (region: string): boolean => isHomeOf(this.#ask, region);
+  readonly isHomeRegion = (region: string): boolean =>
+    isHomeRegion(this.#request, region);
 
   /**
    * Whether an upstream of this region has room for one more try. An upstream's own failure is passed on otherwise: a
    * caller that comes back with a new attempt is served sooner than by a hand-over, and the answer is true.
    */
-  hasOtherHere(): boolean {
-    const step = this.next();
+  hasLocalAlternative(): boolean {
+    const step = this.nextLocally();
     return step.type === "send" &&
-      hasRoom(step.candidate, this.#terms());
+      hasRoom(step.candidate, this.#placeTerms());
   }
 
   /** The other upstreams of this region, for a stream that runs at one. */
-  othersThan(candidate: LinkedCandidate): LinkedCandidate[] {
+  candidatesExcept(candidate: LinkedCandidate): LinkedCandidate[] {
     return this.#context.upstreams.candidates(this.#service).filter(({ key }) =>
       key !== candidate.key
     );
--- a/src/gateway/call_record.ts
+++ b/src/gateway/call_record.ts
@@ -5,8 +5,8 @@
  */
 
 import type { CodeName } from "../base/mod.ts";
-import type { RefusedOn } from "../routing/mod.ts";
-import type { Standing } from "../suspects/mod.ts";
+import type { RefusalDetails } from "../routing/mod.ts";
+import type { SuspectStatus } from "../suspects/mod.ts";
 import type { QuotaUse } from "../quota/mod.ts";
 import type { CallInput } from "./call_input.ts";
 import type { GatewayContext } from "./context.ts";
@@ -36,10 +36,10 @@
   endedUpstream: string | undefined;
   /** Times that the stream went on at another engine, with its memory. */
   moves = 0;
-  #refusal: Readonly<Record<string, unknown>> = {};
-  #quota: Readonly<Record<string, unknown>> = {};
-  #loss: Readonly<Record<string, unknown>> = {};
-  #suspicion: Readonly<Record<string, unknown>> = {};
+  #refusalFields: Readonly<Record<string, unknown>> = {};
+  #quotaFields: Readonly<Record<string, unknown>> = {};
+  #lossFields: Readonly<Record<string, unknown>> = {};
+  #suspicionFields: Readonly<Record<string, unknown>> = {};
   readonly #context: GatewayContext;
   readonly #input: CallInput;
   readonly #service: string;
@@ -62,7 +62,7 @@
   }
 
   /** Notes that an upstream took the request for its own. */
-  noteArrival(): void {
+  noteAccepted(): void {
     this.sends++;
     this.arrivals++;
   }
@@ -74,7 +74,7 @@
       const ms = nowMs - this.#arrivedMonoMs;
       this.#firstByteMs = Math.round(ms);
       const labels = `service="${this.#service}"`;
-      this.#context.metrics.time("first_byte", labels, ms);
+      this.#context.metrics.recordTime("first_byte", labels, ms);
     } else this.#notePause(nowMs - this.#lastChunkMonoMs);
     this.#lastChunkMonoMs = nowMs;
     this.#chunks++;
@@ -90,8 +90,8 @@
   }
 
   /** It is refused; `here` and `elsewhere` are what that was decided on. */
-  noteRefused({ here, elsewhere }: RefusedOn): void {
-    this.#refusal = {
+  noteRefused({ here, elsewhere }: RefusalDetails): void {
+    this.#refusalFields = {
       here,
       elsewhere:
         elsewhere.map(({ region, free, queue }) => `${region}:${free}/${queue}`)
@@ -101,12 +101,12 @@
 
   /** Its use of its workspace's limit was looked at, and counted or refused. */
   noteQuota({ units }: QuotaUse, countedBy: CountedBy): void {
-    this.#quota = { quotaUnits: units, countedBy };
+    this.#quotaFields = { quotaUnits: units, countedBy };
   }
 
   /** An upstream's connection broke under it; `digest` names the request under any attempt. */
   noteLoss({ sentAgoMs, beganAgoMs }: Loss, digest: string): void {
-    this.#loss = {
+    this.#lossFields = {
       request: digest,
       lostAfterMs: Math.round(sentAgoMs),
       lostAfterBeginMs: beganAgoMs && Math.round(beganAgoMs),
@@ -115,23 +115,26 @@
 
   /** Upstreams ended under it before. */
   noteSuspect(
-    standing: Standing,
+    standing: SuspectStatus,
     digest: string,
     ends: readonly string[],
   ): void {
-    this.#suspicion = { request: digest, standing, ends: ends.join() };
+    this.#suspicionFields = { request: digest, standing, ends: ends.join() };
   }
 
   /** The request is sent once more. */
-  sentAgain(reason: string): void {
-    this.#context.log.warn("sent again", this.#fields({ reason }));
+  noteRetry(reason: string): void {
+    this.#context.log.warn("sent again", this.#logFields({ reason }));
     this.#context.metrics.count("sent_again", `service="${this.#service}"`);
   }
 
   /** A fault of this program. */
-  fault(error: unknown): void {
+  noteInternalError(error: unknown): void {
     const reason = (error as Error).stack ?? String(error);
-    this.#context.log.error("request failed inside", this.#fields({ reason }));
+    this.#context.log.error(
+      "request failed inside",
+      this.#logFields({ reason }),
+    );
   }
 
   /** The request is over. */
@@ -146,8 +149,8 @@
     const labels =
       `service="${this.#service}",kind="${route.kind}",relayed="${relayed}"`;
     metrics.count("requests", `${labels},outcome="${outcome}"`);
-    metrics.time("total", labels, totalMs);
-    const fields = this.#fields({
+    metrics.recordTime("total", labels, totalMs);
+    const fields = this.#logFields({
       outcome,
       reason,
       comeBackMs,
@@ -158,11 +161,11 @@
     else log.warn("request", fields);
   }
 
-  #fields(more: Record<string, unknown>): Record<string, unknown> {
+  #logFields(more: Record<string, unknown>): Record<string, unknown> {
     const { head, route, config, caller, relayed, deadlineMonoMs } =
       this.#input;
     const { ms, afterChunks, waitingTokens } = this.#longestPause;
-    const pause = ms === 0 ? {} : {
+    const pauseFields = ms === 0 ? {} : {
       longestPauseMs: Math.round(ms),
       pauseAfter: afterChunks,
       pauseBeside: waitingTokens,
@@ -186,11 +189,11 @@
       objectiveMs: route.objectiveMs,
       gapMs: route.eventGapMs,
       moves: this.moves,
-      ...pause,
-      ...this.#quota,
-      ...this.#suspicion,
-      ...this.#loss,
-      ...this.#refusal,
+      ...pauseFields,
+      ...this.#quotaFields,
+      ...this.#suspicionFields,
+      ...this.#lossFields,
+      ...this.#refusalFields,
       ...more,
     };
   }
--- a/src/gateway/call_sends.ts
+++ b/src/gateway/call_sends.ts
@@ -4,19 +4,19 @@
  * @module
  */
 
-import { forwardedHeaders, resumedAfter } from "../platform/mod.ts";
+import { addResumeHeader, forwardedHeaders } from "../platform/mod.ts";
 import {
-  mayRepeat,
-  patienceMs,
-  type ServiceRow,
+  answerTimeoutMs,
+  isRepeatable,
+  type ServiceConfig,
   type Step,
 } from "../routing/mod.ts";
 import type { CallInput } from "./call_input.ts";
-import type { CallPlaces } from "./call_places.ts";
+import type { CallPlacement } from "./call_places.ts";
 import type { CallRecord } from "./call_record.ts";
 import type { GatewayContext } from "./context.ts";
 import { RelaySend } from "./relay_send.ts";
-import type { Send, Sendable } from "./send.ts";
+import type { OutboundRequest, Send } from "./send.ts";
 import { UpstreamSend } from "./upstream_send.ts";
 import type { LinkedCandidate, PromptShape } from "./upstream_link.ts";
 
@@ -29,15 +29,15 @@
   /** Whether upstreams ended as the request began to run. */
   readonly isSuspect: boolean;
   /** Whether it has the leave to run once more. */
-  readonly isOnTrial: boolean;
+  readonly isTrialRun: boolean;
 }
 
 /** Options of {@link CallSends}. */
 export interface CallSendsOptions {
   readonly context: GatewayContext;
   readonly input: CallInput;
-  readonly service: ServiceRow;
-  readonly places: CallPlaces;
+  readonly service: ServiceConfig;
+  readonly places: CallPlacement;
   readonly record: CallRecord;
 }
 
@@ -53,7 +53,7 @@
     this.#prompt = { parts: head.promptParts, tokens: head.promptTokens };
     this.#headers = forwardedHeaders(
       request.rawHeaders,
-      config.workspaces.areRequired
+      config.workspaces.isKeyRequired
         ? { workspace: caller.workspace?.name }
         : undefined,
     );
@@ -65,74 +65,78 @@
     state: SendState,
   ): Send | undefined {
     return step.type === "send"
-      ? this.#toUpstream(step.candidate, state)
-      : this.#toRegion(step.region, state);
+      ? this.#sendToUpstream(step.candidate, state)
+      : this.#sendToRegion(step.region, state);
   }
 
   /** A stream that was stopped in order to move goes on; `undefined` if its new engine is gone. */
-  goOn(
+  continueMoved(
     candidate: LinkedCandidate,
     goesOnFrom: string,
     state: SendState,
   ): Send | undefined {
-    if (!this.#take(candidate)) return undefined;
+    if (!this.#admit(candidate)) return undefined;
     this.#options.record.moves++;
-    const sendable = {
-      ...this.#sendable(0, undefined, state),
+    const outbound = {
+      ...this.#buildRequest(0, undefined, state),
       goesOnFrom,
       urgency: 0,
     };
-    return new UpstreamSend(this.#options.context, sendable, candidate);
+    return new UpstreamSend(this.#options.context, outbound, candidate);
   }
 
-  #take(candidate: LinkedCandidate): boolean {
+  #admit(candidate: LinkedCandidate): boolean {
     const { context, service, places, record } = this.#options;
-    const isTaken = context.upstreams.take(candidate, service, this.#prompt);
+    const isAdmitted = context.upstreams.tryAdmit(
+      candidate,
+      service,
+      this.#prompt,
+    );
     // A lead that has not heard that an upstream leaves would choose it again.
-    if (isTaken || candidate.granted) places.noteTried(candidate);
-    if (!isTaken) return false;
+    if (isAdmitted || candidate.grant) places.noteTried(candidate);
+    if (!isAdmitted) return false;
     record.place = candidate.key;
     return true;
   }
 
-  #toUpstream(
+  #sendToUpstream(
     candidate: LinkedCandidate,
     state: SendState,
   ): Send | undefined {
-    if (!this.#take(candidate)) return undefined;
+    if (!this.#admit(candidate)) return undefined;
     const { context, service, places } = this.#options;
-    const fetchFrom = context.upstreams.fetchFrom(
+    const fetchFrom = context.upstreams.pickFetchSource(
       candidate,
       service,
       this.#prompt,
-      places.isHome,
+      places.isHomeRegion,
     );
     const promptTokens = service.engine ? candidate.unreadTokens : 0;
-    const sendable = this.#sendable(promptTokens, fetchFrom, state);
-    return new UpstreamSend(context, sendable, candidate);
+    const outbound = this.#buildRequest(promptTokens, fetchFrom, state);
+    return new UpstreamSend(context, outbound, candidate);
   }
 
-  #toRegion(region: string, state: SendState): Send | undefined {
+  #sendToRegion(region: string, state: SendState): Send | undefined {
     const { context, places, record, input } = this.#options;
     places.noteTriedRegion(region);
-    const vm = context.relays.pick(region, context.random);
+    const vm = context.relays.pickTarget(region, context.random);
     if (!vm) return undefined;
     record.place = vm.ip;
-    const sendable = this.#sendable(0, undefined, state);
-    return new RelaySend(context, sendable, vm, {
+    const outbound = this.#buildRequest(0, undefined, state);
+    return new RelaySend(context, outbound, vm, {
       configVersion: input.config.version,
       keyDigest: input.head.keyDigest,
-      isOnTrial: state.isOnTrial,
+      isTrialRun: state.isTrialRun,
       // One, and no more: this VM cannot tell how many were used if it gives the hand-over up, and may send again itself.
       mostUpstreams: 1,
     });
   }
 
-  #sendable(
+  #buildRequest(
     promptTokens: number,
     fetchFrom: string | undefined,
     { body, lastEventId, onStreamCheck, isSuspect }: SendState,
-  ): Sendable {
+  ): OutboundRequest {
     const { input, service, places, record } = this.#options;
     const { head, request, route, deadlineMonoMs } = input;
     return {
@@ -141,7 +145,7 @@
       attemptId: head.attemptId,
       headers: lastEventId === undefined
         ? this.#headers
-        : resumedAfter(this.#headers, lastEventId),
+        : addResumeHeader(this.#headers, lastEventId),
       body,
       deadlineMonoMs,
       promptTokens,
@@ -152,21 +156,21 @@
       onStreamCheck,
       eventGapMs: route.eventGapMs,
       // What may have ended an upstream must not run at a second one while its first run is unknown.
-      patienceMs: record.tries === 0 && !isSuspect
-        ? patienceMs(route)
+      answerTimeoutMs: record.tries === 0 && !isSuspect
+        ? answerTimeoutMs(route)
         : Infinity,
-      mayRepeat: mayRepeat(route),
+      mayRepeat: isRepeatable(route),
       isSuspect,
-      hasOther: () => this.#hasOther(),
+      hasAlternative: () => this.#hasAlternative(),
     };
   }
 
   /** Whether giving up an answer that does not come gains anything: a place that is free, and a repeat that is left. */
-  #hasOther(): boolean {
+  #hasAlternative(): boolean {
     const { context, service, places } = this.#options;
     const { clock, members } = context;
-    return context.budget(service.name)
-      .hasOne(clock.monoMs(), members.count()) &&
-      (places.next().type === "relay" || places.hasOtherHere());
+    return context.retryBudget(service.name)
+      .canTake(clock.monoMs(), members.vmCount()) &&
+      (places.nextLocally().type === "relay" || places.hasLocalAlternative());
   }
 }
--- a/src/gateway/call_suspicion.ts
+++ b/src/gateway/call_suspicion.ts
@@ -5,11 +5,11 @@
  */
 
 import {
+  canBeCause,
   hasSurvived,
-  mayBeCause,
   requestDigest,
-  type Standing,
-  type SuspectKeeper,
+  type SuspectStatus,
+  type SuspectTracker,
   type SuspectVerdict,
 } from "../suspects/mod.ts";
 import type { CallInput } from "./call_input.ts";
@@ -25,38 +25,40 @@
   readonly #context: GatewayContext;
   readonly #input: CallInput;
   readonly #record: CallRecord;
-  #digest: string | undefined;
-  #hasLeave: boolean;
+  #cachedDigest: string | undefined;
+  #isTrialRun: boolean;
   /** Whether a hand-over broke off at the request's begin: the other VM has no way left to say why. */
-  #isDoubtful = false;
+  #hasEarlyRelayLoss = false;
   #beganMonoMs: number | undefined;
 
   constructor(context: GatewayContext, input: CallInput, record: CallRecord) {
     this.#context = context;
     this.#input = input;
     this.#record = record;
-    this.#hasLeave = input.isOnTrial;
+    this.#isTrialRun = input.isTrialRun;
   }
 
   /** Whether it is placed where an end harms least. */
   get isSuspect(): boolean {
-    return this.#isDoubtful || this.#standing !== "clear";
+    return this.#hasEarlyRelayLoss || this.#standing !== "clear";
   }
 
   /** Whether this VM, or the one that handed it over, has the leave to run it although it is on trial. */
-  get hasLeave(): boolean {
-    return this.#hasLeave;
+  get isTrialRun(): boolean {
+    return this.#isTrialRun;
   }
 
   /** Whether it may be placed now. */
-  async judge(): Promise<SuspectVerdict> {
+  async checkMayRun(): Promise<SuspectVerdict> {
     const standing = this.#standing;
-    if (standing === "clear") return { type: "runs", hasLeave: this.#hasLeave };
+    if (standing === "clear") {
+      return { type: "runs", hasLeave: this.#isTrialRun };
+    }
     const { metrics } = this.#context;
-    const ends = this.#keeper.ends(this.#named);
-    this.#record.noteSuspect(standing, this.#named, ends);
-    const verdict = await this.#keeper.judge(this.#named, this.#hasLeave);
-    if (verdict.type === "runs") this.#hasLeave = verdict.hasLeave;
+    const ends = this.#keeper.crashedUpstreams(this.#digest);
+    this.#record.noteSuspect(standing, this.#digest, ends);
+    const verdict = await this.#keeper.decide(this.#digest, this.#isTrialRun);
+    if (verdict.type === "runs") this.#isTrialRun = verdict.hasLeave;
     const outcome = verdict.type === "runs" ? verdict.type : verdict.code;
     metrics.count("suspects", `standing="${standing}",outcome="${outcome}"`);
     return verdict;
@@ -72,52 +74,59 @@
     const nowMs = this.#context.clock.monoMs();
     this.#beganMonoMs ??= nowMs;
     if (!this.#keeper.hasSuspects) return;
-    if (hasSurvived(nowMs - this.#beganMonoMs)) this.#keeper.clear(this.#named);
+    if (hasSurvived(nowMs - this.#beganMonoMs)) {
+      this.#keeper.clear(this.#digest);
+    }
   }
 
   /** It was answered whole, by an upstream that is still there. */
   noteServed(): void {
-    if (this.#keeper.hasSuspects) this.#keeper.clear(this.#named);
+    if (this.#keeper.hasSuspects) this.#keeper.clear(this.#digest);
   }
 
   /** A send was lost. Waits until it is known whether its upstream ended, where the request may go on elsewhere. */
   async noteLoss(send: Send, mayGoOn: boolean): Promise<void> {
     const { loss } = send;
     if (loss) {
-      if (!loss.isGivenUp) this.#record.noteLoss(loss, this.#named);
-      const noted = this.#context.suspects.noteLoss(this.#named, loss);
+      if (!loss.isGivenUp) this.#record.noteLoss(loss, this.#digest);
+      const noted = this.#context.suspects.noteLoss(this.#digest, loss);
       // What was given up for want of time must not wait longer to learn why.
       if (mayGoOn && !loss.isGivenUp) this.#record.endedUpstream = await noted;
-    } else if (send instanceof RelaySend) this.#isDoubtful ||= this.#isEarly;
+    } else if (send instanceof RelaySend) {
+      this.#hasEarlyRelayLoss ||= this.#mayBeCause;
+    }
   }
 
   /** The VM that the request was handed to says that an upstream ended under it. */
   noteEndElsewhere(upstreamKey: string): void {
-    this.#keeper.noteEndElsewhere(this.#named, upstreamKey);
+    this.#keeper.noteRemoteCrash(this.#digest, upstreamKey);
   }
 
-  get #isEarly(): boolean {
+  get #mayBeCause(): boolean {
     const nowMs = this.#context.clock.monoMs();
-    return mayBeCause(
+    return canBeCause(
       this.#beganMonoMs === undefined
         ? {}
         : { beganAgoMs: nowMs - this.#beganMonoMs },
     );
   }
 
-  get #keeper(): SuspectKeeper {
+  get #keeper(): SuspectTracker {
     return this.#context.suspects.keeper;
   }
 
-  get #standing(): Standing {
+  get #standing(): SuspectStatus {
     return this.#keeper.hasSuspects
-      ? this.#keeper.standing(this.#named)
+      ? this.#keeper.statusOf(this.#digest)
       : "clear";
   }
 
   /** Hashed when it is first asked for: usually nobody is suspected, and no request is. */
-  get #named(): string {
-    this.#digest ??= requestDigest({ ...this.#input.head, body: this.body });
-    return this.#digest;
+  get #digest(): string {
+    this.#cachedDigest ??= requestDigest({
+      ...this.#input.head,
+      body: this.body,
+    });
+    return this.#cachedDigest;
   }
 }
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -6,18 +6,18 @@
 
 import { type Clock, Random } from "../base/mod.ts";
 import type { Log } from "../kernel/mod.ts";
-import { type RepeatBounds, RepeatBudget } from "../routing/mod.ts";
-import type { Beliefs } from "./beliefs.ts";
+import { RetryBudget, type RetryBudgetLimits } from "../routing/mod.ts";
+import type { StoreView } from "./beliefs.ts";
 import { BodyMemory } from "./body.ts";
-import type { Losses } from "./losses.ts";
+import type { LossProber } from "./losses.ts";
 import type { Members } from "./members.ts";
-import type { Placing } from "./placing.ts";
+import type { Placer } from "./placing.ts";
 import type { Quotas } from "./quotas.ts";
 import type { Relays } from "./relays.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 import type { GatewaySettings } from "./settings.ts";
 import type { Suspects } from "./suspects.ts";
-import { Turns } from "./turns.ts";
+import { StartQueue } from "./turns.ts";
 import type { Upstreams } from "./upstreams.ts";
 
 /** Share of a VM's memory that bodies may take; the process itself needs about a third. */
@@ -30,27 +30,27 @@
   settings: GatewaySettings;
   readonly clock: Clock;
   readonly log: Log;
-  readonly beliefs: Beliefs;
+  readonly beliefs: StoreView;
   readonly members: Members;
   readonly upstreams: Upstreams;
   readonly relays: Relays;
-  readonly placing: Placing;
+  readonly placing: Placer;
   readonly quotas: Quotas;
   readonly metrics: GatewayMetrics;
-  readonly losses: Losses;
+  readonly losses: LossProber;
   readonly suspects: Suspects;
   readonly random = new Random(process.pid ^ Date.now());
   readonly bodies: BodyMemory;
-  readonly turns: Turns;
+  readonly turns: StartQueue;
   /** Whether this VM is being stopped. */
-  isLeaving = false;
+  isDraining = false;
   /** When the signal to stop came, on the monotonic clock. */
-  leavingMonoMs = Infinity;
+  drainStartMonoMs = Infinity;
   /** When the process ends, on the monotonic clock. */
   endMonoMs = Infinity;
   /** Requests under way. */
-  open = 0;
-  readonly #budgets = new Map<string, RepeatBudget>();
+  openRequests = 0;
+  readonly #retryBudgets = new Map<string, RetryBudget>();
 
   constructor(
     parts: Pick<
@@ -81,24 +81,24 @@
     this.metrics = parts.metrics;
     this.losses = parts.losses;
     this.suspects = parts.suspects;
-    this.turns = new Turns(parts.clock);
+    this.turns = new StartQueue(parts.clock);
     this.bodies = new BodyMemory(
       parts.settings.vm.memoryMb * BYTES_PER_MB * BODY_MEMORY_SHARE,
     );
   }
 
   /** The budget of repeats of a service. */
-  budget(service: string): RepeatBudget {
-    let budget = this.#budgets.get(service);
+  retryBudget(service: string): RetryBudget {
+    let budget = this.#retryBudgets.get(service);
     if (!budget) {
       const { repeatRatio, repeatSlack, repeatWindowMs } = this.settings.bounds;
-      const bounds: RepeatBounds = {
+      const bounds: RetryBudgetLimits = {
         ratio: repeatRatio,
         slack: repeatSlack,
         windowMs: repeatWindowMs,
       };
-      budget = new RepeatBudget(bounds);
-      this.#budgets.set(service, budget);
+      budget = new RetryBudget(bounds);
+      this.#retryBudgets.set(service, budget);
     }
     return budget;
   }
--- a/src/gateway/datagrams.ts
+++ b/src/gateway/datagrams.ts
@@ -21,11 +21,11 @@
   readonly name = "datagrams";
   readonly #ip: string;
   readonly #port: number;
-  readonly #handlers = new Map<string, DatagramHandler>();
+  readonly #methodHandlers = new Map<string, DatagramHandler>();
   protected readonly handlers: Handlers<Messages> = {};
   #socket!: Socket;
   #log!: Log;
-  #open = true;
+  #isOpen = true;
   #received = 0;
   #sent = 0;
 
@@ -38,7 +38,7 @@
 
   /** Names who takes a method's datagrams; one handler a method. */
   on(method: string, handler: DatagramHandler): void {
-    this.#handlers.set(method, handler);
+    this.#methodHandlers.set(method, handler);
   }
 
   async start(kernel: Kernel): Promise<void> {
@@ -63,7 +63,7 @@
   }
 
   close(_deadlineMs: number): Promise<void> {
-    this.#open = false;
+    this.#isOpen = false;
     this.#socket.close();
     return Promise.resolve();
   }
@@ -74,7 +74,7 @@
 
   /** Sends one message to some VMs; it is encoded once. */
   send(method: string, params: unknown, ips: readonly string[]): void {
-    if (!this.#open || ips.length === 0) return;
+    if (!this.#isOpen || ips.length === 0) return;
     const datagram = Buffer.from(
       JSON.stringify({ jsonrpc: "2.0", method, params }),
     );
@@ -85,7 +85,7 @@
   }
 
   #receive(datagram: Buffer, fromIp: string): void {
-    if (!this.#open) return;
+    if (!this.#isOpen) return;
     this.#received++;
     let message: { method?: unknown; params?: unknown } | null;
     try {
@@ -94,6 +94,9 @@
       // The port is open to whoever finds it: what is no message of ours is not answered and not logged.
       return;
     }
-    this.#handlers.get(String(message?.method))?.(message?.params, fromIp);
+    this.#methodHandlers.get(String(message?.method))?.(
+      message?.params,
+      fromIp,
+    );
   }
 }
--- a/src/gateway/directory.ts
+++ b/src/gateway/directory.ts
@@ -17,19 +17,19 @@
   LOOKUP_PATH,
   READY_PATH,
 } from "../platform/mod.ts";
-import { type NamedVm, nameVms } from "../routing/mod.ts";
+import { type DirectoryVm, selectVms } from "../routing/mod.ts";
 import type { GatewayContext } from "./context.ts";
-import { closeServer, hostPort, listen } from "./listen.ts";
+import { closeServer, listen, splitAddress } from "./listen.ts";
 
 /**
  * How long an answer may be kept. Some callers keep it three times as long; with a second, all have left a VM three
  * seconds after it began to leave, and half a stop's time remains for what they sent.
  */
-const KEEP_S = 1;
+const ANSWER_TTL_S = 1;
 /** Most addresses that callers take from an answer. */
-const MOST_ADDRESSES = 64;
+const MAX_ADDRESSES = 64;
 const METRICS_PATH = "/metrics";
-const BASE = "http://directory";
+const URL_BASE = "http://directory";
 
 /** See the module. */
 export class Directory extends Task {
@@ -75,33 +75,35 @@
    * would refuse what the others can serve.
    */
   get isReady(): boolean {
-    const { beliefs, isLeaving } = this.#context;
+    const { beliefs, isDraining } = this.#context;
     return beliefs.config !== undefined && beliefs.revisions.upstreams > 0 &&
-      !isLeaving;
+      !isDraining;
   }
 
-  /** The addresses that callers of a region should use; see {@link nameVms}. */
+  /** The addresses that callers of a region should use; see {@link selectVms}. */
   addresses(region: string): string[] {
-    const { settings, members, isLeaving, endMonoMs, clock } = this.#context;
-    const { port } = hostPort(settings.listen.callers);
+    const { settings, members, isDraining, endMonoMs, clock } = this.#context;
+    const { port } = splitAddress(settings.listen.callers);
     const regions = new Set([
       region,
       settings.vm.region,
-      ...members.regions().map(({ digest }) => digest.from.region),
+      ...members.otherRegions().map(({ digest }) => digest.from.region),
     ]);
-    const vms: NamedVm[] = [...regions].flatMap((name) => members.named(name));
+    const vms: DirectoryVm[] = [...regions].flatMap((name) =>
+      members.vmsForCallers(name)
+    );
     vms.push({
       ip: settings.vm.ip,
       region: settings.vm.region,
       isReady: this.isReady,
-      servesMs: isLeaving ? endMonoMs - clock.monoMs() : 0,
+      servesMs: isDraining ? endMonoMs - clock.monoMs() : 0,
     });
-    return nameVms(vms, region).slice(0, MOST_ADDRESSES)
+    return selectVms(vms, region).slice(0, MAX_ADDRESSES)
       .map(({ ip }) => `${ip}:${port}`);
   }
 
   #respond(request: IncomingMessage, response: ServerResponse): void {
-    const url = new URL(request.url ?? "/", BASE);
+    const url = new URL(request.url ?? "/", URL_BASE);
     if (url.pathname === READY_PATH) {
       response.writeHead(this.isReady ? 200 : 503).end();
     } else if (url.pathname === LOOKUP_PATH) {
@@ -109,10 +111,10 @@
       response.writeHead(addresses.length > 0 ? 200 : 503, {
         "content-type": "application/json",
       });
-      response.end(encodeLookup(addresses, KEEP_S));
+      response.end(encodeLookup(addresses, ANSWER_TTL_S));
     } else if (url.pathname === METRICS_PATH) {
       response.writeHead(200, { "content-type": "text/plain; version=0.0.4" });
-      response.end(this.#context.metrics.page());
+      response.end(this.#context.metrics.renderPage());
     } else {
       response.writeHead(404).end();
     }
--- a/src/gateway/due_note.ts
+++ b/src/gateway/due_note.ts
@@ -10,45 +10,49 @@
  * How long a change of load waits to be told, together with others. That a prompt has been read must be known soon, as
  * prompts wait some hundred ms at an engine; that an answer is over changes less.
  */
-const READ_NOTE_MS = 40;
-const OVER_NOTE_MS = 120;
+const READ_DELAY_MS = 40;
+const END_DELAY_MS = 120;
 /** Outcomes kept for the next note; more than a VM sees between two. */
-const MOST_SEEN = 64;
+const MAX_OUTCOMES = 64;
 
 /** See the module. Its methods return when the next note is due; `Infinity` if none is. */
-export class DueNote {
+export class PendingLoadNote {
   #dueMs = Infinity;
-  #takenMs = -Infinity;
-  #seen: SeenOutcome[] = [];
+  #lastTakenMs = -Infinity;
+  #outcomes: SeenOutcome[] = [];
 
   get dueMs(): number {
     return this.#dueMs;
   }
 
   /** A prompt has been read. `isFirst`: nobody else has to be told. */
-  noteRead(isFirst: boolean, nowMs: number): number {
-    return this.#within(isFirst, nowMs, READ_NOTE_MS);
+  noteRead(needsNoNote: boolean, nowMs: number): number {
+    return this.#schedule(needsNoNote, nowMs, READ_DELAY_MS);
   }
 
   /** A send is over, with this outcome. */
-  noteOver(isFirst: boolean, nowMs: number, seen?: SeenOutcome): number {
-    if (seen && !isFirst && this.#seen.length < MOST_SEEN) {
-      this.#seen.push(seen);
+  noteSendEnd(
+    needsNoNote: boolean,
+    nowMs: number,
+    outcome?: SeenOutcome,
+  ): number {
+    if (outcome && !needsNoNote && this.#outcomes.length < MAX_OUTCOMES) {
+      this.#outcomes.push(outcome);
     }
-    return this.#within(isFirst, nowMs, OVER_NOTE_MS);
+    return this.#schedule(needsNoNote, nowMs, END_DELAY_MS);
   }
 
   /** What the note tells, and how long ago the last one was. */
   take(nowMs: number): { seen: readonly SeenOutcome[]; sinceMs: number } {
-    const taken = { seen: this.#seen, sinceMs: nowMs - this.#takenMs };
+    const taken = { seen: this.#outcomes, sinceMs: nowMs - this.#lastTakenMs };
     this.#dueMs = Infinity;
-    this.#takenMs = nowMs;
-    this.#seen = [];
+    this.#lastTakenMs = nowMs;
+    this.#outcomes = [];
     return taken;
   }
 
-  #within(isFirst: boolean, nowMs: number, ms: number): number {
-    if (!isFirst) this.#dueMs = Math.min(this.#dueMs, nowMs + ms);
+  #schedule(needsNoNote: boolean, nowMs: number, delayMs: number): number {
+    if (!needsNoNote) this.#dueMs = Math.min(this.#dueMs, nowMs + delayMs);
     return this.#dueMs;
   }
 }
--- a/src/gateway/end_teller.ts
+++ b/src/gateway/end_teller.ts
@@ -5,24 +5,24 @@
  */
 
 import type { Clock, Timer } from "../base/mod.ts";
-import { encodeEnds, type EndNews } from "../suspects/mod.ts";
+import { type CrashRow, encodeCrashes } from "../suspects/mod.ts";
 import type { Datagrams } from "./datagrams.ts";
 import type { Members } from "./members.ts";
 
 /** An upstream breaks all of its connections within this time; what was seen of it goes out together. */
-const TOGETHER_MS = 15;
+const BATCH_MS = 15;
 
 /**
  * See the module. A VM tells the leads of its region, and a lead all VMs there, and the leads of other regions what is
  * not from one of them.
  */
-export class EndTeller {
+export class CrashNotifier {
   readonly #region: string;
   readonly #datagrams: Datagrams;
   readonly #members: Members;
   readonly #clock: Clock;
-  #near: EndNews[] = [];
-  #far: EndNews[] = [];
+  #regionRows: CrashRow[] = [];
+  #otherRegionsRows: CrashRow[] = [];
   #timer: Timer | undefined;
 
   constructor(
@@ -38,10 +38,10 @@
   }
 
   /** Tells rows in a moment; `isOwn` if they were seen in this region. */
-  tell(rows: readonly EndNews[], isOwn: boolean): void {
-    this.#near.push(...rows);
-    if (isOwn) this.#far.push(...rows);
-    this.#timer ??= this.#clock.after(TOGETHER_MS, () => this.#send());
+  notify(rows: readonly CrashRow[], isFromThisRegion: boolean): void {
+    this.#regionRows.push(...rows);
+    if (isFromThisRegion) this.#otherRegionsRows.push(...rows);
+    this.#timer ??= this.#clock.after(BATCH_MS, () => this.#send());
   }
 
   close(): void {
@@ -50,23 +50,26 @@
 
   #send(): void {
     this.#timer = undefined;
-    const [near, far] = [this.#near, this.#far];
-    this.#near = [];
-    this.#far = [];
+    const [regionRows, otherRegionsRows] = [
+      this.#regionRows,
+      this.#otherRegionsRows,
+    ];
+    this.#regionRows = [];
+    this.#otherRegionsRows = [];
     const members = this.#members;
     if (!members.isLead) {
-      return this.#sendTo(members.leads.map(({ ip }) => ip), near);
+      return this.#sendTo(members.leads.map(({ ip }) => ip), regionRows);
     }
-    this.#sendTo(members.reporters().map(({ ip }) => ip), near);
-    const leadsElsewhere = members.regions().flatMap(({ digest }) =>
+    this.#sendTo(members.reporters().map(({ ip }) => ip), regionRows);
+    const leadsElsewhere = members.otherRegions().flatMap(({ digest }) =>
       digest.leads.map(({ ip }) => ip)
     );
-    this.#sendTo(leadsElsewhere, far);
+    this.#sendTo(leadsElsewhere, otherRegionsRows);
   }
 
-  #sendTo(ips: readonly string[], rows: readonly EndNews[]): void {
-    for (const told of encodeEnds(this.#region, rows)) {
-      this.#datagrams.send("ends", told, ips);
+  #sendTo(ips: readonly string[], rows: readonly CrashRow[]): void {
+    for (const message of encodeCrashes(this.#region, rows)) {
+      this.#datagrams.send("ends", message, ips);
     }
   }
 }
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -25,7 +25,7 @@
   /** Empty if there is none. */
   readonly body: Buffer;
   /** Time for a new connection, in ms. */
-  readonly connectWaitMs: number;
+  readonly connectTimeoutMs: number;
 }
 
 /** Why no answer came. `sent` says whether the other side can have got any of the request. */
@@ -35,7 +35,7 @@
 }
 
 /** Methods whose requests carry a length even when the body is empty. */
-const WITH_BODY = new Set(["POST", "PUT", "PATCH"]);
+const METHODS_WITH_BODY = new Set(["POST", "PUT", "PATCH"]);
 
 /** See the module. */
 export class Exchange {
@@ -47,7 +47,7 @@
   constructor(options: ExchangeRequest) {
     const { agent, host, port, method, target, body } = options;
     const headers = [...options.headers];
-    if (body.length > 0 || WITH_BODY.has(method)) {
+    if (body.length > 0 || METHODS_WITH_BODY.has(method)) {
       headers.push("Content-Length", String(body.length));
     }
     this.#request = request({
@@ -61,7 +61,7 @@
     this.head = new Promise((resolve) => {
       this.#request.on(
         "socket",
-        (socket) => this.#watchConnect(socket, options.connectWaitMs),
+        (socket) => this.#watchConnect(socket, options.connectTimeoutMs),
       );
       this.#request.on("response", (answer) => resolve(ok(answer)));
       this.#request.on(
@@ -86,14 +86,14 @@
    * Bytes are held until the connection is made, so an attempt to connect that fails or takes too long has sent
    * nothing. A dark machine answers no attempt; without the time limit the request would wait for the kernel's.
    */
-  #watchConnect(socket: Socket, connectWaitMs: number): void {
+  #watchConnect(socket: Socket, connectTimeoutMs: number): void {
     if (!socket.connecting) {
       this.#connected = true;
       return;
     }
     const timer = setTimeout(
       () => this.cancel("connect timed out"),
-      connectWaitMs,
+      connectTimeoutMs,
     );
     socket.once("connect", () => {
       this.#connected = true;
