--- a/src/gateway/follower.ts
+++ b/src/gateway/follower.ts
@@ -16,10 +16,10 @@
 import { backoffMs, type Clock, Random } from "../base/mod.ts";
 import type { Log } from "../kernel/mod.ts";
 import {
+  type ApplyResult,
   type News,
   Replica,
   type ReplicaOptions,
-  type Taken,
 } from "./replica.ts";
 
 /** What a follower needs of the store. */
@@ -59,21 +59,21 @@
 }
 
 /** First and longest wait after a failed call: an outage costs four calls a second and VM at most. */
-const RETRY = { firstMs: 150, mostMs: 500 };
+const RETRY = { firstMs: 150, maxMs: 500 };
 
 /** How often a VM that does not ask looks whether it should; a lead that is gone is found in twice this time. */
-const LOOK_MS = 500;
+const READER_CHECK_MS = 500;
 /** Keys that one log line names. */
-const MOST_KEYS_LOGGED = 8;
+const MAX_LOGGED_KEYS = 8;
 
 /** See the module. */
 export class Follower {
   readonly #options: FollowerOptions;
   readonly #replica: Replica;
   readonly #random = new Random(process.pid);
-  #open = true;
+  #isOpen = true;
   #failures = 0;
-  #heardMonoMs = -Infinity;
+  #answeredMonoMs = -Infinity;
   #failingSinceMonoMs: number | undefined;
   #recoveredMonoMs = -Infinity;
 
@@ -88,7 +88,7 @@
   }
 
   close(): void {
-    this.#open = false;
+    this.#isOpen = false;
   }
 
   /** Whether the last call failed. */
@@ -97,8 +97,8 @@
   }
 
   /** When the store answered last, on the monotonic clock. */
-  get heardMonoMs(): number {
-    return this.#heardMonoMs;
+  get answeredMonoMs(): number {
+    return this.#answeredMonoMs;
   }
 
   /** When the store answered again after failures, on the monotonic clock; `-Infinity` if it never failed. */
@@ -111,9 +111,9 @@
     return this.#replica.newsRev;
   }
 
-  /** See {@link Replica.saidRev}. */
-  get saidRev(): number {
-    return this.#replica.saidRev;
+  /** See {@link Replica.announcedRev}. */
+  get announcedRev(): number {
+    return this.#replica.announcedRev;
   }
 
   /** What another VM that is at the news `sinceNewsRev` lacks. */
@@ -135,24 +135,24 @@
         this.#options.clock.monoMs() - news.recoveredAgoMs,
       );
     }
-    const taken = this.#replica.adopt(news);
-    this.#logOld(taken, news.rev, from);
-    return taken.isNewer;
+    const result = this.#replica.adopt(news);
+    this.#logStaleKeys(result, news.rev, from);
+    return result.isNewer;
   }
 
   async #run(): Promise<void> {
-    let listed = false;
-    while (this.#open) {
+    let hasListed = false;
+    while (this.#isOpen) {
       // The first listing is every VM's own: it must not wait for others to be found.
       if (this.#replica.rev > 0 && !this.#options.isReader()) {
         this.#failures = 0;
         this.#failingSinceMonoMs = undefined;
-        listed = true;
-        await this.#options.clock.sleep(LOOK_MS);
+        hasListed = true;
+        await this.#options.clock.sleep(READER_CHECK_MS);
         continue;
       }
-      listed = listed ? await this.#follow() : await this.#list();
-      if (listed) continue;
+      hasListed = hasListed ? await this.#pollChanges() : await this.#listAll();
+      if (hasListed) continue;
       const waitMs = this.#failures === 0
         ? 0
         : backoffMs(this.#failures - 1, RETRY, this.#random);
@@ -160,71 +160,71 @@
     }
   }
 
-  async #list(): Promise<boolean> {
+  async #listAll(): Promise<boolean> {
     const { store, prefix } = this.#options;
     const askedAtRev = this.#replica.rev;
     const listing = await store.list(prefix, {}, "table");
-    if (!this.#open) return false;
+    if (!this.#isOpen) return false;
     if (listing.isErr()) {
-      this.#failed(listing.error);
+      this.#noteFailure(listing.error);
       return false;
     }
-    this.#heard();
+    this.#noteAnswer();
     const { entries, rev, more } = listing.value;
-    if (rev < askedAtRev) this.#wentBack(rev);
-    this.#replica.list({
-      entries: entries.map((entry) => this.#seal(entry)),
+    if (rev < askedAtRev) this.#logRegression(rev);
+    this.#replica.applyListing({
+      entries: entries.map((entry) => this.#sealEntry(entry)),
       rev,
       more,
     });
     return true;
   }
 
-  async #follow(): Promise<boolean> {
+  async #pollChanges(): Promise<boolean> {
     const { store, prefix, waitMs, pauseMs, clock } = this.#options;
     const afterRev = this.#replica.rev;
     const changes = await store.changes(prefix, afterRev, waitMs, "table");
-    if (!this.#open) return false;
+    if (!this.#isOpen) return false;
     if (changes.isErr()) {
-      if (changes.error.kind !== "compacted") this.#failed(changes.error);
+      if (changes.error.kind !== "compacted") this.#noteFailure(changes.error);
       return false;
     }
-    this.#heard();
+    this.#noteAnswer();
     const { events, rev } = changes.value;
-    const taken = this.#replica.change(
-      events.map((event) => this.#sealed(event)),
+    const result = this.#replica.applyChanges(
+      events.map((event) => this.#sealEvent(event)),
       rev,
     );
-    this.#logOld(taken, rev, "store");
+    this.#logStaleKeys(result, rev, "store");
     if (pauseMs > 0) await clock.sleep(pauseMs);
     return true;
   }
 
-  #seal(entry: Entry): Entry {
+  #sealEntry(entry: Entry): Entry {
     return this.#options.seal?.(entry) ?? entry;
   }
 
-  #sealed(event: WatchEvent): WatchEvent {
+  #sealEvent(event: WatchEvent): WatchEvent {
     return event.type === "put"
-      ? { type: "put", entry: this.#seal(event.entry) }
+      ? { type: "put", entry: this.#sealEntry(event.entry) }
       : event;
   }
 
   /** Without this line nothing shows that a VM was told what is no longer so, nor by whom. */
-  #logOld({ oldKeys }: Taken, rev: number, from: string): void {
-    if (oldKeys.length === 0) return;
+  #logStaleKeys({ staleKeys }: ApplyResult, rev: number, from: string): void {
+    if (staleKeys.length === 0) return;
     this.#options.log.info("old word left out", {
       prefix: this.#options.prefix,
       from,
       rev,
       knownRev: this.#replica.rev,
-      keys: oldKeys.slice(0, MOST_KEYS_LOGGED).join(),
-      count: oldKeys.length,
+      keys: staleKeys.slice(0, MAX_LOGGED_KEYS).join(),
+      count: staleKeys.length,
     });
   }
 
   /** Nothing of a store that starts its revisions anew can be told from old word: VMs have to start anew too. */
-  #wentBack(rev: number): void {
+  #logRegression(rev: number): void {
     this.#options.log.error("store went back", {
       prefix: this.#options.prefix,
       rev,
@@ -232,9 +232,9 @@
     });
   }
 
-  #heard(): void {
+  #noteAnswer(): void {
     const nowMs = this.#options.clock.monoMs();
-    this.#heardMonoMs = nowMs;
+    this.#answeredMonoMs = nowMs;
     this.#failures = 0;
     if (this.#failingSinceMonoMs === undefined) return;
     this.#options.log.info("store regained", {
@@ -245,7 +245,7 @@
     this.#recoveredMonoMs = nowMs;
   }
 
-  #failed(error: { kind: string; message: string }): void {
+  #noteFailure(error: { kind: string; message: string }): void {
     this.#failures++;
     if (this.#failingSinceMonoMs !== undefined) return;
     this.#failingSinceMonoMs = this.#options.clock.monoMs();
--- a/src/gateway/follower_test.ts
+++ b/src/gateway/follower_test.ts
@@ -117,7 +117,7 @@
       const { follower } = follow(store);
       follower.start();
       await settle();
-      t.is(follower.saidRev, 5);
+      t.is(follower.announcedRev, 5);
       const { entries, deleted, present } = follower.newsSince(4);
       t.deepEqual(entries, [entry("b", 5, "leaves")]);
       t.deepEqual(deleted, []);
@@ -169,7 +169,7 @@
       const { follower } = follow(new ScriptedStore([entry("a", 70)], 80));
       follower.start();
       await settle();
-      t.is(follower.saidRev, 1);
+      t.is(follower.announcedRev, 1);
       t.is(follower.newsRev, 70);
       follower.close();
     });
--- a/src/gateway/front.ts
+++ b/src/gateway/front.ts
@@ -15,7 +15,7 @@
 } from "../kernel/mod.ts";
 import { type CallerHead, decodeHead } from "../platform/mod.ts";
 import { canFinish, type GatewayConfig, type Route } from "../routing/mod.ts";
-import { callerOf, type KnownCaller } from "../workspaces/mod.ts";
+import { identifyCaller, type KnownCaller } from "../workspaces/mod.ts";
 import { Call } from "./call.ts";
 import type { CallInput } from "./call_input.ts";
 import type { GatewayContext } from "./context.ts";
@@ -27,27 +27,27 @@
  * store answers in two ways of 80 ms each from the furthest region, and the shortest objective is 0.4 s.
  */
 const CONFIG_WAIT_MS = 250;
-const CONFIG_LOOK_MS = 20;
+const CONFIG_CHECK_MS = 20;
 /** When to return to a VM without a configuration: it asks the store and other VMs several times a second. */
-const NO_CONFIG_RETURN_MS = 500;
+const NO_CONFIG_RETRY_MS = 500;
 /** When to return if this VM holds too much: as long as a usual answer takes. */
-const FULL_RETURN_MS = 400;
+const OVERLOAD_RETRY_MS = 400;
 /** A request that waits longer for its turn is late elsewhere too by then; callers give up unread ones after a second. */
-const MOST_TURN_WAIT_MS = 400;
+const MAX_TURN_WAIT_MS = 400;
 /** When to return after meeting a VM that is about to stop: at once, elsewhere. */
-const LEAVING_RETURN_MS = 20;
+const DRAINING_RETRY_MS = 20;
 /** Largest head that is parsed at all; the configured limit, usually lower, is applied to what was parsed. */
-const MOST_HEAD_BYTES = 65_536;
+const MAX_HEADER_BYTES = 65_536;
 /** Descriptors kept free for files, listeners, the store and other VMs. */
-const SPARE_DESCRIPTORS = 600;
+const RESERVED_DESCRIPTORS = 600;
 /** An open request holds up to three connections: the caller's, the upstream's, one that is being replaced. */
 const DESCRIPTORS_PER_REQUEST = 3;
 /** Links between VMs are kept longer than the other side uses them idle. */
 const PEER_IDLE_MS = 60_000;
 /** How often timeouts of the listener are looked at. */
-const CHECK_MS = 500;
+const TIMEOUT_CHECK_MS = 500;
 
-function headBytes(request: IncomingMessage): number {
+function countHeaderBytes(request: IncomingMessage): number {
   return request.rawHeaders.reduce(
     (sum, text) => sum + text.length + 2,
     request.url?.length ?? 0,
@@ -55,82 +55,88 @@
 }
 
 /** Answers questions of other VMs that are not requests of callers; see `peer_rpc.ts`. */
-export interface PeerQuestions {
+export interface PeerRpcHandler {
   readonly path: string;
-  answer(request: IncomingMessage, response: ServerResponse): void;
+  handle(request: IncomingMessage, response: ServerResponse): void;
 }
 
 /** See the module. */
-export class Front extends Task {
+export class HttpListeners extends Task {
   readonly name = "front";
   readonly #context: GatewayContext;
-  readonly #questions: PeerQuestions;
+  readonly #peerRpc: PeerRpcHandler;
   protected readonly handlers: Handlers<Messages> = {};
   /** Connections on which a request was read before. */
-  readonly #used = new WeakSet<Socket>();
-  #callers!: Server;
-  #peers!: Server;
+  readonly #usedSockets = new WeakSet<Socket>();
+  #callerServer!: Server;
+  #peerServer!: Server;
 
-  constructor(context: GatewayContext, questions: PeerQuestions) {
+  constructor(context: GatewayContext, peerRpc: PeerRpcHandler) {
     super();
     this.#context = context;
-    this.#questions = questions;
+    this.#peerRpc = peerRpc;
   }
 
   async start(_kernel: Kernel): Promise<void> {
     const { listen: addresses } = this.#context.settings;
-    this.#callers = await listen(addresses.callers, {
-      maxHeaderSize: MOST_HEAD_BYTES,
-      connectionsCheckingInterval: CHECK_MS,
+    this.#callerServer = await listen(addresses.callers, {
+      maxHeaderSize: MAX_HEADER_BYTES,
+      connectionsCheckingInterval: TIMEOUT_CHECK_MS,
       requestTimeout: 0,
-    }, (request, response) => this.#fromCaller(request, response));
-    this.#peers = await listen(addresses.peers, {
+    }, (request, response) => this.#onCallerRequest(request, response));
+    this.#peerServer = await listen(addresses.peers, {
       keepAliveTimeout: PEER_IDLE_MS,
-      maxHeaderSize: 2 * MOST_HEAD_BYTES,
+      maxHeaderSize: 2 * MAX_HEADER_BYTES,
       requestTimeout: 0,
-    }, (request, response) => this.#fromPeer(request, response));
+    }, (request, response) => this.#onPeerRequest(request, response));
   }
 
   async close(_deadlineMs: number): Promise<void> {
-    await Promise.all([closeServer(this.#callers), closeServer(this.#peers)]);
+    await Promise.all([
+      closeServer(this.#callerServer),
+      closeServer(this.#peerServer),
+    ]);
   }
 
   dump(): unknown {
-    return { open: this.#context.open, leaving: this.#context.isLeaving };
+    return {
+      open: this.#context.openRequests,
+      leaving: this.#context.isDraining,
+    };
   }
 
   /** Closes connections on which nothing is under way. */
-  closeIdle(): void {
-    this.#callers.closeIdleConnections();
+  closeIdleConnections(): void {
+    this.#callerServer.closeIdleConnections();
   }
 
   /** Connections of callers. */
-  connections(): Promise<number> {
+  countConnections(): Promise<number> {
     return new Promise((resolve) =>
-      this.#callers.getConnections((_, count) => resolve(count ?? 0))
+      this.#callerServer.getConnections((_, count) => resolve(count ?? 0))
     );
   }
 
-  #fromCaller(request: IncomingMessage, response: ServerResponse): void {
+  #onCallerRequest(request: IncomingMessage, response: ServerResponse): void {
     const { clock, beliefs } = this.#context;
     const arrivedMs = clock.monoMs();
-    if (beliefs.config) return this.#route(request, response, arrivedMs);
-    const look = clock.every(CONFIG_LOOK_MS, () => {
-      const isOver = clock.monoMs() - arrivedMs >= CONFIG_WAIT_MS;
-      if (!beliefs.config && !isOver && !response.closed) return;
-      look.close();
-      if (!response.closed) this.#route(request, response, arrivedMs);
+    if (beliefs.config) return this.#routeRequest(request, response, arrivedMs);
+    const poll = clock.every(CONFIG_CHECK_MS, () => {
+      const isTimedOut = clock.monoMs() - arrivedMs >= CONFIG_WAIT_MS;
+      if (!beliefs.config && !isTimedOut && !response.closed) return;
+      poll.close();
+      if (!response.closed) this.#routeRequest(request, response, arrivedMs);
     });
   }
 
-  #route(
+  #routeRequest(
     request: IncomingMessage,
     response: ServerResponse,
     arrivedMs: number,
   ): void {
     const { beliefs, settings } = this.#context;
     const head = decodeHead(request);
-    const reply = new CallerReply(response, () => this.#context.isLeaving);
+    const reply = new CallerReply(response, () => this.#context.isDraining);
     const { config } = beliefs;
     if (!config) {
       return this.#refuse(
@@ -138,35 +144,35 @@
         request,
         reply,
         failure("noTable"),
-        NO_CONFIG_RETURN_MS,
+        NO_CONFIG_RETRY_MS,
       );
     }
     this.#applyLimits(config);
-    if (headBytes(request) > config.limits.headerBytes) {
+    if (countHeaderBytes(request) > config.limits.headerBytes) {
       return this.#refuse(head, request, reply, failure("headersTooLarge"), 0);
     }
     const route = config.match(head.host, head.target);
     if (!route) {
       return this.#refuse(head, request, reply, failure("notFound"), 0);
     }
-    const caller = this.#identify(config, route, head, request, reply);
+    const caller = this.#authenticate(config, route, head, request, reply);
     if (!caller) return;
-    const most = (settings.vm.mostDescriptors - SPARE_DESCRIPTORS) /
+    const maxOpen = (settings.vm.mostDescriptors - RESERVED_DESCRIPTORS) /
       DESCRIPTORS_PER_REQUEST;
-    const isFull = this.#context.open >= most ||
-      this.#context.turns.waitMs > MOST_TURN_WAIT_MS;
+    const isFull = this.#context.openRequests >= maxOpen ||
+      this.#context.turns.waitMs > MAX_TURN_WAIT_MS;
     if (isFull) {
       return this.#refuse(
         head,
         request,
         reply,
         failure("queueFull"),
-        FULL_RETURN_MS,
+        OVERLOAD_RETRY_MS,
       );
     }
-    const { leavingMonoMs, endMonoMs } = this.#context;
+    const { drainStartMonoMs, endMonoMs } = this.#context;
     const times = {
-      sinceMs: arrivedMs - leavingMonoMs,
+      sinceMs: arrivedMs - drainStartMonoMs,
       leftMs: endMonoMs - arrivedMs,
     };
     if (!canFinish(route, head.outputTokens, times)) {
@@ -175,7 +181,7 @@
         request,
         reply,
         failure("draining"),
-        LEAVING_RETURN_MS,
+        DRAINING_RETRY_MS,
       );
     }
     const waitMs = Math.min(head.waitMs ?? route.timeoutMs, route.timeoutMs);
@@ -187,17 +193,17 @@
       caller,
       deadlineMonoMs: arrivedMs + waitMs,
     };
-    this.#open({
+    this.#startCall({
       ...input,
       relayed: false,
-      isOnTrial: false,
+      isTrialRun: false,
       mostUpstreams: route.mostUpstreams,
     }, reply);
   }
 
-  #fromPeer(request: IncomingMessage, response: ServerResponse): void {
-    if (request.url === this.#questions.path) {
-      return this.#questions.answer(request, response);
+  #onPeerRequest(request: IncomingMessage, response: ServerResponse): void {
+    if (request.url === this.#peerRpc.path) {
+      return this.#peerRpc.handle(request, response);
     }
     const { clock, beliefs } = this.#context;
     const keyDigest = request.headers[RELAY_HEADERS.keyDigest];
@@ -217,10 +223,10 @@
         request,
         reply,
         failure("noTable"),
-        NO_CONFIG_RETURN_MS,
+        NO_CONFIG_RETRY_MS,
       );
     }
-    const caller = this.#identify(config, route, head, request, reply);
+    const caller = this.#authenticate(config, route, head, request, reply);
     if (!caller) return;
     const waitMs = Number(request.headers[RELAY_HEADERS.waitMs]) ||
       route.timeoutMs;
@@ -235,24 +241,29 @@
     const mostUpstreams =
       Number(request.headers[RELAY_HEADERS.mostUpstreams]) || 1;
     const isOnTrial = request.headers[RELAY_HEADERS.onTrial] !== undefined;
-    this.#open({ ...input, relayed: true, isOnTrial, mostUpstreams }, reply);
+    this.#startCall({
+      ...input,
+      relayed: true,
+      isTrialRun: isOnTrial,
+      mostUpstreams,
+    }, reply);
   }
 
   /** Finds out who calls, or refuses. */
-  #identify(
+  #authenticate(
     config: GatewayConfig,
     route: Route,
     head: CallerHead,
     request: IncomingMessage,
     reply: Reply,
   ): KnownCaller | undefined {
-    const caller = callerOf(config.workspaces, route, head.keyDigest);
+    const caller = identifyCaller(config.workspaces, route, head.keyDigest);
     if (caller.type === "known") {
-      if (!caller.workspace || this.#knowsKeys()) return caller;
+      if (!caller.workspace || this.#hasRecentKeys()) return caller;
       const cause = failure("noTable", {
         message: "whether the key was taken away can't be known here",
       });
-      this.#refuse(head, request, reply, cause, NO_CONFIG_RETURN_MS);
+      this.#refuse(head, request, reply, cause, NO_CONFIG_RETRY_MS);
       return undefined;
     }
     const cause = caller.type === "unknown"
@@ -265,7 +276,7 @@
   }
 
   /** Whether operators would rather have a caller refused than one served whose key was taken away, and it may have been. */
-  #knowsKeys(): boolean {
+  #hasRecentKeys(): boolean {
     const { settings, beliefs, members } = this.#context;
     const { strictRevokeMs } = settings.bounds;
     if (strictRevokeMs === undefined) return true;
@@ -273,12 +284,12 @@
       members.configAgeMs(beliefs.revisions.operators) < strictRevokeMs;
   }
 
-  #open(read: Omit<CallInput, "isFirst">, reply: Reply): void {
-    const { socket } = read.request;
-    const input = { ...read, isFirst: !this.#used.has(socket) };
-    this.#used.add(socket);
+  #startCall(partialInput: Omit<CallInput, "isFirst">, reply: Reply): void {
+    const { socket } = partialInput.request;
+    const input = { ...partialInput, isFirst: !this.#usedSockets.has(socket) };
+    this.#usedSockets.add(socket);
     const call = new Call(this.#context, input, reply);
-    reply.onGone(() => call.cancel());
+    reply.onDisconnect(() => call.cancel());
     void call.run();
   }
 
@@ -287,7 +298,7 @@
     request: IncomingMessage,
     reply: Reply,
     cause: Failure,
-    comeBackMs: number,
+    retryAfterMs: number,
   ): void {
     request.resume();
     this.#context.metrics.count("refused", `code="${cause.code}"`);
@@ -297,15 +308,15 @@
       target: head.target,
       outcome: cause.code,
       reason: cause.message,
-      comeBackMs,
+      comeBackMs: retryAfterMs,
       configVersion: this.#context.beliefs.config?.version,
     });
-    reply.fail(cause, comeBackMs);
+    reply.fail(cause, retryAfterMs);
   }
 
   /** The configuration may change what callers are allowed; new connections and requests follow it. */
   #applyLimits({ limits }: GatewayConfig): void {
-    this.#callers.keepAliveTimeout = limits.idleMs;
-    this.#callers.headersTimeout = limits.headerWaitMs;
+    this.#callerServer.keepAliveTimeout = limits.idleMs;
+    this.#callerServer.headersTimeout = limits.headerWaitMs;
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -8,51 +8,51 @@
 import { Kernel, type Log } from "../kernel/mod.ts";
 import { PlatformKeyValue } from "../platform/mod.ts";
 import { isReader } from "../region/mod.ts";
-import { Beliefs } from "./beliefs.ts";
+import { StoreView } from "./beliefs.ts";
 import { GatewayContext } from "./context.ts";
 import { Datagrams } from "./datagrams.ts";
 import { Directory } from "./directory.ts";
-import { Front } from "./front.ts";
-import { hostPort } from "./listen.ts";
-import { Losses } from "./losses.ts";
+import { HttpListeners } from "./front.ts";
+import { splitAddress } from "./listen.ts";
+import { LossProber } from "./losses.ts";
 import { Members } from "./members.ts";
 import { GatewayMetrics } from "./metrics.ts";
 import { PeerRpc } from "./peer_rpc.ts";
-import { Placing } from "./placing.ts";
+import { Placer } from "./placing.ts";
 import { Quotas } from "./quotas.ts";
 import { Relays } from "./relays.ts";
-import { roomOf } from "./room.ts";
+import { computeRoom } from "./room.ts";
 import type { GatewaySettings } from "./settings.ts";
 import { drain } from "./stop.ts";
 import { Suspects } from "./suspects.ts";
 import { Upstreams } from "./upstreams.ts";
 
 /** Time for the services to close after the last answer. */
-const CLOSE_MS = 200;
+const CLOSE_TIMEOUT_MS = 200;
 
 /** Part of the time in which keys must be taken away that a quiet question to the store may wait; the rest is for telling. */
-const STRICT_WAIT_SHARE = 0.4;
+const STRICT_REVOKE_WAIT_SHARE = 0.4;
 
 /** An open gateway. */
 export class Gateway {
   readonly #kernel: Kernel;
   readonly #context: GatewayContext;
-  readonly #front: Front;
+  readonly #listeners: HttpListeners;
   readonly #store: PlatformKeyValue;
-  readonly #beliefs: Beliefs;
+  readonly #storeView: StoreView;
 
   private constructor(
     kernel: Kernel,
     context: GatewayContext,
-    front: Front,
+    listeners: HttpListeners,
     store: PlatformKeyValue,
-    beliefs: Beliefs,
+    storeView: StoreView,
   ) {
     this.#kernel = kernel;
     this.#context = context;
-    this.#front = front;
+    this.#listeners = listeners;
     this.#store = store;
-    this.#beliefs = beliefs;
+    this.#storeView = storeView;
   }
 
   /** Starts all services; the listeners of callers come last. Fails if an address is taken. */
@@ -65,11 +65,12 @@
     const kernel = new Kernel(clock, log);
     const { strictRevokeMs } = settings.bounds;
     const store = new PlatformKeyValue(settings.store.address);
-    const beliefs = new Beliefs({
+    const storeView = new StoreView({
       store,
       failureDomains: settings.failureDomains,
       isReader: () => isReader(vm.id, members.order),
-      operatorWaitMs: strictRevokeMs && strictRevokeMs * STRICT_WAIT_SHARE,
+      operatorPollWaitMs: strictRevokeMs &&
+        strictRevokeMs * STRICT_REVOKE_WAIT_SHARE,
     });
     const datagrams = new Datagrams(vm.ip, settings.listen.beats);
     const members: Members = new Members({
@@ -84,39 +85,42 @@
       datagrams,
       store,
       leastLeaseMs: settings.store.leastLeaseMs,
-      seedIps: settings.seeds.map((address) => hostPort(address).host),
+      seedIps: settings.seeds.map((address) => splitAddress(address).host),
       state: () => ({
         ready: directory.isReady,
-        ...(context.isLeaving
+        ...(context.isDraining
           ? { servesMs: Math.round(context.endMonoMs - clock.monoMs()) }
           : {}),
-        revisions: beliefs.revisions,
-        isServed: beliefs.isServed,
+        revisions: storeView.revisions,
+        isServed: storeView.isServed,
         ...(strictRevokeMs === undefined
           ? {}
-          : { configAgeMs: Math.round(beliefs.configAgeMs) }),
+          : { configAgeMs: Math.round(storeView.configAgeMs) }),
       }),
-      load: () => ({ load: upstreams.load(), asked: placing.asked }),
-      held: (ms) => upstreams.heldWithin(ms),
-      regionHeld: (ms) => upstreams.regionHeldWithin(ms),
+      load: () => ({ load: upstreams.load(), asked: placing.settledQueryId }),
+      held: (ms) => upstreams.partsReadWithin(ms),
+      regionHeld: (ms) => upstreams.regionPartsReadWithin(ms),
       room: () =>
-        roomOf(
-          beliefs.config,
+        computeRoom(
+          storeView.config,
           (service) => upstreams.candidates(service),
-          (service) => upstreams.pace(service),
+          (service) => upstreams.paceOf(service),
         ),
-      onHeld: (held, isNear) => upstreams.noteHeld(held, isNear),
-      onSeen: (vmId, seen) => upstreams.noteSeen(vmId, seen),
+      onHeld: (held, isNear) => upstreams.noteHeldParts(held, isNear),
+      onOutcomes: (vmId, seen) => upstreams.noteOutcomes(vmId, seen),
     });
-    const upstreams = new Upstreams(beliefs.fleet, members, vm);
-    const relays = new Relays(members, hostPort(settings.listen.peers).port);
+    const upstreams = new Upstreams(storeView.fleet, members, vm);
+    const relays = new Relays(
+      members,
+      splitAddress(settings.listen.peers).port,
+    );
     const metrics = new GatewayMetrics();
-    const losses = new Losses(clock, log, metrics);
+    const losses = new LossProber(clock, log, metrics);
     const suspects = new Suspects({
       self: vm,
       datagrams,
       members,
-      fleet: beliefs.fleet,
+      fleet: storeView.fleet,
       losses,
       store,
       leastLeaseMs: settings.store.leastLeaseMs,
@@ -126,7 +130,9 @@
     const quotas = new Quotas({
       self: vm,
       regions: Object.values(settings.failureDomains),
-      hasOthers: settings.seeds.some((seed) => hostPort(seed).host !== vm.ip),
+      hasOthers: settings.seeds.some((seed) =>
+        splitAddress(seed).host !== vm.ip
+      ),
       slack: {
         excess: quotaExcess,
         slackUnits: quotaSlack,
@@ -134,13 +140,13 @@
       },
       datagrams,
       members,
-      beliefs,
+      storeView,
     });
-    const placing = new Placing({
+    const placing = new Placer({
       self: vm,
       datagrams,
       members,
-      beliefs,
+      beliefs: storeView,
       upstreams,
       relays,
       metrics,
@@ -150,7 +156,7 @@
       settings,
       clock,
       log,
-      beliefs,
+      beliefs: storeView,
       members,
       upstreams,
       relays,
@@ -161,23 +167,23 @@
       suspects,
     });
     const directory = new Directory(context);
-    const peerRpc = new PeerRpc(beliefs, members, relays, vm.region);
-    const front = new Front(context, peerRpc);
+    const peerRpc = new PeerRpc(storeView, members, relays, vm.region);
+    const listeners = new HttpListeners(context, peerRpc);
     const tasks = [
       datagrams,
       relays,
-      beliefs,
+      storeView,
       upstreams,
       quotas,
       suspects,
       placing,
       members,
       peerRpc,
-      front,
+      listeners,
       directory,
     ];
     for (const task of tasks) await kernel.start(task);
-    return new Gateway(kernel, context, front, store, beliefs);
+    return new Gateway(kernel, context, listeners, store, storeView);
   }
 
   /** Each service's state by name. */
@@ -190,12 +196,12 @@
    * restart, and a change of them is logged and left aside.
    */
   reload(settings: GatewaySettings): void {
-    const { settings: before, log } = this.#context;
+    const { settings: previous, log } = this.#context;
     const needsRestart = JSON.stringify([
-      before.vm.id,
-      before.vm.ip,
-      before.listen,
-      before.store,
+      previous.vm.id,
+      previous.vm.ip,
+      previous.listen,
+      previous.store,
     ]) !==
       JSON.stringify([
         settings.vm.id,
@@ -205,9 +211,9 @@
       ]);
     const { vm, bounds, failureDomains, seeds } = settings;
     this.#context.settings = {
-      ...before,
+      ...previous,
       vm: {
-        ...before.vm,
+        ...previous.vm,
         memoryMb: vm.memoryMb,
         mostDescriptors: vm.mostDescriptors,
       },
@@ -215,14 +221,17 @@
       failureDomains,
       seeds,
     };
-    this.#beliefs.setFailureDomains(failureDomains);
+    this.#storeView.setFailureDomains(failureDomains);
     log.info("settings in force", { needsRestart });
   }
 
   /** A planned stop: serves on as long as callers may come, then closes. */
   async drain(): Promise<void> {
-    await drain(this.#context, this.#front);
-    await Promise.race([this.close(), this.#context.clock.sleep(CLOSE_MS)]);
+    await drain(this.#context, this.#listeners);
+    await Promise.race([
+      this.close(),
+      this.#context.clock.sleep(CLOSE_TIMEOUT_MS),
+    ]);
   }
 
   /** Stops at once; what is under way breaks. */
--- a/src/gateway/late_signs.ts
+++ b/src/gateway/late_signs.ts
@@ -10,60 +10,60 @@
 import type { Loss } from "./losses.ts";
 
 /** Upstreams write their entries about every second; readers bring them within two more. */
-const WAIT_MS = 4_000;
-const LOOK_MS = 200;
+const WATCH_MS = 4_000;
+const CHECK_INTERVAL_MS = 200;
 /** Losses that wait at once; what is beyond is left out. */
-const MOST_WAITING = 1_024;
+const MAX_WATCHED_LOSSES = 1_024;
 
-interface Waiting {
+interface WatchedLoss {
   readonly digest: string;
   readonly loss: Loss;
   readonly lostMs: number;
 }
 
 /** See the module. */
-export class LateSigns {
+export class RestartWatch {
   readonly #fleet: Fleet;
   readonly #clock: Clock;
-  readonly #onEnd: (digest: string, loss: Loss, lostMs: number) => void;
-  #waiting: Waiting[] = [];
+  readonly #onRestart: (digest: string, loss: Loss, lostMs: number) => void;
+  #watched: WatchedLoss[] = [];
   #timer: Timer | undefined;
 
   /** `onEnd` is called for each loss whose upstream has started again. */
   constructor(
     fleet: Fleet,
     clock: Clock,
-    onEnd: (digest: string, loss: Loss, lostMs: number) => void,
+    onRestart: (digest: string, loss: Loss, lostMs: number) => void,
   ) {
     this.#fleet = fleet;
     this.#clock = clock;
-    this.#onEnd = onEnd;
+    this.#onRestart = onRestart;
   }
 
   /** Waits for a sign. */
-  add(digest: string, loss: Loss, lostMs: number): void {
-    if (this.#waiting.length >= MOST_WAITING) return;
-    this.#waiting.push({ digest, loss, lostMs });
-    this.#timer ??= this.#clock.every(LOOK_MS, () => this.#look());
+  watch(digest: string, loss: Loss, lostMs: number): void {
+    if (this.#watched.length >= MAX_WATCHED_LOSSES) return;
+    this.#watched.push({ digest, loss, lostMs });
+    this.#timer ??= this.#clock.every(CHECK_INTERVAL_MS, () => this.#check());
   }
 
   close(): void {
     this.#timer?.close();
   }
 
-  #look(): void {
+  #check(): void {
     const nowMs = this.#clock.monoMs();
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    for (const { digest, loss, lostMs } of waiting) {
-      const now = this.#fleet.get(loss.upstream.id);
-      if (now && now.key !== loss.upstream.key) {
-        this.#onEnd(digest, loss, lostMs);
-      } else if (nowMs - lostMs < WAIT_MS) {
-        this.#waiting.push({ digest, loss, lostMs });
+    const watched = this.#watched;
+    this.#watched = [];
+    for (const { digest, loss, lostMs } of watched) {
+      const current = this.#fleet.get(loss.upstream.id);
+      if (current && current.key !== loss.upstream.key) {
+        this.#onRestart(digest, loss, lostMs);
+      } else if (nowMs - lostMs < WATCH_MS) {
+        this.#watched.push({ digest, loss, lostMs });
       }
     }
-    if (this.#waiting.length > 0) return;
+    if (this.#watched.length > 0) return;
     this.#timer?.close();
     this.#timer = undefined;
   }
--- a/src/gateway/line_log.ts
+++ b/src/gateway/line_log.ts
@@ -15,7 +15,7 @@
 }
 
 /** Standard output as a socket: a pipe's reader that stalls leaves bytes waiting here and blocks nothing. */
-export function standardOutput(): LineSink {
+export function openStandardOutput(): LineSink {
   let stream: { write(text: string): unknown; readonly writableLength: number };
   try {
     const socket = new Socket({ fd: 1, readable: false, writable: true });
@@ -34,28 +34,28 @@
 }
 
 /** Bytes that may wait for a reader; some 1,000 lines. */
-const MOST_WAITING_BYTES = 256 * 1024;
+const MAX_WAITING_BYTES = 256 * 1024;
 /** Lines a second of plain good outcomes; a VM's busiest second has some 400 requests, and a line costs some 20 µs. */
-const MOST_OUTCOMES_PER_S = 300;
+const MAX_OUTCOMES_PER_S = 300;
 /** Lines a second on what the VM believes: a region of 100 upstreams that all change at once is told in a second. */
-const MOST_BELIEFS_PER_S = 200;
+const MAX_STATE_LINES_PER_S = 200;
 /** Warnings and errors have a budget of their own, so that good outcomes cannot crowd them out. */
-const MOST_PROBLEMS_PER_S = 600;
+const MAX_PROBLEMS_PER_S = 600;
 /** The share that is kept aims below the budget: beyond it the order of lines would decide, which differs by VM. */
-const AIMED_SHARE = 0.85;
-const HASHES = 2 ** 32;
+const TARGET_SHARE = 0.85;
+const HASH_RANGE = 2 ** 32;
 const SECOND_MS = 1_000;
 
 /** What competes for the same budget: good outcomes of requests, other ordinary lines, warnings and errors. */
-type Kind = "outcome" | "belief" | "problem";
+type LineKind = "outcome" | "belief" | "problem";
 
-const BUDGETS: Readonly<Record<Kind, number>> = {
-  outcome: MOST_OUTCOMES_PER_S,
-  belief: MOST_BELIEFS_PER_S,
-  problem: MOST_PROBLEMS_PER_S,
+const BUDGETS: Readonly<Record<LineKind, number>> = {
+  outcome: MAX_OUTCOMES_PER_S,
+  belief: MAX_STATE_LINES_PER_S,
+  problem: MAX_PROBLEMS_PER_S,
 };
 
-function kindOf(level: string, fields: Record<string, unknown>): Kind {
+function kindOf(level: string, fields: Record<string, unknown>): LineKind {
   if (level !== "info") return "problem";
   return fields.attempt === undefined ? "belief" : "outcome";
 }
@@ -70,11 +70,11 @@
   readonly #prefix: string;
   readonly #nowMs: () => number;
   #secondStartMs = -Infinity;
-  #seen: Record<Kind, number> = { outcome: 0, belief: 0, problem: 0 };
-  #written: Record<Kind, number> = { outcome: 0, belief: 0, problem: 0 };
+  #seen: Record<LineKind, number> = { outcome: 0, belief: 0, problem: 0 };
+  #written: Record<LineKind, number> = { outcome: 0, belief: 0, problem: 0 };
   /** Share of the good outcomes that is kept, from the second before. */
   #keptShare = 1;
-  #leftOut = 0;
+  #droppedLines = 0;
 
   constructor(
     sink: LineSink,
@@ -107,16 +107,16 @@
     event: string,
     fields: Record<string, unknown> = {},
   ): void {
-    if (!this.#takeBudget(kindOf(level, fields), fields.attempt)) {
-      this.#leftOut++;
+    if (!this.#tryTakeBudget(kindOf(level, fields), fields.attempt)) {
+      this.#droppedLines++;
       return;
     }
     let line = `time=${
       new Date(this.#nowMs()).toISOString()
     } level=${level} event=${quote(event)}${this.#prefix}`;
-    if (this.#leftOut > 0) {
-      line += ` linesLeftOut=${this.#leftOut}`;
-      this.#leftOut = 0;
+    if (this.#droppedLines > 0) {
+      line += ` linesLeftOut=${this.#droppedLines}`;
+      this.#droppedLines = 0;
     }
     for (const key in fields) {
       if (fields[key] !== undefined) line += ` ${key}=${quote(fields[key])}`;
@@ -124,16 +124,16 @@
     this.#sink.write(line + "\n");
   }
 
-  #takeBudget(kind: Kind, attempt: unknown): boolean {
+  #tryTakeBudget(kind: LineKind, attempt: unknown): boolean {
     const nowMs = this.#nowMs();
     if (
       nowMs - this.#secondStartMs >= SECOND_MS || nowMs < this.#secondStartMs
     ) this.#startSecond(nowMs);
     this.#seen[kind]++;
-    if (this.#sink.waitingBytes() > MOST_WAITING_BYTES) return false;
+    if (this.#sink.waitingBytes() > MAX_WAITING_BYTES) return false;
     if (
       kind === "outcome" &&
-      hash32(String(attempt)) >= this.#keptShare * HASHES
+      hash32(String(attempt)) >= this.#keptShare * HASH_RANGE
     ) return false;
     return this.#written[kind]++ < BUDGETS[kind];
   }
@@ -142,7 +142,7 @@
     this.#secondStartMs = nowMs;
     this.#keptShare = Math.min(
       1,
-      AIMED_SHARE * MOST_OUTCOMES_PER_S / Math.max(1, this.#seen.outcome),
+      TARGET_SHARE * MAX_OUTCOMES_PER_S / Math.max(1, this.#seen.outcome),
     );
     this.#seen = { outcome: 0, belief: 0, problem: 0 };
     this.#written = { outcome: 0, belief: 0, problem: 0 };
--- a/src/gateway/listen.ts
+++ b/src/gateway/listen.ts
@@ -12,7 +12,7 @@
 } from "node:http";
 
 /** Splits `IP:PORT`. */
-export function hostPort(address: string): { host: string; port: number } {
+export function splitAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(":");
   return {
     host: address.slice(0, colon),
@@ -27,7 +27,7 @@
   onRequest: RequestListener,
 ): Promise<Server> {
   const server = createServer({ noDelay: true, ...options }, onRequest);
-  const { host, port } = hostPort(address);
+  const { host, port } = splitAddress(address);
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
     // A burst of new connections beyond the queue is dropped and comes back only seconds later.
--- a/src/gateway/losses.ts
+++ b/src/gateway/losses.ts
@@ -11,7 +11,7 @@
 import type { GatewayMetrics } from "./metrics.ts";
 
 /** Losses that come within this time have one cause; an upstream that ended needs longer to be back. */
-const TOGETHER_MS = 150;
+const PROBE_TTL_MS = 150;
 
 /** How a request that had reached an upstream lost its connection. */
 export interface Loss {
@@ -24,17 +24,17 @@
   readonly beganAgoMs?: number;
 }
 
-interface Look {
+interface Probe {
   readonly reach: Promise<Reach>;
   readonly untilMs: number;
 }
 
 /** See the module. An upstream that breaks all its connections at once is looked at once. */
-export class Losses {
+export class LossProber {
   readonly #clock: Clock;
   readonly #log: Log;
   readonly #metrics: GatewayMetrics;
-  readonly #looks = new Map<string, Look>();
+  readonly #probes = new Map<string, Probe>();
 
   constructor(clock: Clock, log: Log, metrics: GatewayMetrics) {
     this.#clock = clock;
@@ -43,18 +43,18 @@
   }
 
   /** Looks what an upstream is like now that a connection to it broke. */
-  look(upstream: KnownUpstream): Promise<Reach> {
+  probe(upstream: KnownUpstream): Promise<Reach> {
     const nowMs = this.#clock.monoMs();
-    for (const [key, { untilMs }] of this.#looks) {
-      if (untilMs <= nowMs) this.#looks.delete(key);
+    for (const [key, { untilMs }] of this.#probes) {
+      if (untilMs <= nowMs) this.#probes.delete(key);
     }
-    let look = this.#looks.get(upstream.key);
-    if (!look) {
+    let probe = this.#probes.get(upstream.key);
+    if (!probe) {
       const reach = this.#tryConnection(upstream);
-      look = { reach, untilMs: nowMs + TOGETHER_MS };
-      this.#looks.set(upstream.key, look);
+      probe = { reach, untilMs: nowMs + PROBE_TTL_MS };
+      this.#probes.set(upstream.key, probe);
     }
-    return look.reach;
+    return probe.reach;
   }
 
   async #tryConnection(
--- a/src/gateway/main.ts
+++ b/src/gateway/main.ts
@@ -9,26 +9,28 @@
 import type { Log } from "../kernel/mod.ts";
 import { SETTINGS_VARIABLE } from "../platform/mod.ts";
 import { Gateway } from "./gateway.ts";
-import { LineLog, standardOutput } from "./line_log.ts";
+import { LineLog, openStandardOutput } from "./line_log.ts";
 import { parseGatewaySettings, type SettingsProblem } from "./settings.ts";
 
-const USAGE_EXIT = 2;
-const SETTINGS_LOOK_MS = 1_000;
+const USAGE_EXIT_CODE = 2;
+const SETTINGS_CHECK_MS = 1_000;
 
-function refuse(lines: readonly string[]): never {
+function exitWithErrors(lines: readonly string[]): never {
   for (const line of lines) {
     process.stderr.write(`ibisgap-gateway: ${line}\n`);
   }
-  process.exit(USAGE_EXIT);
+  process.exit(USAGE_EXIT_CODE);
 }
 
 function settingsPath(): string {
   const path = process.argv[2] ?? process.env[SETTINGS_VARIABLE];
-  if (!path) refuse([`name a settings file, or set ${SETTINGS_VARIABLE}`]);
+  if (!path) {
+    exitWithErrors([`name a settings file, or set ${SETTINGS_VARIABLE}`]);
+  }
   return path;
 }
 
-function describe(
+function formatProblems(
   path: string,
   problems: readonly SettingsProblem[],
 ): string[] {
@@ -51,18 +53,18 @@
   log: Log,
 ): void {
   let lastText = firstText;
-  const look = () => {
+  const checkFile = () => {
     const text = readText(path);
     if (text.isErr() || text.value === lastText) return;
     lastText = text.value;
     const settings = parseGatewaySettings(text.value);
     if (settings.isOk()) gateway.reload(settings.value);
     else {log.error("settings refused", {
-        reason: describe(path, settings.error).join("; "),
+        reason: formatProblems(path, settings.error).join("; "),
       });}
   };
-  setInterval(look, SETTINGS_LOOK_MS).unref();
-  process.on("SIGHUP", look);
+  setInterval(checkFile, SETTINGS_CHECK_MS).unref();
+  process.on("SIGHUP", checkFile);
 }
 
 /** Serves until a planned stop, which ends with exit code 0. */
@@ -70,17 +72,17 @@
   const path = settingsPath();
   const text = readText(path);
   const parsed = text.andThen(parseGatewaySettings);
-  if (parsed.isErr()) refuse(describe(path, parsed.error));
+  if (parsed.isErr()) exitWithErrors(formatProblems(path, parsed.error));
   const settings = parsed.value;
   const { id, region, failureDomain, ip } = settings.vm;
-  const log = new LineLog(standardOutput(), { vm: id }, Date.now);
+  const log = new LineLog(openStandardOutput(), { vm: id }, Date.now);
   log.info("starting", { region, failureDomain, ip });
   const gateway = await Gateway.open(settings, log);
   log.info("started", { tookMs: Math.round(performance.now()) });
-  let stopping = false;
+  let isStopping = false;
   const stop = async () => {
-    if (stopping) return;
-    stopping = true;
+    if (isStopping) return;
+    isStopping = true;
     await gateway.drain();
     process.exit(0);
   };
--- a/src/gateway/members.ts
+++ b/src/gateway/members.ts
@@ -18,27 +18,27 @@
   decodeLoadNote,
   decodeReport,
   decodeRoster,
-  type Due,
-  type FarRegion,
+  type DueMessage,
   type LeadRecord,
   type Load,
-  LoadBook,
   type LoadNote,
+  LoadTracker,
+  type NewsSource,
   type RegionDigest,
   RegionView,
+  type RemoteRegion,
   type Report,
   type Room,
   type Roster,
   type SeenOutcome,
-  type Teller,
   type VmLoad,
   type VmRecord,
   type VmState,
 } from "../region/mod.ts";
-import type { HeldPart, NamedVm } from "../routing/mod.ts";
+import type { DirectoryVm, HeldPart } from "../routing/mod.ts";
 import type { Datagrams } from "./datagrams.ts";
-import { DueNote } from "./due_note.ts";
-import { OwnEntry } from "./own_entry.ts";
+import { PendingLoadNote } from "./due_note.ts";
+import { VmRegistration } from "./own_entry.ts";
 
 /** Options of {@link Members}. */
 export interface MemberOptions {
@@ -60,13 +60,13 @@
   /** Called with what another VM, of this region or not, says that engines have read. */
   readonly onHeld: (
     held: readonly HeldPart[] | undefined,
-    isNear: boolean,
+    isOwnRegion: boolean,
   ) => void;
   /** Called with the outcomes of sends that another VM has seen. */
-  readonly onSeen: (vmId: string, seen: readonly SeenOutcome[]) => void;
+  readonly onOutcomes: (vmId: string, seen: readonly SeenOutcome[]) => void;
 }
 
-interface LeadsSeen {
+interface LeadState {
   readonly order: readonly LeadRecord[];
   readonly leads: readonly LeadRecord[];
   readonly hearsAll: boolean;
@@ -77,18 +77,18 @@
 const LEAD_TICK_MS = 100;
 const TICK_MS = 250;
 /** Upstreams whose load a roster tells: those with the most, in about two kilobytes. */
-const MOST_LOADS = 64;
+const MAX_ROSTER_LOADS = 64;
 
 /** See the module. */
 export class Members extends Task {
   readonly name = "members";
   /** What the other VMs of the region have under way, as far as they report here. */
-  readonly book = new LoadBook();
+  readonly book = new LoadTracker();
   readonly #options: MemberOptions;
-  readonly #notes = new DueNote();
+  readonly #nextNote = new PendingLoadNote();
   protected readonly handlers: Handlers<Messages> = {};
   #view!: RegionView;
-  #entry!: OwnEntry;
+  #registration!: VmRegistration;
   #clock!: Clock;
   #log!: Log;
   #timer: Timer | undefined;
@@ -96,14 +96,14 @@
   #lagMs = 0;
   #saidLoad: Load = {};
   /** Who leads, as of the last message or tick: it is asked for on each request. */
-  #lookedAt: LeadsSeen = {
+  #leadState: LeadState = {
     order: [],
     leads: [],
     hearsAll: true,
     isLead: true,
   };
   #closing = false;
-  #onNews: () => void = () => {};
+  #onRosterReceived: () => void = () => {};
 
   constructor(options: MemberOptions) {
     super();
@@ -122,7 +122,7 @@
       random: new Random(process.pid),
     }, this.#clock.monoMs());
     datagrams.on("report", (params) => this.#onReport(decodeReport(params)));
-    datagrams.on("load", (params) => this.#onNote(decodeLoadNote(params)));
+    datagrams.on("load", (params) => this.#onLoadNote(decodeLoadNote(params)));
     datagrams.on("roster", (params) => this.#onRoster(decodeRoster(params)));
     datagrams.on("digest", (params) => {
       const digest = decodeDigest(params);
@@ -130,7 +130,7 @@
       this.#view.known.noteDigest(digest, this.#clock.monoMs());
       this.#options.onHeld(digest.held, false);
     });
-    this.#entry = new OwnEntry({
+    this.#registration = new VmRegistration({
       self,
       store,
       leastLeaseMs,
@@ -140,10 +140,10 @@
       isLead: () => this.#view.isLead,
       isAlone: () => this.#view.isAlone(this.#clock.monoMs()),
       onFound: (vms) => {
-        for (const vm of vms) this.#view.known.meet(vm);
+        for (const vm of vms) this.#view.known.noteUnheard(vm);
       },
     });
-    this.#entry.start();
+    this.#registration.start();
     this.#tick();
     return Promise.resolve();
   }
@@ -152,7 +152,7 @@
   async close(_deadlineMs: number): Promise<void> {
     this.#closing = true;
     this.#timer?.close();
-    await this.#entry.close();
+    await this.#registration.close();
   }
 
   dump(): unknown {
@@ -160,49 +160,49 @@
     return {
       order: this.#view.order,
       isLead: this.#view.isLead,
-      vms: this.#view.allVms,
+      vms: this.#view.vmCount,
       reporters: this.#view.known.reporters(this.#options.self.region, nowMs),
-      regions: this.#view.known.far.fresh(nowMs),
+      regions: this.#view.known.remote.fresh(nowMs),
     };
   }
 
   /** Calls `run` when a lead has told something. */
-  onNews(run: () => void): void {
-    this.#onNews = run;
+  onRosterReceived(run: () => void): void {
+    this.#onRosterReceived = run;
   }
 
   /** VMs that callers of a region can be told of, without this one. */
-  named(region: string): NamedVm[] {
+  vmsForCallers(region: string): DirectoryVm[] {
     return this.#view.named(region, this.#clock.monoMs());
   }
 
   /** VMs that may know more of the store. */
-  tellers(): Teller[] {
-    return this.#view.known.tellers(this.#clock.monoMs());
+  newsSources(): NewsSource[] {
+    return this.#view.known.newsSources(this.#clock.monoMs());
   }
 
   /** Other regions that were heard lately. */
-  regions(): FarRegion[] {
-    return this.#view.known.far.fresh(this.#clock.monoMs());
+  otherRegions(): RemoteRegion[] {
+    return this.#view.known.remote.fresh(this.#clock.monoMs());
   }
 
   /** The head of the region's order of leads. */
   get order(): readonly LeadRecord[] {
-    return this.#lookedAt.order;
+    return this.#leadState.order;
   }
 
   get leads(): readonly LeadRecord[] {
-    return this.#lookedAt.leads;
+    return this.#leadState.leads;
   }
 
   /** Whether all VMs of the region hear each other's loads; else its leads place the requests. */
   get hearsAll(): boolean {
-    return this.#lookedAt.hearsAll;
+    return this.#leadState.hearsAll;
   }
 
   /** Whether every VM of the region reports to this one. */
   get isLead(): boolean {
-    return this.#lookedAt.isLead;
+    return this.#leadState.isLead;
   }
 
   /** VMs of the region that are alive and report to this one. */
@@ -215,7 +215,7 @@
 
   /** What a lead told last; `undefined` for a lead. */
   roster(): Roster | undefined {
-    return this.#view.roster(this.#clock.monoMs());
+    return this.#view.latestRoster(this.#clock.monoMs());
   }
 
   /** What this VM said last of its own load. */
@@ -224,8 +224,8 @@
   }
 
   /** How many VMs there are, this one included; silent ones count until they are forgotten. */
-  count(): number {
-    return this.#view.allVms;
+  vmCount(): number {
+    return this.#view.vmCount;
   }
 
   /** How long ago a lead surely knew that no configuration is newer than revision `rev`. */
@@ -239,47 +239,47 @@
   }
 
   /** VMs of the region as far as any lead knows, silent ones included. */
-  get regionCount(): number {
-    return this.#view.known.regionCount;
+  get regionVmCount(): number {
+    return this.#view.known.regionVmCount;
   }
 
   /** Tells every VM at once, out of turn. */
-  beat(): void {
-    this.#view.touch();
+  reportNow(): void {
+    this.#view.sendSoon();
     this.#tick();
   }
 
   /** A prompt that waited at an upstream has been read: the first lead is told soon. */
-  noteRead(): void {
-    this.#wakeAt(this.#notes.noteRead(this.#isFirst, this.#clock.monoMs()));
+  notePromptRead(): void {
+    this.#tickAt(this.#nextNote.noteRead(this.#canSkip, this.#clock.monoMs()));
   }
 
   /** A send is over; `seen` is what became of it. */
-  noteOver(seen?: SeenOutcome): void {
+  noteSendEnd(seen?: SeenOutcome): void {
     const nowMs = this.#clock.monoMs();
-    this.#wakeAt(this.#notes.noteOver(this.#isFirst, nowMs, seen));
+    this.#tickAt(this.#nextNote.noteSendEnd(this.#canSkip, nowMs, seen));
   }
 
   /** Whether nobody else has to know this VM's load sooner than by its reports. */
-  get #isFirst(): boolean {
-    const { hearsAll, leads } = this.#lookedAt;
+  get #canSkip(): boolean {
+    const { hearsAll, leads } = this.#leadState;
     return hearsAll || leads[0]?.id === this.#options.self.id;
   }
 
   #tick(): void {
     if (this.#closing) return;
     const nowMs = this.#clock.monoMs();
-    if (nowMs >= this.#notes.dueMs) this.#sendNote(nowMs);
+    if (nowMs >= this.#nextNote.dueMs) this.#sendLoadNote(nowMs);
     for (const due of this.#view.tick(nowMs)) this.#send(due);
-    this.#noteLeads();
+    this.#updateLeads();
     const everyMs = this.#view.isLead ? LEAD_TICK_MS : TICK_MS;
-    this.#wakeAt(
-      Math.min(nowMs + everyMs, this.#view.nextDueMs, this.#notes.dueMs),
+    this.#tickAt(
+      Math.min(nowMs + everyMs, this.#view.nextDueMs, this.#nextNote.dueMs),
     );
   }
 
   /** A timer that is due sooner already stands; an overdue one runs next, and set anew it would hide the lag. */
-  #wakeAt(dueMs: number): void {
+  #tickAt(dueMs: number): void {
     if (this.#closing || dueMs === Infinity) return;
     const nowMs = this.#clock.monoMs();
     if (this.#timerMs <= dueMs) return;
@@ -292,65 +292,65 @@
     });
   }
 
-  #noteLeads(): void {
+  #updateLeads(): void {
     if (this.#view.isLead) {
       const alive = new Set(this.reporters().map(({ id }) => id));
-      this.book.keep((id) => alive.has(id));
+      this.book.retain((id) => alive.has(id));
     }
     const { leads, order, hearsAll, isLead } = this.#view;
-    const before = idsOf(this.#lookedAt.leads);
-    this.#lookedAt = { leads, order, hearsAll, isLead };
-    if (idsOf(leads) === before) return;
+    const previousIds = joinIds(this.#leadState.leads);
+    this.#leadState = { leads, order, hearsAll, isLead };
+    if (joinIds(leads) === previousIds) return;
     this.#log.info("leads", {
-      leads: idsOf(leads),
+      leads: joinIds(leads),
       isLead,
-      vms: this.#view.known.regionCount,
+      vms: this.#view.known.regionVmCount,
     });
   }
 
-  #send(due: Due): void {
+  #send(due: DueMessage): void {
     const { datagrams } = this.#options;
     const nowMs = this.#clock.monoMs();
     if (due.type === "report") {
-      datagrams.send("report", this.#report(), due.ips);
+      datagrams.send("report", this.#makeReport(), due.ips);
     } else if (due.type === "roster") {
       const roster: Roster = {
-        ...this.#view.tellRegion(nowMs, due.withNames),
-        load: this.#regionLoad(),
+        ...this.#view.buildRoster(nowMs, due.withNames),
+        load: this.#sumRegionLoad(),
       };
       datagrams.send("roster", roster, due.ips);
     } else {
-      const digest = this.#view.tellRegions(nowMs, due.to);
-      const said: RegionDigest = {
+      const digest = this.#view.buildDigest(nowMs, due.toRegion);
+      const outgoing: RegionDigest = {
         ...digest,
         room: this.#options.room(),
         held: this.#options.regionHeld(digest.everyMs),
       };
-      datagrams.send("digest", said, due.ips);
+      datagrams.send("digest", outgoing, due.ips);
     }
   }
 
-  #report(): Report {
+  #makeReport(): Report {
     const { self, state, load, held } = this.#options;
     const everyMs = this.#view.reportEveryMs;
-    const said = load();
-    this.#saidLoad = said.load;
-    return { ...self, everyMs, ...state(), ...said, held: held(everyMs) };
+    const own = load();
+    this.#saidLoad = own.load;
+    return { ...self, everyMs, ...state(), ...own, held: held(everyMs) };
   }
 
-  #sendNote(nowMs: number): void {
+  #sendLoadNote(nowMs: number): void {
     const { self, datagrams, load, held } = this.#options;
-    const { seen, sinceMs } = this.#notes.take(nowMs);
+    const { seen, sinceMs } = this.#nextNote.take(nowMs);
     const [first] = this.#view.leads;
     if (!first || first.id === self.id) return;
-    const said = load();
-    this.#saidLoad = said.load;
-    const note: LoadNote = { id: self.id, ...said, seen, held: held(sinceMs) };
+    const own = load();
+    this.#saidLoad = own.load;
+    const note: LoadNote = { id: self.id, ...own, seen, held: held(sinceMs) };
     datagrams.send("load", note, [first.ip]);
   }
 
   /** What all VMs of the region have under way, this one included. */
-  #regionLoad(): Load {
+  #sumRegionLoad(): Load {
     // Where all hear all, each adds up for itself.
     if (this.#view.hearsAll) return {};
     const sums = new Map<string, [number, number]>();
@@ -360,9 +360,9 @@
         sums.set(key, [sum[0] + running, sum[1] + waitingTokens]);
       }
     }
-    const most = [...sums].sort(([, a], [, b]) => b[0] - a[0])
-      .slice(0, MOST_LOADS);
-    return Object.fromEntries(most);
+    const largest = [...sums].sort(([, a], [, b]) => b[0] - a[0])
+      .slice(0, MAX_ROSTER_LOADS);
+    return Object.fromEntries(largest);
   }
 
   #onReport(report: Report | undefined): void {
@@ -371,30 +371,30 @@
     const replies = this.#view.onReport(report, nowMs);
     for (const due of replies) this.#send(due);
     if (report.region === this.#options.self.region) {
-      this.book.note(report.id, report, nowMs);
+      this.book.update(report.id, report, nowMs);
       this.#options.onHeld(report.held, true);
     }
-    this.#wakeAt(this.#view.nextDueMs);
+    this.#tickAt(this.#view.nextDueMs);
   }
 
-  #onNote(note: LoadNote | undefined): void {
+  #onLoadNote(note: LoadNote | undefined): void {
     if (!note || this.#closing) return;
     // Who does not report here takes this VM for a lead wrongly, and will learn who is.
     if (!this.#view.isLead) return;
-    this.book.note(note.id, note, this.#clock.monoMs());
-    this.#options.onSeen(note.id, note.seen);
+    this.book.update(note.id, note, this.#clock.monoMs());
+    this.#options.onOutcomes(note.id, note.seen);
     this.#options.onHeld(note.held, true);
   }
 
   #onRoster(roster: Roster | undefined): void {
     if (!roster || this.#closing) return;
     this.#view.onRoster(roster, this.#clock.monoMs());
-    this.#noteLeads();
-    this.#onNews();
-    this.#wakeAt(this.#view.nextDueMs);
+    this.#updateLeads();
+    this.#onRosterReceived();
+    this.#tickAt(this.#view.nextDueMs);
   }
 }
 
-function idsOf(vms: readonly VmRecord[]): string {
+function joinIds(vms: readonly VmRecord[]): string {
   return vms.map(({ id }) => id).join();
 }
--- a/src/gateway/metrics.ts
+++ b/src/gateway/metrics.ts
@@ -7,11 +7,11 @@
 import { build, type Histogram } from "hdr-histogram-js";
 
 /** Longest time told apart, in ms. */
-const MOST_MS = 60_000;
+const MAX_TIME_MS = 60_000;
 const QUANTILES = [0.5, 0.95, 0.99];
 
 /** What is timed. */
-export type Timed =
+export type TimedMetric =
   | "first_byte"
   | "between_chunks"
   | "total"
@@ -30,22 +30,22 @@
   }
 
   /** Records a time. */
-  time(what: Timed, labels: string, ms: number): void {
+  recordTime(what: TimedMetric, labels: string, ms: number): void {
     const key = `${what}|${labels}`;
     let histogram = this.#histograms.get(key);
     if (!histogram) {
       histogram = build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: MOST_MS,
+        highestTrackableValue: MAX_TIME_MS,
         numberOfSignificantValueDigits: 2,
       });
       this.#histograms.set(key, histogram);
     }
-    histogram.recordValue(Math.min(MOST_MS, Math.max(0, Math.round(ms))));
+    histogram.recordValue(Math.min(MAX_TIME_MS, Math.max(0, Math.round(ms))));
   }
 
   /** The page. */
-  page(): string {
+  renderPage(): string {
     const lines = [...this.#counters].map(([key, value]) => `${key} ${value}`);
     for (const [key, histogram] of this.#histograms) {
       const [what, labels] = key.split("|");
--- a/src/gateway/next_poll.ts
+++ b/src/gateway/next_poll.ts
@@ -9,7 +9,7 @@
  * of a caller's connection. `setImmediate` runs after the next look at the sockets if it is set by a timer, and before it if
  * it is set while they are read; the second one comes after it in both cases.
  */
-export function nextPoll(): Promise<void> {
+export function waitForNextPoll(): Promise<void> {
   return new Promise((resolve) =>
     setImmediate(() => setImmediate(() => resolve()))
   );
--- a/src/gateway/other_loads.ts
+++ b/src/gateway/other_loads.ts
@@ -7,7 +7,7 @@
 import type {
   LeadRecord,
   Load,
-  LoadBook,
+  LoadTracker,
   Report,
   Roster,
   UpstreamLoad,
@@ -18,23 +18,23 @@
   readonly hearsAll: boolean;
   readonly isLead: boolean;
   readonly leads: readonly LeadRecord[];
-  readonly book: LoadBook;
+  readonly book: LoadTracker;
   readonly saidLoad: Load;
   reporters(): readonly Report[];
   roster(): Roster | undefined;
 }
 
 /** How long it is used who is there; a request asks several times for each upstream. */
-const KEPT_MS = 25;
+const REFRESH_MS = 25;
 const NO_LOAD: UpstreamLoad = [0, 0];
 
 /** See the module. A lead adds up what VMs report to it; other VMs have what a lead told them last. */
 export class OtherLoads {
   readonly #region: RegionLoads;
   readonly #selfId: string;
-  #told: Load | undefined;
+  #rosterLoad: Load | undefined;
   #coldVmIds: readonly string[] = [];
-  #lookedMonoMs = -Infinity;
+  #refreshedMonoMs = -Infinity;
 
   constructor(region: RegionLoads, selfId: string) {
     this.#region = region;
@@ -42,10 +42,10 @@
   }
 
   /** What the others have under way at an upstream, by its key. */
-  at(upstreamKey: string, nowMs: number): UpstreamLoad {
-    this.#look(nowMs);
-    if (!this.#told) return this.#region.book.at(upstreamKey);
-    const [running, waitingTokens] = this.#told[upstreamKey] ?? NO_LOAD;
+  loadAt(upstreamKey: string, nowMs: number): UpstreamLoad {
+    this.#refresh(nowMs);
+    if (!this.#rosterLoad) return this.#region.book.at(upstreamKey);
+    const [running, waitingTokens] = this.#rosterLoad[upstreamKey] ?? NO_LOAD;
     const [own, ownTokens] = this.#region.saidLoad[upstreamKey] ?? NO_LOAD;
     return [Math.max(0, running - own), Math.max(0, waitingTokens - ownTokens)];
   }
@@ -55,15 +55,15 @@
    * every VM where each places by itself.
    */
   coldVmIds(nowMs: number): readonly string[] {
-    this.#look(nowMs);
+    this.#refresh(nowMs);
     return this.#coldVmIds;
   }
 
-  #look(nowMs: number): void {
-    if (nowMs - this.#lookedMonoMs < KEPT_MS) return;
-    this.#lookedMonoMs = nowMs;
+  #refresh(nowMs: number): void {
+    if (nowMs - this.#refreshedMonoMs < REFRESH_MS) return;
+    this.#refreshedMonoMs = nowMs;
     const { hearsAll, isLead, leads } = this.#region;
-    this.#told = isLead ? undefined : this.#region.roster()?.load;
+    this.#rosterLoad = isLead ? undefined : this.#region.roster()?.load;
     const ids = hearsAll
       ? [this.#selfId, ...this.#region.reporters().map(({ id }) => id)]
       : leads.slice(0, 1).map(({ id }) => id);
--- a/src/gateway/own_entry.ts
+++ b/src/gateway/own_entry.ts
@@ -13,19 +13,19 @@
 
 /** An entry lives this long after its last renewal; who finds an old one asks its VM in vain, and loses nothing. */
 const LEASE_MS = 20_000;
-const RENEW_MS = 5_000;
+const RENEW_INTERVAL_MS = 5_000;
 /** A VM that starts leads until it has heard of others; it does not write for that. */
-const SETTLED_MS = 3_000;
+const MIN_LEAD_MS = 3_000;
 /** A lead reads the others' entries this often, so that parts of a region that don't know of each other are joined. */
-const LEAD_LIST_MS = 15_000;
+const LEAD_LIST_INTERVAL_MS = 15_000;
 /** A VM without any other reads them this often: all may be starting, and the first leads are about to write theirs. */
-const ALONE_LIST_MS = 1_500;
+const ALONE_LIST_INTERVAL_MS = 1_500;
 /** A seed answers in two ways through the longest link; only then is the store asked. */
 const SEED_WAIT_MS = 400;
-const LOOK_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 
-/** Options of {@link OwnEntry}. */
-export interface EntryOptions {
+/** Options of {@link VmRegistration}. */
+export interface VmRegistrationOptions {
   readonly self: VmRecord;
   readonly store: KeyValue;
   readonly leastLeaseMs: number;
@@ -40,15 +40,15 @@
 }
 
 /** See the module. */
-export class OwnEntry {
-  readonly #options: EntryOptions;
+export class VmRegistration {
+  readonly #options: VmRegistrationOptions;
   #leaseId: string | undefined;
   #leadSinceMs: number | undefined;
   #renewedMs = -Infinity;
   #listedMs = -Infinity;
-  #open = true;
+  #isOpen = true;
 
-  constructor(options: EntryOptions) {
+  constructor(options: VmRegistrationOptions) {
     this.#options = options;
   }
 
@@ -59,20 +59,20 @@
 
   /** Removes the entry. */
   async close(): Promise<void> {
-    this.#open = false;
+    this.#isOpen = false;
     await this.#revoke();
   }
 
   async #run(): Promise<void> {
     const { clock, hasSeeds } = this.#options;
     if (hasSeeds) await clock.sleep(SEED_WAIT_MS);
-    while (this.#open) {
-      await this.#look(clock.monoMs());
-      await clock.sleep(LOOK_MS);
+    while (this.#isOpen) {
+      await this.#check(clock.monoMs());
+      await clock.sleep(CHECK_INTERVAL_MS);
     }
   }
 
-  async #look(nowMs: number): Promise<void> {
+  async #check(nowMs: number): Promise<void> {
     const { isLead, isAlone } = this.#options;
     if (!isLead()) {
       this.#leadSinceMs = undefined;
@@ -80,17 +80,19 @@
       return;
     }
     this.#leadSinceMs ??= nowMs;
-    const listEveryMs = isAlone() ? ALONE_LIST_MS : LEAD_LIST_MS;
-    if (nowMs - this.#listedMs >= listEveryMs) await this.#list(nowMs);
-    if (nowMs - this.#leadSinceMs < SETTLED_MS) return;
-    if (nowMs - this.#renewedMs >= RENEW_MS) await this.#renew(nowMs);
+    const listEveryMs = isAlone()
+      ? ALONE_LIST_INTERVAL_MS
+      : LEAD_LIST_INTERVAL_MS;
+    if (nowMs - this.#listedMs >= listEveryMs) await this.#discover(nowMs);
+    if (nowMs - this.#leadSinceMs < MIN_LEAD_MS) return;
+    if (nowMs - this.#renewedMs >= RENEW_INTERVAL_MS) await this.#renew(nowMs);
   }
 
-  async #list(nowMs: number): Promise<void> {
+  async #discover(nowMs: number): Promise<void> {
     const { store, log, onFound } = this.#options;
     const listing = await store.list(VM_PREFIX, {}, "membership");
     // A failed reading is made good by the next one; the store's loss is logged by who follows it.
-    if (listing.isErr() || !this.#open) return;
+    if (listing.isErr() || !this.#isOpen) return;
     this.#listedMs = nowMs;
     const found: VmRecord[] = [];
     for (const { key, rev, value } of listing.value.entries) {
@@ -108,15 +110,15 @@
     const { store, self, leastLeaseMs } = this.#options;
     this.#renewedMs = nowMs;
     if (this.#leaseId !== undefined) {
-      const kept = await store.keepAlive(this.#leaseId, "membership");
-      if (kept.isOk() || kept.error.kind !== "leaseGone") return;
+      const renewed = await store.keepAlive(this.#leaseId, "membership");
+      if (renewed.isOk() || renewed.error.kind !== "leaseGone") return;
       this.#leaseId = undefined;
     }
     const lease = await store.grant(
       Math.max(leastLeaseMs, LEASE_MS),
       "membership",
     );
-    if (lease.isErr() || !this.#open) return;
+    if (lease.isErr() || !this.#isOpen) return;
     const put = await store.put(VM_PREFIX + self.id, JSON.stringify(self), {
       leaseId: lease.value,
     }, "membership");
--- a/src/gateway/pass_on.ts
+++ b/src/gateway/pass_on.ts
@@ -9,7 +9,7 @@
 import type { Reply } from "./reply.ts";
 
 /** Whether an answer came to its end. */
-export type Passed = "whole" | "broken";
+export type ForwardResult = "whole" | "broken";
 
 /** Whether the answer says itself where it ends; otherwise it ends with its connection. */
 function isFramed({ headers }: IncomingMessage): boolean {
@@ -30,7 +30,7 @@
 }
 
 /** Passes one reply's bytes on, from one answer or, after a break, from several. It neither ends nor breaks the reply. */
-export abstract class BodyPass {
+export abstract class BodyForwarder {
   readonly #reply: Reply;
   readonly #onChunk: () => void;
 
@@ -41,25 +41,25 @@
   }
 
   /** What of the bytes so far can be passed on. */
-  protected abstract take(chunk: Buffer): Buffer | undefined;
+  protected abstract takeChunk(chunk: Buffer): Buffer | undefined;
 
   /** What is left when the answer ended in order. */
-  protected abstract rest(): Buffer | undefined;
+  protected abstract flush(): Buffer | undefined;
 
   /** Passes an answer's body on until it ends or breaks. */
-  run(answer: IncomingMessage): Promise<Passed> {
+  run(answer: IncomingMessage): Promise<ForwardResult> {
     return new Promise((resolve) => {
-      let over = false;
-      const finish = (passed: Passed) => {
-        if (over) return;
-        over = true;
-        if (passed === "whole") this.#write(answer, this.rest());
-        resolve(passed);
+      let isOver = false;
+      const finish = (result: ForwardResult) => {
+        if (isOver) return;
+        isOver = true;
+        if (result === "whole") this.#write(answer, this.flush());
+        resolve(result);
       };
       answer.on("data", (chunk: Buffer) => {
-        if (over) return;
+        if (isOver) return;
         this.#onChunk();
-        this.#write(answer, this.take(chunk));
+        this.#write(answer, this.takeChunk(chunk));
       });
       if (!isFramed(answer)) {
         watchReset(answer.socket, () => finish("broken"));
@@ -80,12 +80,12 @@
 }
 
 /** Passes bytes on as they come. */
-export class RawPass extends BodyPass {
-  protected take(chunk: Buffer): Buffer {
+export class RawForwarder extends BodyForwarder {
+  protected takeChunk(chunk: Buffer): Buffer {
     return chunk;
   }
 
-  protected rest(): undefined {
+  protected flush(): undefined {
     return undefined;
   }
 }
@@ -97,8 +97,8 @@
  * Passes whole events on and remembers the last one's id. An upstream may stop in the middle of an event; the part is
  * dropped, so that another upstream can go on after the last whole one.
  */
-export class EventPass extends BodyPass {
-  #held: Buffer = Buffer.alloc(0);
+export class EventForwarder extends BodyForwarder {
+  #partial: Buffer = Buffer.alloc(0);
   #lastEventId: string | undefined;
   /** Whole events that were passed on. */
   events = 0;
@@ -109,21 +109,21 @@
   }
 
   /** Drops a part of an event, before another answer goes on. */
-  dropPart(): void {
-    this.#held = Buffer.alloc(0);
+  dropPartial(): void {
+    this.#partial = Buffer.alloc(0);
   }
 
-  protected take(chunk: Buffer): Buffer | undefined {
-    const bytes = this.#held.length === 0
+  protected takeChunk(chunk: Buffer): Buffer | undefined {
+    const bytes = this.#partial.length === 0
       ? chunk
-      : Buffer.concat([this.#held, chunk]);
+      : Buffer.concat([this.#partial, chunk]);
     const at = bytes.lastIndexOf(EVENT_END);
     if (at < 0) {
-      this.#held = bytes;
+      this.#partial = bytes;
       return undefined;
     }
     const end = at + EVENT_END.length;
-    this.#held = bytes.subarray(end);
+    this.#partial = bytes.subarray(end);
     const whole = bytes.subarray(0, end);
     for (const [, id] of whole.toString("latin1").matchAll(EVENT_ID)) {
       this.#lastEventId = id.trim();
@@ -132,18 +132,18 @@
     return whole;
   }
 
-  protected rest(): Buffer {
-    return this.#held;
+  protected flush(): Buffer {
+    return this.#partial;
   }
 }
 
 /** Passes an answer on; `needsEvents` if it may go on from another upstream after a break. */
-export function passOf(
+export function createForwarder(
   reply: Reply,
-  needsEvents: boolean,
+  isResumable: boolean,
   onChunk: () => void,
-): BodyPass {
-  return needsEvents
-    ? new EventPass(reply, onChunk)
-    : new RawPass(reply, onChunk);
+): BodyForwarder {
+  return isResumable
+    ? new EventForwarder(reply, onChunk)
+    : new RawForwarder(reply, onChunk);
 }
--- a/src/gateway/peer_rpc.ts
+++ b/src/gateway/peer_rpc.ts
@@ -17,62 +17,62 @@
   type Kernel,
   type Log,
   type Messages,
-  type Port,
   Task,
+  type TaskPort,
 } from "../kernel/mod.ts";
-import type { BeliefMessages, Beliefs, Matter } from "./beliefs.ts";
-import type { Teller } from "../region/mod.ts";
+import type { NewsTopic, StoreView, StoreViewMessages } from "./beliefs.ts";
+import type { NewsSource } from "../region/mod.ts";
 import type { News } from "./replica.ts";
-import type { PeerQuestions } from "./front.ts";
+import type { PeerRpcHandler } from "./front.ts";
 import type { Members } from "./members.ts";
 import type { Relays } from "./relays.ts";
 
 /** Path of the questions on the peers' listener; no route of a caller is asked for there. */
 export const RPC_PATH = "/ibisgap/rpc";
 /** How often a VM looks whether another knows more, besides when it is told so. */
-const PULL_MS = 500;
+const PULL_INTERVAL_MS = 500;
 /**
  * How long a lead is behind another region before it asks there. Its own readers bring the same news sooner, unless the
  * store turns them all away; upstreams are read with a pause.
  */
-const FAR_BEHIND_MS: Readonly<Record<Matter, number>> = {
+const OTHER_REGION_DELAY_MS: Readonly<Record<NewsTopic, number>> = {
   operators: 600,
   upstreams: 2_000,
 };
 /** A question unanswered by then is asked elsewhere next time. */
-const ANSWER_WAIT_MS = 1_000;
-type NewsQuestion = BeliefMessages["news"]["in"];
+const ANSWER_TIMEOUT_MS = 1_000;
+type NewsRequest = StoreViewMessages["news"]["in"];
 
-const MATTERS: readonly Matter[] = ["operators", "upstreams"];
+const NEWS_TOPICS: readonly NewsTopic[] = ["operators", "upstreams"];
 
 /** See the module. */
-export class PeerRpc extends Task implements PeerQuestions {
+export class PeerRpc extends Task implements PeerRpcHandler {
   readonly name = "peerRpc";
   readonly path = RPC_PATH;
   readonly #server = new JSONRPCServer();
-  readonly #beliefs: Beliefs;
+  readonly #storeView: StoreView;
   readonly #members: Members;
   readonly #relays: Relays;
   readonly #region: string;
   readonly #random = new Random(process.pid);
   protected readonly handlers: Handlers<Messages> = {};
-  #port!: Port<BeliefMessages>;
+  #storeViewPort!: TaskPort<StoreViewMessages>;
   #log!: Log;
   #clock!: Clock;
   #timer: Timer | undefined;
-  #asking = false;
+  #isPulling = false;
   /** Since when a VM of another region knows more. */
-  readonly #behindSinceMs = new Map<Matter, number>();
+  readonly #behindSinceMs = new Map<NewsTopic, number>();
 
   constructor(
-    beliefs: Beliefs,
+    storeView: StoreView,
     members: Members,
     relays: Relays,
     region: string,
   ) {
     super();
     this.#region = region;
-    this.#beliefs = beliefs;
+    this.#storeView = storeView;
     this.#members = members;
     this.#relays = relays;
   }
@@ -80,14 +80,14 @@
   start(kernel: Kernel): Promise<void> {
     this.#log = kernel.log;
     this.#clock = kernel.clock;
-    this.#port = kernel.get<BeliefMessages>("beliefs");
+    this.#storeViewPort = kernel.get<StoreViewMessages>("beliefs");
     this.#server.addMethod(
       "news",
-      (question: NewsQuestion) => this.#port.ask("news", question),
+      (request: NewsRequest) => this.#storeViewPort.ask("news", request),
     );
     this.#server.addMethod("dump", () => kernel.dump());
-    this.#timer = this.#clock.every(PULL_MS, () => void this.#pull());
-    this.#members.onNews(() => void this.#pull());
+    this.#timer = this.#clock.every(PULL_INTERVAL_MS, () => void this.#pull());
+    this.#members.onRosterReceived(() => void this.#pull());
     return Promise.resolve();
   }
 
@@ -97,10 +97,10 @@
   }
 
   dump(): unknown {
-    return { asking: this.#asking };
+    return { asking: this.#isPulling };
   }
 
-  answer(request: IncomingMessage, response: ServerResponse): void {
+  handle(request: IncomingMessage, response: ServerResponse): void {
     void readText(request).then(async (text) => {
       const answer = await this.#server.receiveJSON(text);
       response.setHeader("content-type", "application/json");
@@ -113,15 +113,15 @@
 
   /** Asks a VM that is ahead, for each matter on which there is one. */
   async #pull(): Promise<void> {
-    if (this.#asking) return;
-    this.#asking = true;
+    if (this.#isPulling) return;
+    this.#isPulling = true;
     try {
-      for (const matter of MATTERS) {
-        const ahead = this.#pickAhead(matter);
-        if (ahead) await this.#ask(ahead, matter);
+      for (const topic of NEWS_TOPICS) {
+        const source = this.#pickSource(topic);
+        if (source) await this.#pullFrom(source, topic);
       }
     } finally {
-      this.#asking = false;
+      this.#isPulling = false;
     }
   }
 
@@ -129,39 +129,43 @@
    * Some VM that knows more: one of this region, so that the news crosses to each region once; one of another only if
    * nobody here could have read it.
    */
-  #pickAhead(matter: Matter): Teller | undefined {
-    const ownRev = this.#beliefs.newsRev(matter);
-    const ahead = this.#members.tellers()
-      .filter(({ revisions }) => revisions[matter] > ownRev);
-    const near = ahead.filter(({ region }) => region === this.#region);
-    if (near.length > 0) return this.#random.pick(near);
-    if (ahead.length === 0 || !this.#members.isLead) {
-      this.#behindSinceMs.delete(matter);
+  #pickSource(topic: NewsTopic): NewsSource | undefined {
+    const ownRev = this.#storeView.newsRev(topic);
+    const sources = this.#members.newsSources()
+      .filter(({ revisions }) => revisions[topic] > ownRev);
+    const nearSources = sources.filter(({ region }) => region === this.#region);
+    if (nearSources.length > 0) return this.#random.pick(nearSources);
+    if (sources.length === 0 || !this.#members.isLead) {
+      this.#behindSinceMs.delete(topic);
       return undefined;
     }
     const nowMs = this.#clock.monoMs();
-    const sinceMs = this.#behindSinceMs.get(matter) ?? nowMs;
-    this.#behindSinceMs.set(matter, sinceMs);
-    return nowMs - sinceMs >= FAR_BEHIND_MS[matter]
-      ? this.#random.pick(ahead)
+    const sinceMs = this.#behindSinceMs.get(topic) ?? nowMs;
+    this.#behindSinceMs.set(topic, sinceMs);
+    return nowMs - sinceMs >= OTHER_REGION_DELAY_MS[topic]
+      ? this.#random.pick(sources)
       : undefined;
   }
 
-  async #ask(member: Teller, matter: Matter): Promise<void> {
+  async #pullFrom(source: NewsSource, topic: NewsTopic): Promise<void> {
     const client = new JSONRPCClient(async (payload) => {
       client.receive(
-        JSON.parse(await this.#post(member.ip, JSON.stringify(payload))),
+        JSON.parse(await this.#post(source.ip, JSON.stringify(payload))),
       );
     });
     try {
-      const since = this.#beliefs.newsRev(matter);
-      const question: NewsQuestion = { matter, since };
-      const news = await client.request("news", question) as News;
-      await this.#port.ask("adopt", { matter, news, from: member.id });
+      const since = this.#storeView.newsRev(topic);
+      const request: NewsRequest = { matter: topic, since };
+      const news = await client.request("news", request) as News;
+      await this.#storeViewPort.ask("adopt", {
+        matter: topic,
+        news,
+        from: source.id,
+      });
     } catch (error) {
       this.#log.warn("peer did not answer", {
-        peer: member.id,
-        matter,
+        peer: source.id,
+        matter: topic,
         reason: String(error),
       });
     }
@@ -181,7 +185,7 @@
         },
       });
       const timer = this.#clock.after(
-        ANSWER_WAIT_MS,
+        ANSWER_TIMEOUT_MS,
         () => call.destroy(new Error("no answer in time")),
       );
       call.on("response", (answer) => {
--- a/src/gateway/place_here.ts
+++ b/src/gateway/place_here.ts
@@ -9,7 +9,7 @@
   affinityOf,
   type GatewayConfig,
   nextStep,
-  type ServiceRow,
+  type ServiceConfig,
   type Step,
 } from "../routing/mod.ts";
 import type { QuotaUse } from "../quota/mod.ts";
@@ -18,8 +18,8 @@
 import type { Upstreams } from "./upstreams.ts";
 
 /** A request as placing sees it. */
-export interface PlaceAsk {
-  readonly service: ServiceRow;
+export interface PlacementRequest {
+  readonly service: ServiceConfig;
   readonly config: GatewayConfig;
   readonly prompt: PromptShape;
   readonly objectiveMs: number;
@@ -44,7 +44,7 @@
 }
 
 /** What placing reads. */
-export interface PlaceWorld {
+export interface PlacementContext {
   readonly region: string;
   readonly clock: Clock;
   readonly random: Random;
@@ -53,41 +53,41 @@
 }
 
 /** Whether a region may serve, cache and hold a request. */
-export function isHomeOf(
-  { homeRegions }: Pick<PlaceAsk, "homeRegions">,
+export function isHomeRegion(
+  { homeRegions }: Pick<PlacementRequest, "homeRegions">,
   region: string,
 ): boolean {
   return homeRegions.length === 0 || homeRegions.includes(region);
 }
 
 /** See the module. */
-export function placeHere(
-  { region, clock, random, upstreams, relays }: PlaceWorld,
-  ask: PlaceAsk,
+export function placeLocally(
+  { region, clock, random, upstreams, relays }: PlacementContext,
+  request: PlacementRequest,
 ): Step<LinkedCandidate> {
-  const { service, prompt, tried, triedRegions, config } = ask;
-  const isFree = ask.homeRegions.length === 0;
+  const { service, prompt, tried, triedRegions, config } = request;
+  const isUnbound = request.homeRegions.length === 0;
   return nextStep({
     nowMs: clock.monoMs(),
-    arrivedMs: ask.arrivedMs,
-    deadlineMs: ask.deadlineMs,
-    terms: {
-      pace: upstreams.pace(service),
-      objectiveMs: ask.objectiveMs,
-      eventGapMs: ask.eventGapMs,
-      endGapMs: ask.endGapMs,
+    arrivedMs: request.arrivedMs,
+    deadlineMs: request.deadlineMs,
+    criteria: {
+      pace: upstreams.paceOf(service),
+      objectiveMs: request.objectiveMs,
+      eventGapMs: request.eventGapMs,
+      endGapMs: request.endGapMs,
     },
-    candidates: isHomeOf(ask, region)
+    candidates: isHomeRegion(request, region)
       ? upstreams.candidates(service, prompt)
         .filter(({ key }) => !tried.has(key))
       : [],
-    regions: ask.isRelayed ? [] : relays.regions(
+    regions: request.isRelayed ? [] : relays.reachableRegions(
       service.name,
-      (name) => isHomeOf(ask, name) && !triedRegions.has(name),
-      (name) => isFree && config.isHomeOf(service.name, name),
+      (name) => isHomeRegion(request, name) && !triedRegions.has(name),
+      (name) => isUnbound && config.isHomeOf(service.name, name),
     ),
     affinity: affinityOf(prompt.parts),
-    isSuspect: ask.isSuspect,
+    isSuspect: request.isSuspect,
     draw: random.next(),
   });
 }
--- a/src/gateway/place_wire.ts
+++ b/src/gateway/place_wire.ts
@@ -4,15 +4,15 @@
  * @module
  */
 
-import type { RegionRoom, Step } from "../routing/mod.ts";
+import type { RegionCapacity, Step } from "../routing/mod.ts";
 import type { GatewayConfig } from "../routing/mod.ts";
 import type { QuotaUse } from "../quota/mod.ts";
 import { decodeUse } from "./quota_wire.ts";
-import type { PlaceAsk } from "./place_here.ts";
+import type { PlacementRequest } from "./place_here.ts";
 import type { Grant } from "./upstream_link.ts";
 
-/** A question; see {@link PlaceAsk} for the fields that it shares with it. */
-export interface PlaceQuestion {
+/** A question; see {@link PlacementRequest} for the fields that it shares with it. */
+export interface PlacementQuery {
   /** The asking VM's number of the question. */
   readonly question: number;
   readonly from: string;
@@ -37,7 +37,7 @@
 }
 
 /** What a lead decided. `unknown` if it does not know the service: it may be behind with the configuration. */
-export type PlaceVerdict =
+export type PlacementVerdict =
   | { readonly type: "unknown" }
   | {
     readonly type: "send";
@@ -53,18 +53,18 @@
     readonly reason: Extract<Step<never>, { type: "refuse" }>["reason"];
     readonly comeBackMs: number;
     readonly here: number;
-    readonly elsewhere: readonly RegionRoom[];
+    readonly elsewhere: readonly RegionCapacity[];
     readonly counted?: true;
   };
 
 /** An answer. */
-export interface PlaceAnswer {
+export interface PlacementAnswer {
   readonly question: number;
-  readonly verdict: PlaceVerdict;
+  readonly verdict: PlacementVerdict;
 }
 
 /** What a question says besides the request. */
-export interface Asker {
+export interface QueryContext {
   readonly question: number;
   readonly from: string;
   /** Upstreams that the asking VM itself has lost a moment ago; the lead may reach them. */
@@ -73,88 +73,90 @@
 }
 
 /** Most lost upstreams that a question names: who has lost more has lost its own links. */
-const MOST_LOST = 8;
+const MAX_LOST_UPSTREAMS = 8;
 
 /** The question about a request. */
-export function encodeAsk(
-  ask: PlaceAsk,
-  { question, from, lost, nowMs }: Asker,
-): PlaceQuestion {
+export function encodeQuery(
+  request: PlacementRequest,
+  { question, from, lost, nowMs }: QueryContext,
+): PlacementQuery {
   return {
     question,
     from,
-    service: ask.service.name,
-    parts: ask.prompt.parts.map(({ id, tokens }) => [id, tokens]),
-    promptTokens: ask.prompt.tokens,
-    objectiveMs: ask.objectiveMs,
-    eventGapMs: ask.eventGapMs,
-    endGapMs: ask.endGapMs < Infinity ? ask.endGapMs : undefined,
-    waitedMs: nowMs - ask.arrivedMs,
-    leftMs: ask.deadlineMs - nowMs,
-    tried: [...ask.tried],
-    lost: lost.length > MOST_LOST ? [] : lost,
-    triedRegions: [...ask.triedRegions],
-    homeRegions: ask.homeRegions,
-    isRelayed: ask.isRelayed,
-    ...(ask.isSuspect ? { isSuspect: true } : {}),
-    quota: ask.quota,
+    service: request.service.name,
+    parts: request.prompt.parts.map(({ id, tokens }) => [id, tokens]),
+    promptTokens: request.prompt.tokens,
+    objectiveMs: request.objectiveMs,
+    eventGapMs: request.eventGapMs,
+    endGapMs: request.endGapMs < Infinity ? request.endGapMs : undefined,
+    waitedMs: nowMs - request.arrivedMs,
+    leftMs: request.deadlineMs - nowMs,
+    tried: [...request.tried],
+    lost: lost.length > MAX_LOST_UPSTREAMS ? [] : lost,
+    triedRegions: [...request.triedRegions],
+    homeRegions: request.homeRegions,
+    isRelayed: request.isRelayed,
+    ...(request.isSuspect ? { isSuspect: true } : {}),
+    quota: request.quota,
   };
 }
 
 /** Reads a datagram; `undefined` if it is no question. */
-export function decodeQuestion(params: unknown): PlaceQuestion | undefined {
-  const question = params as Partial<PlaceQuestion> | null;
-  return typeof question?.question === "number" &&
-      typeof question.from === "string" &&
-      typeof question.service === "string" &&
+export function decodeQuery(params: unknown): PlacementQuery | undefined {
+  const query = params as Partial<PlacementQuery> | null;
+  return typeof query?.question === "number" &&
+      typeof query.from === "string" &&
+      typeof query.service === "string" &&
       [
-        question.parts,
-        question.tried,
-        question.lost,
-        question.triedRegions,
-        question.homeRegions,
+        query.parts,
+        query.tried,
+        query.lost,
+        query.triedRegions,
+        query.homeRegions,
       ].every(Array.isArray) &&
-      [question.promptTokens, question.waitedMs, question.leftMs].every(
+      [query.promptTokens, query.waitedMs, query.leftMs].every(
         Number.isFinite,
       )
-    ? question as PlaceQuestion
+    ? query as PlacementQuery
     : undefined;
 }
 
 /** The request that a question is about; `undefined` if the service is not known here. */
-export function askOf(
-  question: PlaceQuestion,
+export function toPlacementRequest(
+  query: PlacementQuery,
   config: GatewayConfig | undefined,
   nowMs: number,
-): PlaceAsk | undefined {
-  const service = config?.service(question.service);
+): PlacementRequest | undefined {
+  const service = config?.service(query.service);
   if (!config || !service) return undefined;
   return {
     service,
     config,
     prompt: {
-      parts: question.parts.map(([id, tokens]) => ({ id, tokens })),
-      tokens: question.promptTokens,
+      parts: query.parts.map(([id, tokens]) => ({ id, tokens })),
+      tokens: query.promptTokens,
     },
-    objectiveMs: question.objectiveMs,
-    eventGapMs: question.eventGapMs,
-    endGapMs: question.endGapMs ?? Infinity,
-    arrivedMs: nowMs - question.waitedMs,
-    deadlineMs: nowMs + question.leftMs,
-    tried: new Set(question.tried),
-    triedRegions: new Set(question.triedRegions),
-    homeRegions: question.homeRegions,
-    isRelayed: question.isRelayed,
-    isSuspect: question.isSuspect === true,
-    quota: decodeUse(question.quota),
+    objectiveMs: query.objectiveMs,
+    eventGapMs: query.eventGapMs,
+    endGapMs: query.endGapMs ?? Infinity,
+    arrivedMs: nowMs - query.waitedMs,
+    deadlineMs: nowMs + query.leftMs,
+    tried: new Set(query.tried),
+    triedRegions: new Set(query.triedRegions),
+    homeRegions: query.homeRegions,
+    isRelayed: query.isRelayed,
+    isSuspect: query.isSuspect === true,
+    quota: decodeUse(query.quota),
   };
 }
 
 /** Reads a datagram; `undefined` if it is no answer. */
-export function decodePlaceAnswer(params: unknown): PlaceAnswer | undefined {
-  const answer = params as Partial<PlaceAnswer> | null;
+export function decodePlacementAnswer(
+  params: unknown,
+): PlacementAnswer | undefined {
+  const answer = params as Partial<PlacementAnswer> | null;
   return typeof answer?.question === "number" &&
       typeof answer.verdict?.type === "string"
-    ? answer as PlaceAnswer
+    ? answer as PlacementAnswer
     : undefined;
 }
--- a/src/gateway/placing_test.ts
+++ b/src/gateway/placing_test.ts
@@ -3,13 +3,13 @@
 import type { Kernel } from "../kernel/mod.ts";
 import type { DatagramHandler } from "./datagrams.ts";
 import { GatewayMetrics } from "./metrics.ts";
-import type { PlaceAsk } from "./place_here.ts";
-import { Placing, type PlacingOptions } from "./placing.ts";
+import type { PlacementRequest } from "./place_here.ts";
+import { Placer, type PlacerOptions } from "./placing.ts";
 
 /** Longer than a VM waits for its lead. */
 const BLOCKED_MS = 120;
 
-const ASK = {
+const REQUEST = {
   service: { name: "s" },
   prompt: { parts: [], tokens: 0 },
   arrivedMs: 0,
@@ -23,7 +23,7 @@
   isRelayed: false,
   isSuspect: false,
   quota: undefined,
-} as unknown as PlaceAsk;
+} as unknown as PlacementRequest;
 
 function block(ms: number): void {
   const endMs = performance.now() + ms;
@@ -36,7 +36,7 @@
   it("counts an answer that arrived while the VM was busy", async (t) => {
     const handlers = new Map<string, DatagramHandler>();
     const metrics = new GatewayMetrics();
-    const placing = new Placing({
+    const placer = new Placer({
       self: { id: "vm-1", region: "north" },
       datagrams: {
         on: (method: string, run: DatagramHandler) => handlers.set(method, run),
@@ -51,10 +51,10 @@
       members: { hearsAll: false, leads: [{ id: "vm-2", ip: "10.0.0.2" }] },
       upstreams: { aside: () => [] },
       metrics,
-    } as unknown as PlacingOptions);
-    await placing.start({ clock: systemClock } as unknown as Kernel);
-    const { step } = await placing.place(ASK);
+    } as unknown as PlacerOptions);
+    await placer.start({ clock: systemClock } as unknown as Kernel);
+    const { step } = await placer.place(REQUEST);
     t.is(step.type, "wait");
-    t.regex(metrics.page(), /placed_total\{by="lead"\} 1/);
+    t.regex(metrics.renderPage(), /placed_total\{by="lead"\} 1/);
   });
 });
--- a/src/gateway/quota_wire.ts
+++ b/src/gateway/quota_wire.ts
@@ -6,7 +6,7 @@
 
 import type {
   QuotaUse,
-  ShareNote,
+  ShareReport,
   ShareRow,
   StandbyRow,
 } from "../quota/mod.ts";
@@ -28,7 +28,7 @@
 ];
 
 /** Encodes what another region is told. */
-export function encodeShares({ region, rows }: ShareNote): unknown {
+export function encodeShares({ region, rows }: ShareReport): unknown {
   const list: WireShareRow[] = rows.map((
     { workspace, demandPerS, share, given, taken },
   ) => [workspace, demandPerS, share, given, taken]);
@@ -40,7 +40,7 @@
 }
 
 /** Reads a datagram; `undefined` if it is no note. Rows that can't be read are left out. */
-export function decodeShares(params: unknown): ShareNote | undefined {
+export function decodeShares(params: unknown): ShareReport | undefined {
   const note = params as { region?: unknown; rows?: unknown } | null;
   if (typeof note?.region !== "string" || !Array.isArray(note.rows)) {
     return undefined;
--- a/src/gateway/quotas.ts
+++ b/src/gateway/quotas.ts
@@ -15,14 +15,14 @@
   Task,
 } from "../kernel/mod.ts";
 import {
+  LocalQuota,
   MovingShares,
-  OwnPart,
   type QuotaSlack,
   type QuotaUse,
   RegionQuota,
   type Shares,
 } from "../quota/mod.ts";
-import type { Beliefs } from "./beliefs.ts";
+import type { StoreView } from "./beliefs.ts";
 import type { Datagrams } from "./datagrams.ts";
 import type { Members } from "./members.ts";
 import {
@@ -52,17 +52,17 @@
   readonly slack: QuotaSlack;
   readonly datagrams: Datagrams;
   readonly members: Members;
-  readonly beliefs: Beliefs;
+  readonly storeView: StoreView;
 }
 
 /** How often shares move: a quarter of the time in which demand is averaged. */
 const TICK_MS = 250;
 /** A VM that has just become the first lead may only not have heard of another one; it counts for all after this long. */
-const OFFICE_MS = 750;
+const AUTHORITY_DELAY_MS = 750;
 /** VMs that a VM which has heard nobody since its start takes to share the limits. */
-const UNKNOWN_VMS = 128;
+const ASSUMED_VM_COUNT = 128;
 /** A caller that this VM's own part has no room for is better off at another VM, soon. */
-const OWN_RETURN_MS = 200;
+const MAX_OWN_WAIT_MS = 200;
 
 /** See the module. */
 export class Quotas extends Task {
@@ -70,14 +70,14 @@
   readonly #options: QuotasOptions;
   protected readonly handlers: Handlers<Messages> = {};
   #shares!: Shares;
-  #region!: RegionQuota;
-  #own!: OwnPart;
+  #regionQuota!: RegionQuota;
+  #ownPart!: LocalQuota;
   #clock!: Clock;
   #timer: Timer | undefined;
-  #firstSinceMs: number | undefined;
+  #firstLeadSinceMs: number | undefined;
   /** Part of the region's VMs that this one hears, itself included. */
-  #heard = 1;
-  #vms = UNKNOWN_VMS;
+  #heardShare = 1;
+  #vmCount = ASSUMED_VM_COUNT;
 
   constructor(options: QuotasOptions) {
     super();
@@ -85,29 +85,29 @@
   }
 
   start(kernel: Kernel): Promise<void> {
-    const { self, regions, slack, datagrams, beliefs, hasOthers } =
+    const { self, regions, slack, datagrams, storeView, hasOthers } =
       this.#options;
     this.#clock = kernel.clock;
     const nowMs = this.#clock.monoMs();
     const limitOf = (workspace: string) =>
-      beliefs.config?.workspaces.get(workspace)?.quota;
+      storeView.config?.workspaces.get(workspace)?.quota;
     this.#shares = new MovingShares(self.region, regions, nowMs);
-    this.#region = new RegionQuota(this.#shares, limitOf, slack, nowMs);
-    this.#own = new OwnPart(self.id, limitOf, slack, nowMs);
-    if (!hasOthers) this.#vms = 1;
+    this.#regionQuota = new RegionQuota(this.#shares, limitOf, slack, nowMs);
+    this.#ownPart = new LocalQuota(self.id, limitOf, slack, nowMs);
+    if (!hasOthers) this.#vmCount = 1;
     datagrams.on("shares", (params) => {
       const note = decodeShares(params);
-      if (note) this.#shares.noteTold(note, this.#clock.monoMs());
+      if (note) this.#shares.applyReport(note, this.#clock.monoMs());
     });
     datagrams.on("standby", (params) => {
       if (this.isAuthority) return;
       for (const row of decodeStandby(params)) {
-        this.#region.noteStandby(row, this.#clock.monoMs());
+        this.#regionQuota.applyStandby(row, this.#clock.monoMs());
       }
     });
     datagrams.on("unused", (params) => {
       const use = decodeUse(params);
-      if (use) this.#region.giveBack(use);
+      if (use) this.#regionQuota.refund(use);
     });
     this.#timer = this.#clock.every(TICK_MS, () => this.#tick());
     return Promise.resolve();
@@ -122,10 +122,12 @@
     const nowMs = this.#clock.monoMs();
     return {
       isAuthority: this.isAuthority,
-      heard: this.#heard,
-      vms: this.#vms,
+      heard: this.#heardShare,
+      vms: this.#vmCount,
       workspaces: Object.fromEntries(
-        this.#region.called(nowMs).map(({ workspace, level }) => [workspace, {
+        this.#regionQuota.standbyRows(nowMs).map((
+          { workspace, level },
+        ) => [workspace, {
           share: this.#shares.shareOf(workspace, nowMs),
           level,
         }]),
@@ -135,12 +137,12 @@
 
   /** Whether this VM counts for its whole region. */
   get isAuthority(): boolean {
-    return this.#firstSinceMs !== undefined &&
-      this.#clock.monoMs() - this.#firstSinceMs >= OFFICE_MS;
+    return this.#firstLeadSinceMs !== undefined &&
+      this.#clock.monoMs() - this.#firstLeadSinceMs >= AUTHORITY_DELAY_MS;
   }
 
   /** Who counts here. */
-  get by(): Exclude<CountedBy, "lead"> {
+  get countedBy(): Exclude<CountedBy, "lead"> {
     return this.isAuthority ? "region" : "own";
   }
 
@@ -148,11 +150,11 @@
   waitMs(use: QuotaUse): number {
     const nowMs = this.#clock.monoMs();
     if (!this.isAuthority) {
-      const waitMs = this.#own.waitMs(use, this.#vms, nowMs);
-      return Math.min(waitMs, OWN_RETURN_MS);
+      const waitMs = this.#ownPart.waitMs(use, this.#vmCount, nowMs);
+      return Math.min(waitMs, MAX_OWN_WAIT_MS);
     }
-    const waitMs = this.#region.waitMs(use, this.#heard, nowMs);
-    if (waitMs > 0) this.#region.noteDemand(use, nowMs);
+    const waitMs = this.#regionQuota.waitMs(use, this.#heardShare, nowMs);
+    if (waitMs > 0) this.#regionQuota.noteDemand(use, nowMs);
     return waitMs;
   }
 
@@ -160,18 +162,18 @@
   take(use: QuotaUse): CountedBy {
     const nowMs = this.#clock.monoMs();
     if (!this.isAuthority) {
-      this.#own.take(use, this.#vms, nowMs);
+      this.#ownPart.take(use, this.#vmCount, nowMs);
       return "own";
     }
-    this.#region.noteDemand(use, nowMs);
-    this.#region.take(use, this.#heard, nowMs);
+    this.#regionQuota.noteDemand(use, nowMs);
+    this.#regionQuota.take(use, this.#heardShare, nowMs);
     return "region";
   }
 
   /** A request that was counted has not run, and never will. */
-  giveBack(use: QuotaUse, by: CountedBy): void {
-    if (by === "own") this.#own.giveBack(use);
-    else if (by === "region") this.#region.giveBack(use);
+  refund(use: QuotaUse, by: CountedBy): void {
+    if (by === "own") this.#ownPart.refund(use);
+    else if (by === "region") this.#regionQuota.refund(use);
     else {
       const { datagrams, members } = this.#options;
       const [first] = members.leads;
@@ -182,48 +184,49 @@
   #tick(): void {
     const { members, self, hasOthers } = this.#options;
     const nowMs = this.#clock.monoMs();
-    const all = members.count();
-    if (all > 1) this.#vms = all;
-    const isFirst = members.leads[0]?.id === self.id && (all > 1 || !hasOthers);
-    if (!isFirst) {
-      this.#firstSinceMs = undefined;
+    const vmCount = members.vmCount();
+    if (vmCount > 1) this.#vmCount = vmCount;
+    const isFirstLead = members.leads[0]?.id === self.id &&
+      (vmCount > 1 || !hasOthers);
+    if (!isFirstLead) {
+      this.#firstLeadSinceMs = undefined;
       return;
     }
-    if (this.#firstSinceMs === undefined) {
-      this.#firstSinceMs = nowMs;
-      this.#region.begin(nowMs);
+    if (this.#firstLeadSinceMs === undefined) {
+      this.#firstLeadSinceMs = nowMs;
+      this.#regionQuota.startLeading(nowMs);
     }
-    this.#heard = Math.min(
+    this.#heardShare = Math.min(
       1,
-      (members.reporters().length + 1) / members.regionCount,
+      (members.reporters().length + 1) / members.regionVmCount,
     );
     if (!this.#hasLimits()) return;
     if (this.isAuthority) {
-      this.#shares.balance(nowMs);
-      this.#tellStandby(nowMs);
+      this.#shares.rebalance(nowMs);
+      this.#sendStandby(nowMs);
     }
-    this.#tellRegions(nowMs);
+    this.#sendShares(nowMs);
   }
 
   #hasLimits(): boolean {
-    return (this.#options.beliefs.config?.workspaces.count ?? 0) > 0;
+    return (this.#options.storeView.config?.workspaces.count ?? 0) > 0;
   }
 
-  #tellRegions(nowMs: number): void {
+  #sendShares(nowMs: number): void {
     const { datagrams, members } = this.#options;
-    for (const { digest } of members.regions()) {
+    for (const { digest } of members.otherRegions()) {
       const [first] = digest.leads;
-      const note = this.#shares.tell(digest.from.region, nowMs);
+      const note = this.#shares.buildReport(digest.from.region, nowMs);
       if (first && note) {
         datagrams.send("shares", encodeShares(note), [first.ip]);
       }
     }
   }
 
-  #tellStandby(nowMs: number): void {
+  #sendStandby(nowMs: number): void {
     const { datagrams, members, self } = this.#options;
     const others = members.leads.filter(({ id }) => id !== self.id);
-    const rows = this.#region.standby(nowMs);
+    const rows = this.#regionQuota.nextStandbyRows(nowMs);
     if (rows.length > 0 && others.length > 0) {
       const ips = others.map(({ ip }) => ip);
       datagrams.send("standby", encodeStandby(rows), ips);
--- a/src/gateway/relay_send.ts
+++ b/src/gateway/relay_send.ts
@@ -10,62 +10,67 @@
 import { Exchange, type ExchangeFailure } from "./exchange.ts";
 import type { RelayTarget } from "./relays.ts";
 import { decodePeerFailure, RELAY_HEADERS } from "./reply.ts";
-import { type Answered, Send, type Sendable, type Unanswered } from "./send.ts";
+import {
+  type Answered,
+  type OutboundRequest,
+  Send,
+  type Unanswered,
+} from "./send.ts";
 
 /** A connection to another region, 80 ms away each way. */
-const RELAY_CONNECT_WAIT_MS = 500;
+const RELAY_CONNECT_TIMEOUT_MS = 500;
 
 /** What a VM of another region is told besides. */
-export interface RelayTerms {
+export interface RelaySendOptions {
   readonly configVersion: number;
   readonly mostUpstreams: number;
   /** Tells which workspace calls; the other VM looks it up in its own configuration. */
   readonly keyDigest: string | undefined;
   /** Whether the request has the leave to run once more. */
-  readonly isOnTrial: boolean;
+  readonly isTrialRun: boolean;
 }
 
 /** A send to a VM of another region. */
 export class RelaySend extends Send {
   protected readonly exchange: Exchange;
-  readonly #vm: RelayTarget;
+  readonly #target: RelayTarget;
 
   constructor(
     context: GatewayContext,
-    sendable: Sendable,
-    vm: RelayTarget,
-    terms: RelayTerms,
+    outbound: OutboundRequest,
+    target: RelayTarget,
+    options: RelaySendOptions,
   ) {
-    super(context, sendable);
-    this.#vm = vm;
-    const leftMs = sendable.deadlineMonoMs - context.clock.monoMs();
+    super(context, outbound);
+    this.#target = target;
+    const leftMs = outbound.deadlineMonoMs - context.clock.monoMs();
     this.exchange = new Exchange({
-      agent: context.relays.agent(vm.ip),
-      host: vm.ip,
+      agent: context.relays.agent(target.ip),
+      host: target.ip,
       port: context.relays.port,
-      method: sendable.method,
-      target: sendable.target,
+      method: outbound.method,
+      target: outbound.target,
       headers: [
-        ...sendable.headers,
+        ...outbound.headers,
         RELAY_HEADERS.waitMs,
         String(Math.floor(leftMs)),
         RELAY_HEADERS.configVersion,
-        String(terms.configVersion),
+        String(options.configVersion),
         RELAY_HEADERS.mostUpstreams,
-        String(terms.mostUpstreams),
-        ...(terms.keyDigest === undefined
+        String(options.mostUpstreams),
+        ...(options.keyDigest === undefined
           ? []
-          : [RELAY_HEADERS.keyDigest, terms.keyDigest]),
-        ...(terms.isOnTrial ? [RELAY_HEADERS.onTrial, "1"] : []),
+          : [RELAY_HEADERS.keyDigest, options.keyDigest]),
+        ...(options.isTrialRun ? [RELAY_HEADERS.onTrial, "1"] : []),
       ],
-      body: sendable.body,
-      connectWaitMs: RELAY_CONNECT_WAIT_MS,
+      body: outbound.body,
+      connectTimeoutMs: RELAY_CONNECT_TIMEOUT_MS,
     });
   }
 
   /** The region that the request is handed to. */
   get region(): string {
-    return this.#vm.region;
+    return this.#target.region;
   }
 
   noteChunk(): void {}
@@ -74,31 +79,31 @@
 
   close(): void {}
 
-  protected override lost(cause: ExchangeFailure): Unanswered {
+  protected override handleFailure(cause: ExchangeFailure): Unanswered {
     if (!cause.sent) {
-      this.context.relays.noteLost(this.#vm.ip);
+      this.context.relays.noteConnectFailure(this.#target.ip);
     }
-    return super.lost(cause);
+    return super.handleFailure(cause);
   }
 
-  protected read(answer: IncomingMessage): Answered | Unanswered {
-    const refused = decodePeerFailure(answer.headers);
-    if (!refused) {
-      const read = decodeAnswer(answer, this.sendable.attemptId);
-      return { type: "answered", answer, read };
+  protected checkAnswer(answer: IncomingMessage): Answered | Unanswered {
+    const peerFailure = decodePeerFailure(answer.headers);
+    if (!peerFailure) {
+      const decoded = decodeAnswer(answer, this.outbound.attemptId);
+      return { type: "answered", answer, decoded };
     }
     answer.resume();
-    const mayHaveRun = refused.failure.ran !== "no";
+    const mayHaveRun = peerFailure.failure.ran !== "no";
     return {
       type: "unanswered",
-      reached: true,
+      wasSent: true,
       mayHaveRun,
-      arrived: mayHaveRun,
-      arrivals: refused.arrivals,
-      endedUpstream: refused.endedUpstream,
-      reason: `${this.#vm.ip} answered ${refused.failure.code}`,
-      failure: refused.failure,
-      comeBackMs: refused.comeBackMs,
+      wasAccepted: mayHaveRun,
+      arrivals: peerFailure.arrivals,
+      endedUpstream: peerFailure.endedUpstream,
+      reason: `${this.#target.ip} answered ${peerFailure.failure.code}`,
+      failure: peerFailure.failure,
+      comeBackMs: peerFailure.comeBackMs,
     };
   }
 }
--- a/src/gateway/relays.ts
+++ b/src/gateway/relays.ts
@@ -11,16 +11,16 @@
   type Messages,
   Task,
 } from "../kernel/mod.ts";
-import type { FarRegion } from "../region/mod.ts";
-import type { RegionPlaces, RegionRoom } from "../routing/mod.ts";
-import { Connections } from "./connections.ts";
+import type { RemoteRegion } from "../region/mod.ts";
+import type { OfferedCapacity, RegionCapacity } from "../routing/mod.ts";
+import { KeepAliveAgent } from "./connections.ts";
 
 /** Idle time of links between VMs; the listener keeps them longer. */
 const IDLE_MS = 20_000;
 /** A VM to which a connection failed is left aside until its region no longer names it, if it is gone. */
-const LOST_MS = 3_000;
+const CONNECT_FAILURE_PAUSE_MS = 3_000;
 
-const NO_ROOM: RegionPlaces = { free: 0, queue: 0 };
+const NO_ROOM: OfferedCapacity = { free: 0, queue: 0 };
 
 /** A VM of another region that takes requests. */
 export interface RelayTarget {
@@ -30,23 +30,23 @@
 
 /** What is known of other regions. */
 export interface OtherRegions {
-  regions(): readonly FarRegion[];
+  otherRegions(): readonly RemoteRegion[];
 }
 
 /** See the module. */
 export class Relays extends Task {
   readonly name = "relays";
-  readonly #known: OtherRegions;
+  readonly #regionSource: OtherRegions;
   readonly #port: number;
-  readonly #agents = new Map<string, Connections>();
+  readonly #agents = new Map<string, KeepAliveAgent>();
   /** Addresses to which a connection failed, with the time of the failure. */
-  readonly #lostMonoMs = new Map<string, number>();
+  readonly #connectFailedMonoMs = new Map<string, number>();
   protected readonly handlers: Handlers<Messages> = {};
   #clock!: Clock;
 
-  constructor(known: OtherRegions, port: number) {
+  constructor(regionSource: OtherRegions, port: number) {
     super();
-    this.#known = known;
+    this.#regionSource = regionSource;
     this.#port = port;
   }
 
@@ -61,28 +61,28 @@
   }
 
   dump(): unknown {
-    const idle = [...this.#agents].map(([ip, agent]) => [ip, agent.idle]);
+    const idle = [...this.#agents].map(([ip, agent]) => [ip, agent.idleCount]);
     return { idleConnections: Object.fromEntries(idle) };
   }
 
   /** A connection to a VM could not be made: nothing more is handed to it for a while. */
-  noteLost(ip: string): void {
-    this.#lostMonoMs.set(ip, this.#clock.monoMs());
+  noteConnectFailure(ip: string): void {
+    this.#connectFailedMonoMs.set(ip, this.#clock.monoMs());
   }
 
   /** Other regions with a VM that can be reached and takes requests, and their room for a service. */
-  regions(
+  reachableRegions(
     service: string,
-    allowed: (region: string) => boolean,
+    isAllowed: (region: string) => boolean,
     isScarce: (region: string) => boolean,
-  ): RegionRoom[] {
-    const rooms: RegionRoom[] = [];
-    for (const far of this.#known.regions()) {
-      const { region } = far.digest.from;
-      if (!allowed(region) || this.#targets(far).length === 0) continue;
+  ): RegionCapacity[] {
+    const rooms: RegionCapacity[] = [];
+    for (const other of this.#regionSource.otherRegions()) {
+      const { region } = other.digest.from;
+      if (!isAllowed(region) || this.#readyIps(other).length === 0) continue;
       rooms.push({
         region,
-        ...(far.digest.room?.[service] ?? NO_ROOM),
+        ...(other.digest.room?.[service] ?? NO_ROOM),
         isScarce: isScarce(region),
       });
     }
@@ -90,18 +90,18 @@
   }
 
   /** A VM of a region to hand a request to, at random among those that take requests. */
-  pick(region: string, random: Random): RelayTarget | undefined {
-    const far = this.#known.regions()
+  pickTarget(region: string, random: Random): RelayTarget | undefined {
+    const other = this.#regionSource.otherRegions()
       .find(({ digest }) => digest.from.region === region);
-    const ips = far ? this.#targets(far) : [];
+    const ips = other ? this.#readyIps(other) : [];
     return ips.length === 0 ? undefined : { ip: random.pick(ips), region };
   }
 
   /** The connections to a VM. */
-  agent(ip: string): Connections {
+  agent(ip: string): KeepAliveAgent {
     let agent = this.#agents.get(ip);
     if (!agent) {
-      agent = new Connections({ defaultIdleMs: IDLE_MS });
+      agent = new KeepAliveAgent({ defaultIdleMs: IDLE_MS });
       this.#agents.set(ip, agent);
     }
     return agent;
@@ -112,10 +112,11 @@
     return this.#port;
   }
 
-  #targets({ digest }: FarRegion): string[] {
+  #readyIps({ digest }: RemoteRegion): string[] {
     const nowMs = this.#clock.monoMs();
     return digest.ready.filter((ip) =>
-      nowMs - (this.#lostMonoMs.get(ip) ?? -Infinity) >= LOST_MS
+      nowMs - (this.#connectFailedMonoMs.get(ip) ?? -Infinity) >=
+        CONNECT_FAILURE_PAUSE_MS
     );
   }
 }
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -10,7 +10,7 @@
 import type { Entry, Listing, WatchEvent } from "../adapters/mod.ts";
 
 /** A key that is gone, and the revision at which it surely was. */
-export interface EndedKey {
+export interface DeletedKey {
   readonly key: string;
   readonly rev: number;
 }
@@ -20,7 +20,7 @@
   /** Entries that said something new since. */
   readonly entries: readonly Entry[];
   /** Keys that ended since, as far as the teller remembers. */
-  readonly deleted: readonly EndedKey[];
+  readonly deleted: readonly DeletedKey[];
   /** All keys there are, if the teller does not remember all that ended since. */
   readonly present?: readonly string[];
   /** The store's revision that the teller had got to. */
@@ -45,18 +45,18 @@
 }
 
 /** What came of taking something in. */
-export interface Taken {
+export interface ApplyResult {
   /** Whether it was looked at; what holds no further than what is known is not. */
   readonly isNewer: boolean;
   /** Keys of which it said what is no longer so. */
-  readonly oldKeys: readonly string[];
+  readonly staleKeys: readonly string[];
 }
 
 /** Ends that are remembered to be told; a VM that is further behind is told which keys there are. */
-const MOST_ENDED = 500;
+const MAX_DELETED_KEYS = 500;
 
 /** An entry with the revision at which it last said something new. */
-interface Held {
+interface HeldEntry {
   readonly entry: Entry;
   readonly newsRev: number;
 }
@@ -64,9 +64,9 @@
 /** See the module. */
 export class Replica {
   readonly #options: ReplicaOptions;
-  readonly #held = new Map<string, Held>();
+  readonly #entries = new Map<string, HeldEntry>();
   /** Keys that are gone, with the revision of their end. */
-  readonly #ended = new Map<string, number>();
+  readonly #deletedRevs = new Map<string, number>();
   /** Ends up to this revision may not be remembered. */
   #forgottenRev = 0;
   /** Last news of a first listing of renewed entries, in which nothing tells what is new. */
@@ -89,7 +89,7 @@
   }
 
   /** What this VM says of its news to others. */
-  get saidRev(): number {
+  get announcedRev(): number {
     return this.newsRev > this.#firstNewsRev
       ? this.newsRev
       : Math.min(1, this.newsRev);
@@ -97,24 +97,24 @@
 
   /** What another VM that is at the news `sinceNewsRev` lacks. */
   newsSince(sinceNewsRev: number): News {
-    const held = [...this.#held.values()];
+    const held = [...this.#entries.values()];
     const isForgotten = sinceNewsRev < this.#forgottenRev;
     return {
       entries: held.filter(({ newsRev }) => newsRev > sinceNewsRev)
         .map(({ entry }) => entry),
-      deleted: [...this.#ended].filter(([, rev]) => rev > sinceNewsRev)
+      deleted: [...this.#deletedRevs].filter(([, rev]) => rev > sinceNewsRev)
         .map(([key, rev]) => ({ key, rev })),
-      ...(isForgotten ? { present: [...this.#held.keys()] } : {}),
+      ...(isForgotten ? { present: [...this.#entries.keys()] } : {}),
       rev: this.#rev,
       newsRev: this.newsRev,
     };
   }
 
   /** Takes in a listing of all entries. */
-  list({ entries, rev }: Listing): Taken {
-    if (rev < this.#rev) return { isNewer: false, oldKeys: [] };
+  applyListing({ entries, rev }: Listing): ApplyResult {
+    if (rev < this.#rev) return { isNewer: false, staleKeys: [] };
     const isFirst = this.#rev === 0;
-    this.#keepOnly(entries.map(({ key }) => key), rev);
+    this.#deleteMissing(entries.map(({ key }) => key), rev);
     for (const entry of entries) this.#put(entry);
     this.#rev = rev;
     // A key that came and went between two listings is in neither of them.
@@ -123,89 +123,89 @@
     if (isFirst && this.#options.isRenewed) {
       this.#firstNewsRev = this.newsRev;
     }
-    return { isNewer: true, oldKeys: [] };
+    return { isNewer: true, staleKeys: [] };
   }
 
   /** Takes in all changes up to a revision. */
-  change(events: readonly WatchEvent[], rev: number): Taken {
-    const oldKeys: string[] = [];
+  applyChanges(events: readonly WatchEvent[], rev: number): ApplyResult {
+    const staleKeys: string[] = [];
     for (const event of events) {
       if (event.type === "lost") continue;
       const key = event.type === "put" ? event.entry.key : event.key;
       const eventRev = event.type === "put" ? event.entry.rev : event.rev;
       if (eventRev <= this.#rev) {
-        if (this.#contradicts(key, event)) oldKeys.push(key);
+        if (this.#contradicts(key, event)) staleKeys.push(key);
       } else if (event.type === "put") this.#put(event.entry);
       else this.#delete(key, eventRev);
     }
     const isNewer = rev > this.#rev;
     this.#rev = Math.max(this.#rev, rev);
-    return { isNewer, oldKeys };
+    return { isNewer, staleKeys };
   }
 
   /** Takes in what another VM told. */
-  adopt(news: News): Taken {
-    if (news.rev <= this.#rev) return this.#correct(news);
+  adopt(news: News): ApplyResult {
+    if (news.rev <= this.#rev) return this.#reannounceDeletions(news);
     for (const { key, rev } of news.deleted) this.#delete(key, rev);
-    if (news.present) this.#keepOnly(news.present, news.rev);
+    if (news.present) this.#deleteMissing(news.present, news.rev);
     for (const entry of news.entries) this.#put(entry);
     if (news.present) this.#forgottenRev = news.rev;
     this.#rev = news.rev;
     this.#newsRev = Math.max(this.#newsRev, news.newsRev);
-    return { isNewer: true, oldKeys: [] };
+    return { isNewer: true, staleKeys: [] };
   }
 
   /** A VM that tells of entries which are gone has missed their ends, and whoever told it may be gone too: say it anew. */
-  #correct({ entries, newsRev }: News): Taken {
-    const oldKeys = entries.filter(({ key, rev }) =>
-      rev <= this.#rev && !this.#held.has(key) && !this.#ended.has(key)
+  #reannounceDeletions({ entries, newsRev }: News): ApplyResult {
+    const staleKeys = entries.filter(({ key, rev }) =>
+      rev <= this.#rev && !this.#entries.has(key) && !this.#deletedRevs.has(key)
     ).map(({ key }) => key);
-    for (const key of oldKeys) this.#delete(key, this.#rev);
+    for (const key of staleKeys) this.#delete(key, this.#rev);
     this.#newsRev = Math.max(this.#newsRev, Math.min(newsRev, this.#rev));
-    return { isNewer: false, oldKeys };
+    return { isNewer: false, staleKeys };
   }
 
   #contradicts(key: string, event: WatchEvent): boolean {
-    return this.#held.has(key) !== (event.type === "put");
+    return this.#entries.has(key) !== (event.type === "put");
   }
 
-  #keepOnly(keys: readonly string[], rev: number): void {
+  #deleteMissing(keys: readonly string[], rev: number): void {
     const present = new Set(keys);
-    for (const key of [...this.#held.keys()]) {
+    for (const key of [...this.#entries.keys()]) {
       if (!present.has(key)) this.#delete(key, rev);
     }
   }
 
   #delete(key: string, rev: number): void {
-    const before = this.#held.get(key);
-    if (before && before.entry.rev >= rev) return;
-    if ((this.#ended.get(key) ?? 0) >= rev) return;
-    this.#held.delete(key);
-    this.#remember(key, rev);
+    const existing = this.#entries.get(key);
+    if (existing && existing.entry.rev >= rev) return;
+    if ((this.#deletedRevs.get(key) ?? 0) >= rev) return;
+    this.#entries.delete(key);
+    this.#recordDeletion(key, rev);
     this.#newsRev = Math.max(this.#newsRev, rev);
-    if (before) this.#options.onDelete(key);
+    if (existing) this.#options.onDelete(key);
   }
 
   /** Remembers an end also of a key that was never held: another VM may hold it. */
-  #remember(key: string, rev: number): void {
-    this.#ended.delete(key);
-    this.#ended.set(key, rev);
-    for (const [oldest, oldestRev] of this.#ended) {
-      if (this.#ended.size <= MOST_ENDED) break;
-      this.#ended.delete(oldest);
+  #recordDeletion(key: string, rev: number): void {
+    this.#deletedRevs.delete(key);
+    this.#deletedRevs.set(key, rev);
+    for (const [oldest, oldestRev] of this.#deletedRevs) {
+      if (this.#deletedRevs.size <= MAX_DELETED_KEYS) break;
+      this.#deletedRevs.delete(oldest);
       this.#forgottenRev = Math.max(this.#forgottenRev, oldestRev);
     }
   }
 
   #put(entry: Entry): void {
     const { key, rev } = entry;
-    const before = this.#held.get(key);
-    if (before && before.entry.rev >= rev) return;
-    const newsRev = before && !this.#options.isNews(entry)
-      ? before.newsRev
+    const existing = this.#entries.get(key);
+    if (existing && existing.entry.rev >= rev) return;
+    const newsRev = existing && !this.#options.isNews(entry)
+      ? existing.newsRev
       : rev;
-    this.#held.set(key, { entry, newsRev });
-    this.#ended.delete(key);
+    this.#entries.set(key, { entry, newsRev });
+    this.#deletedRevs.delete(key);
     this.#newsRev = Math.max(this.#newsRev, newsRev);
     this.#options.onPut(entry);
   }
--- a/src/gateway/replica_test.ts
+++ b/src/gateway/replica_test.ts
@@ -23,7 +23,7 @@
 
 function listed(entries: Entry[], rev: number, isRenewed = false): Vm {
   const vm = open(isRenewed);
-  vm.replica.list({ entries, rev, more: false });
+  vm.replica.applyListing({ entries, rev, more: false });
   return vm;
 }
 
@@ -43,7 +43,7 @@
     it("before its first listing reaches a VM that holds the key", (t) => {
       const behind = listed([entry("a", 72), entry("b", 70)], 75);
       const teller = listed([entry("b", 70)], 80);
-      teller.replica.change([put(entry("c", 85))], 85);
+      teller.replica.applyChanges([put(entry("c", 85))], 85);
       tell(teller, behind);
       t.deepEqual([...behind.believed.keys()], ["b", "c"]);
     });
@@ -51,9 +51,13 @@
     it("in a gap of its history reaches a VM that holds the key", (t) => {
       const teller = listed([entry("b", 8)], 10);
       const behind = listed([entry("b", 8)], 10);
-      behind.replica.change([put(entry("a", 12))], 13);
-      teller.replica.list({ entries: [entry("b", 8)], rev: 20, more: false });
-      teller.replica.change([put(entry("c", 21))], 21);
+      behind.replica.applyChanges([put(entry("a", 12))], 13);
+      teller.replica.applyListing({
+        entries: [entry("b", 8)],
+        rev: 20,
+        more: false,
+      });
+      teller.replica.applyChanges([put(entry("c", 21))], 21);
       tell(teller, behind);
       t.deepEqual([...behind.believed.keys()], ["b", "c"]);
     });
@@ -63,9 +67,9 @@
       const second = listed([], 10);
       const behind = listed([], 10);
       for (const { replica } of [first, behind]) {
-        replica.change([put(entry("a", 12))], 12);
+        replica.applyChanges([put(entry("a", 12))], 12);
       }
-      first.replica.change([gone("a", 15)], 15);
+      first.replica.applyChanges([gone("a", 15)], 15);
       tell(first, second);
       tell(second, behind);
       t.deepEqual([...behind.believed.keys()], []);
@@ -77,9 +81,12 @@
       const teller = listed(entries, 3_000);
       const behind = listed(entries, 3_000);
       for (const { replica } of [teller, behind]) {
-        replica.change([put(entry("b", 3_001))], 3_001);
+        replica.applyChanges([put(entry("b", 3_001))], 3_001);
       }
-      teller.replica.change(keys.map((key, i) => gone(key, 3_002 + i)), 6_000);
+      teller.replica.applyChanges(
+        keys.map((key, i) => gone(key, 3_002 + i)),
+        6_000,
+      );
       tell(teller, behind);
       t.deepEqual([...behind.believed.keys()], ["b"]);
     });
@@ -88,7 +95,7 @@
       const restarted = listed([entry("b", 18)], 20);
       const teller = listed([], 10);
       const behind = listed([], 10);
-      behind.replica.change([put(entry("a", 12))], 12);
+      behind.replica.applyChanges([put(entry("a", 12))], 12);
       tell(restarted, teller);
       tell(teller, behind);
       t.deepEqual([...behind.believed.keys()], ["b"]);
@@ -98,19 +105,19 @@
   // All that saw the end restart before they told it. Without a correction the others hold the key for good.
   it("that restarts corrects a VM which still holds a key that ended", (t) => {
     const behind = listed([entry("config", 90)], 95);
-    behind.replica.change([put(entry("a", 100))], 100);
+    behind.replica.applyChanges([put(entry("a", 100))], 100);
     const restarted = listed([entry("config", 90)], 160);
-    t.true(behind.replica.saidRev > restarted.replica.saidRev);
+    t.true(behind.replica.announcedRev > restarted.replica.announcedRev);
     tell(behind, restarted);
     t.deepEqual([...restarted.believed.keys()], ["config"]);
-    t.true(restarted.replica.saidRev > behind.replica.saidRev);
+    t.true(restarted.replica.announcedRev > behind.replica.announcedRev);
     tell(restarted, behind);
     t.deepEqual([...behind.believed.keys()], ["config"]);
   });
 
   it("says what it has listed, unless entries are renewed all the time", (t) => {
-    t.is(listed([entry("a", 70)], 80).replica.saidRev, 70);
-    t.is(listed([entry("a", 70)], 80, true).replica.saidRev, 1);
+    t.is(listed([entry("a", 70)], 80).replica.announcedRev, 70);
+    t.is(listed([entry("a", 70)], 80, true).replica.announcedRev, 1);
   });
 
   describe("with answers and news in any order", () => {
@@ -169,14 +176,14 @@
         if (isList || sinceRev < Math.max(1, this.#forgottenRev)) {
           const entries = [...this.at(rev).values()];
           const listing: Listing = { entries, rev, more: false };
-          this.#underWay.push(() => vm.replica.list(listing));
+          this.#underWay.push(() => vm.replica.applyListing(listing));
           return;
         }
         const events = this.#events.filter((event) =>
           event.type !== "lost" &&
           (event.type === "put" ? event.entry.rev : event.rev) > sinceRev
         );
-        this.#underWay.push(() => vm.replica.change(events, rev));
+        this.#underWay.push(() => vm.replica.applyChanges(events, rev));
       }
 
       /** Asks another VM as of now; the answer is under way. */
@@ -205,7 +212,7 @@
           for (let i = 0; i < VMS; i++) {
             for (let j = 0; j < VMS; j++) {
               const { newsRev } = this.vms[i].replica;
-              if (this.vms[j].replica.saidRev <= newsRev) continue;
+              if (this.vms[j].replica.announcedRev <= newsRev) continue;
               this.askVm(i, j);
               this.deliver(0);
             }
--- a/src/gateway/reply.ts
+++ b/src/gateway/reply.ts
@@ -11,26 +11,26 @@
 /** See the module. A reply ends once: with an answer, a failure, or a broken connection. */
 export abstract class Reply {
   protected readonly response: ServerResponse;
-  #gone = false;
-  #onGone: (() => void) | undefined;
+  #isDisconnected = false;
+  #onDisconnect: (() => void) | undefined;
 
   constructor(response: ServerResponse) {
     this.response = response;
     response.sendDate = false;
     const { socket } = response.req;
     // Node says so on the answer only when its own side is closed too, some turns of a busy loop later.
-    const onEnd = () => this.#leave();
+    const onEnd = () => this.#noteDisconnect();
     socket.once("end", onEnd);
     response.on("close", () => {
       socket.off("end", onEnd);
-      this.#leave();
+      this.#noteDisconnect();
     });
     response.on("error", () => {});
   }
 
   /** Sets what to do when the other side leaves before its answer is whole. */
-  onGone(run: () => void): void {
-    this.#onGone = run;
+  onDisconnect(run: () => void): void {
+    this.#onDisconnect = run;
   }
 
   /** Sets what to do when the answer is over, whole or not. */
@@ -39,23 +39,23 @@
   }
 
   /** Whether the other side left before its answer was whole. */
-  get isGone(): boolean {
-    return this.#gone;
+  get isDisconnected(): boolean {
+    return this.#isDisconnected;
   }
 
-  #leave(): void {
-    if (this.#gone || this.response.writableFinished) return;
-    this.#gone = true;
-    this.#onGone?.();
+  #noteDisconnect(): void {
+    if (this.#isDisconnected || this.response.writableFinished) return;
+    this.#isDisconnected = true;
+    this.#onDisconnect?.();
   }
 
   /** Whether part of an answer is out, so that no other can follow. */
-  get isBegun(): boolean {
+  get hasStarted(): boolean {
     return this.response.headersSent;
   }
 
   /** Passes on an upstream's status and headers; `bodyBytes` is its length, if known. */
-  begin(
+  start(
     status: number,
     headers: readonly string[],
     bodyBytes: number | undefined,
@@ -63,7 +63,7 @@
     const all = bodyBytes === undefined
       ? [...headers]
       : [...headers, "Content-Length", String(bodyBytes)];
-    if (this.closes) all.push("Connection", "close");
+    if (this.closesConnection) all.push("Connection", "close");
     this.response.writeHead(status, all);
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** The answer cannot become whole: the connection breaks, so that it does not look complete. */
-  breakOff(): void {
+  abort(): void {
     this.response.destroy();
   }
 
@@ -90,15 +90,15 @@
   abstract fail(
     failure: Failure,
     comeBackMs: number,
-    toPeer?: FailedAt,
+    details?: FailureDetails,
   ): void;
 
   /** Whether the connection is closed after this answer. */
-  protected abstract readonly closes: boolean;
+  protected abstract readonly closesConnection: boolean;
 }
 
 /** What a VM that handed the request over is told besides. */
-export interface FailedAt {
+export interface FailureDetails {
   /** How many upstreams the request came to. */
   readonly arrivals: number;
   /** The upstream that ended as it began to run there. */
@@ -107,21 +107,21 @@
 
 /** A reply to a caller. */
 export class CallerReply extends Reply {
-  readonly #isLeaving: () => boolean;
+  readonly #isDraining: () => boolean;
 
-  constructor(response: ServerResponse, isLeaving: () => boolean) {
+  constructor(response: ServerResponse, isDraining: () => boolean) {
     super(response);
-    this.#isLeaving = isLeaving;
+    this.#isDraining = isDraining;
   }
 
-  protected get closes(): boolean {
-    return this.#isLeaving();
+  protected get closesConnection(): boolean {
+    return this.#isDraining();
   }
 
   fail(failure: Failure, comeBackMs: number): void {
     const { status, headers, body } = encodeFailure(failure, comeBackMs);
     // A caller that stopped in the middle of its body would hold its connection and its place for ever.
-    if (this.closes || !this.response.req.complete) {
+    if (this.closesConnection || !this.response.req.complete) {
       headers.push("Connection", "close");
     }
     this.response.writeHead(status, headers);
@@ -155,12 +155,12 @@
 
 /** A reply to another VM, which answers its caller. */
 export class PeerReply extends Reply {
-  protected readonly closes = false;
+  protected readonly closesConnection = false;
 
   fail(
     failure: Failure,
     comeBackMs: number,
-    { arrivals, endedUpstream }: FailedAt = {
+    { arrivals, endedUpstream }: FailureDetails = {
       arrivals: 0,
       endedUpstream: undefined,
     },
@@ -200,14 +200,14 @@
 ): PeerFailure | undefined {
   const code = headers[RELAY_HEADERS.code];
   if (typeof code !== "string") return undefined;
-  const known = code in codes ? code as CodeName : "internal";
+  const codeName = code in codes ? code as CodeName : "internal";
   const ran = headers[RELAY_HEADERS.ran];
   const ended = headers[RELAY_HEADERS.endedUpstream];
   return {
     failure: {
-      code: known,
+      code: codeName,
       ran: ran === "no" || ran === "yes" ? ran : "unknown",
-      message: codes[known].text,
+      message: codes[codeName].text,
     },
     comeBackMs: Number(headers[RELAY_HEADERS.comeBackMs]) || 0,
     arrivals: Number(headers[RELAY_HEADERS.arrivals]) || 0,
--- a/src/gateway/room.ts
+++ b/src/gateway/room.ts
@@ -5,12 +5,12 @@
  */
 
 import {
-  endGapMs,
+  computeEndGapMs,
+  computeOfferedCapacity,
   type EnginePace,
   type GatewayConfig,
-  type RegionPlaces,
-  regionRoom,
-  type ServiceRow,
+  type OfferedCapacity,
+  type ServiceConfig,
   type StepCandidate,
 } from "../routing/mod.ts";
 import type { Room } from "../region/mod.ts";
@@ -19,22 +19,22 @@
 const LONG_ANSWER_EVENTS = 150;
 
 /** What this region offers to others, by service. */
-export function roomOf(
+export function computeRoom(
   config: GatewayConfig | undefined,
-  candidates: (service: ServiceRow) => readonly StepCandidate[],
-  pace: (service: ServiceRow) => EnginePace,
+  candidates: (service: ServiceConfig) => readonly StepCandidate[],
+  pace: (service: ServiceConfig) => EnginePace,
 ): Room {
-  const room: Record<string, RegionPlaces> = {};
+  const room: Record<string, OfferedCapacity> = {};
   for (const service of config?.services() ?? []) {
     const { objectiveMs, eventGapMs, timeoutMs } = config!.boundsOf(
       service.name,
     );
-    const places = regionRoom(candidates(service), {
+    const places = computeOfferedCapacity(candidates(service), {
       pace: pace(service),
       objectiveMs,
       eventGapMs,
       endGapMs: service.engine
-        ? endGapMs(timeoutMs, LONG_ANSWER_EVENTS)
+        ? computeEndGapMs(timeoutMs, LONG_ANSWER_EVENTS)
         : Infinity,
     });
     if (places.queue > 0) room[service.name] = places;
--- a/src/gateway/send.ts
+++ b/src/gateway/send.ts
@@ -13,10 +13,10 @@
 import type { Loss } from "./losses.ts";
 
 /** When to return after the last upstream refused: another VM or upstream may have room at once. */
-export const REFUSED_RETURN_MS = 300;
+export const REFUSED_RETRY_AFTER_MS = 300;
 
 /** What is sent. */
-export interface Sendable {
+export interface OutboundRequest {
   readonly method: string;
   readonly target: string;
   readonly attemptId: string;
@@ -40,31 +40,31 @@
   /** The longest pause between a stream's events that is on time; 0 if none is asked for. */
   readonly eventGapMs: number;
   /** Without any answer for this long, the send may be given up; `Infinity` to wait until the deadline. */
-  readonly patienceMs: number;
+  readonly answerTimeoutMs: number;
   /** Whether the request may run more than once. */
   readonly mayRepeat: boolean;
   /** Whether upstreams ended as it began to run. */
   readonly isSuspect: boolean;
   /** Whether another place would serve the request now; without one, giving up gains nothing. */
-  readonly hasOther: () => boolean;
+  readonly hasAlternative: () => boolean;
 }
 
 /** The head of an answer that may go to the caller. */
 export interface Answered {
   readonly type: "answered";
   readonly answer: IncomingMessage;
-  readonly read: UpstreamAnswer;
+  readonly decoded: UpstreamAnswer;
 }
 
 /** Why there is no answer to pass on. */
 export interface Unanswered {
   readonly type: "unanswered";
   /** Whether the other side can have got any of it. */
-  readonly reached: boolean;
+  readonly wasSent: boolean;
   /** Whether the request may have reached an upstream's work. */
   readonly mayHaveRun: boolean;
   /** Whether an upstream got it at all, and took it for its own. */
-  readonly arrived: boolean;
+  readonly wasAccepted: boolean;
   /** How many upstreams it came to, those included that turned it away. */
   readonly arrivals: number;
   /** The upstream that ended under it, by the VM that the request was handed to. */
@@ -77,33 +77,35 @@
 /** See the module. Must be closed when the answer's body has ended. */
 export abstract class Send {
   protected readonly context: GatewayContext;
-  protected readonly sendable: Sendable;
+  protected readonly outbound: OutboundRequest;
   protected abstract readonly exchange: Exchange;
 
-  constructor(context: GatewayContext, sendable: Sendable) {
+  constructor(context: GatewayContext, outbound: OutboundRequest) {
     this.context = context;
-    this.sendable = sendable;
+    this.outbound = outbound;
   }
 
   /** Whether a stream goes on by it from its memory, as the same run. */
-  get goesOn(): boolean {
-    return this.sendable.goesOnFrom !== undefined;
+  get isContinuation(): boolean {
+    return this.outbound.goesOnFrom !== undefined;
   }
 
   /** Waits for the head of the answer. */
-  async head(): Promise<Answered | Unanswered> {
-    const { patienceMs, hasOther } = this.sendable;
+  async waitForHead(): Promise<Answered | Unanswered> {
+    const { answerTimeoutMs, hasAlternative } = this.outbound;
     const giveUp = () => {
-      if (!hasOther()) return;
+      if (!hasAlternative()) return;
       this.noteGivenUp();
       this.cancel("no answer in time");
     };
-    const timer = patienceMs < Infinity
-      ? this.context.clock.after(patienceMs, giveUp)
+    const timer = answerTimeoutMs < Infinity
+      ? this.context.clock.after(answerTimeoutMs, giveUp)
       : undefined;
     const head = await this.exchange.head;
     timer?.close();
-    return head.isOk() ? this.read(head.value) : this.lost(head.error);
+    return head.isOk()
+      ? this.checkAnswer(head.value)
+      : this.handleFailure(head.error);
   }
 
   /** Gives the request up: its connection closes, and the other side stops working. */
@@ -129,20 +131,22 @@
   protected noteGivenUp(): void {}
 
   /** Decides whether an answer may go to the caller. */
-  protected abstract read(answer: IncomingMessage): Answered | Unanswered;
+  protected abstract checkAnswer(
+    answer: IncomingMessage,
+  ): Answered | Unanswered;
 
-  protected lost({ sent, reason }: ExchangeFailure): Unanswered {
+  protected handleFailure({ sent, reason }: ExchangeFailure): Unanswered {
     return {
       type: "unanswered",
-      reached: sent,
+      wasSent: sent,
       mayHaveRun: sent,
-      arrived: sent,
+      wasAccepted: sent,
       arrivals: sent ? 1 : 0,
       reason,
       failure: failure(sent ? "upstreamFailed" : "noUpstream", {
         ran: sent ? "unknown" : "no",
       }),
-      comeBackMs: sent ? 0 : REFUSED_RETURN_MS,
+      comeBackMs: sent ? 0 : REFUSED_RETRY_AFTER_MS,
     };
   }
 }
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -12,7 +12,7 @@
   z.regex(/^[0-9.]+:[0-9]{1,5}$/, "must be IP:PORT"),
 );
 const port = z.int().check(z.minimum(1), z.maximum(65_535));
-const count = z.number().check(z.minimum(0));
+const nonNegative = z.number().check(z.minimum(0));
 
 const schema = z.object({
   vm: z.object({
@@ -22,11 +22,11 @@
     region: text,
     failureDomain: text,
     /** Memory that the process may take. */
-    memoryMb: count,
-    mostDescriptors: count,
+    memoryMb: nonNegative,
+    mostDescriptors: nonNegative,
     /** Share of a core that the process may take, and how fast the core is; strong VMs lead their region. */
-    coreShare: z._default(count, 1),
-    coreSpeed: z._default(count, 1),
+    coreShare: z._default(nonNegative, 1),
+    coreSpeed: z._default(nonNegative, 1),
   }),
   listen: z.object({
     callers: address,
@@ -42,21 +42,21 @@
   seeds: z._default(z.array(address), []),
   /** Region of each failure domain. */
   failureDomains: z.record(z.string(), text),
-  store: z.object({ address, leastLeaseMs: count }),
+  store: z.object({ address, leastLeaseMs: nonNegative }),
   bounds: z.object({
     /** From the signal to stop until the process is killed. */
-    graceMs: count,
+    graceMs: nonNegative,
     /** How long a fault may be over before a VM must be up to date again. */
-    contactMs: count,
-    repeatRatio: count,
-    repeatSlack: count,
-    repeatWindowMs: count,
+    contactMs: nonNegative,
+    repeatRatio: nonNegative,
+    repeatSlack: nonNegative,
+    repeatWindowMs: nonNegative,
     /** How far a workspace may pass its limit in each window, as a share of the limit, and in units beside that. */
-    quotaExcess: z._default(count, 0),
-    quotaSlack: z._default(count, 0),
-    quotaWindowMs: z._default(count, 1_000),
+    quotaExcess: z._default(nonNegative, 0),
+    quotaSlack: z._default(nonNegative, 0),
+    quotaWindowMs: z._default(nonNegative, 1_000),
     /** A VM that can't know whether a key was taken away for this long refuses; serves on if absent. */
-    strictRevokeMs: z.optional(count),
+    strictRevokeMs: z.optional(nonNegative),
   }),
 });
 
--- a/src/gateway/stop.ts
+++ b/src/gateway/stop.ts
@@ -5,13 +5,13 @@
  */
 
 import type { GatewayContext } from "./context.ts";
-import type { Front } from "./front.ts";
+import type { HttpListeners } from "./front.ts";
 
 /** Callers use a directory's answer for up to three times its one second, and may open connections until then. */
-const CALLERS_GONE_MS = 4_000;
+const MIN_DRAIN_MS = 4_000;
 /** Kept free before the kill for the last answers to leave and the services to close, also when timers fire late. */
-const LAST_MS = 700;
-const LOOK_MS = 50;
+const CLOSE_RESERVE_MS = 700;
+const CHECK_INTERVAL_MS = 50;
 
 /**
  * Serves everything that arrives until no caller is left or shortly before the process is killed. Ending by a timer
@@ -19,26 +19,26 @@
  */
 export async function drain(
   context: GatewayContext,
-  front: Front,
+  listeners: HttpListeners,
 ): Promise<void> {
   const { clock, log } = context;
   const startMs = clock.monoMs();
-  const endMs = startMs + context.settings.bounds.graceMs - LAST_MS;
-  context.isLeaving = true;
-  context.leavingMonoMs = startMs;
+  const endMs = startMs + context.settings.bounds.graceMs - CLOSE_RESERVE_MS;
+  context.isDraining = true;
+  context.drainStartMonoMs = startMs;
   context.endMonoMs = endMs;
-  context.members.beat();
-  log.info("leaving", { open: context.open });
+  context.members.reportNow();
+  log.info("leaving", { open: context.openRequests });
   for (;;) {
-    await clock.sleep(LOOK_MS);
+    await clock.sleep(CHECK_INTERVAL_MS);
     const nowMs = clock.monoMs();
     if (nowMs >= endMs) break;
-    if (nowMs - startMs < CALLERS_GONE_MS) continue;
-    front.closeIdle();
-    if (context.open === 0) break;
+    if (nowMs - startMs < MIN_DRAIN_MS) continue;
+    listeners.closeIdleConnections();
+    if (context.openRequests === 0) break;
   }
   log.info("stopped", {
-    open: context.open,
+    open: context.openRequests,
     tookMs: Math.round(clock.monoMs() - startMs),
   });
 }
--- a/src/gateway/stream_move.ts
+++ b/src/gateway/stream_move.ts
@@ -7,10 +7,10 @@
 import { readText } from "../adapters/mod.ts";
 import { decodeMove, encodeMove, MOVE_PATH } from "../platform/mod.ts";
 import {
-  type EngineShape,
-  isPressed,
-  moveTarget,
-  type ServiceRow,
+  type EngineSpec,
+  selectMoveTarget,
+  type ServiceConfig,
+  shouldMove,
 } from "../routing/mod.ts";
 import type { CallInput } from "./call_input.ts";
 import type { GatewayContext } from "./context.ts";
@@ -18,31 +18,31 @@
 import type { LinkedCandidate } from "./upstream_link.ts";
 
 /** A move that takes longer has failed: the copy takes some ten ms, behind a few others. */
-const MOVE_WAIT_MS = 1_000;
-const CONNECT_WAIT_MS = 250;
+const MOVE_TIMEOUT_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 250;
 
 /** Where a stream goes on. */
-export interface GoesOn {
+export interface MoveResult {
   readonly candidate: LinkedCandidate;
   /** Names the memory that it goes on from. */
   readonly goesOnFrom: string;
 }
 
 /** Moves of one stream: each costs it a pause, and who left this many engines would leave the next one too. */
-const MOST_MOVES = 4;
+const MAX_MOVES = 4;
 
 /** See the module. One for each request. */
-export class StreamMove {
+export class StreamMover {
   readonly #context: GatewayContext;
   readonly #input: CallInput;
-  readonly #engine: EngineShape | undefined;
-  #moving: Promise<GoesOn | undefined> | undefined;
+  readonly #engine: EngineSpec | undefined;
+  #pendingMove: Promise<MoveResult | undefined> | undefined;
   #moves = 0;
 
   constructor(
     context: GatewayContext,
     input: CallInput,
-    { engine }: ServiceRow,
+    { engine }: ServiceConfig,
   ) {
     this.#context = context;
     this.#input = input;
@@ -52,13 +52,13 @@
   /**
    * Looks whether a stream that has brought `events` so far is better off at one of `others`, and starts the move if so.
    */
-  consider(
+  considerMove(
     candidate: LinkedCandidate,
     events: number,
     others: () => readonly LinkedCandidate[],
   ): void {
     const { pace, key } = candidate;
-    if (!this.#engine?.moves || this.#moving || this.#moves >= MOST_MOVES) {
+    if (!this.#engine?.moves || this.#pendingMove || this.#moves >= MAX_MOVES) {
       return;
     }
     const { head, route } = this.#input;
@@ -68,8 +68,8 @@
         events,
       eventGapMs: route.eventGapMs,
     };
-    if (!isPressed(stream, pace)) return;
-    const target = moveTarget(
+    if (!shouldMove(stream, pace)) return;
+    const target = selectMoveTarget(
       stream,
       others(),
       pace,
@@ -86,20 +86,20 @@
       eventsLeft: Math.round(stream.eventsLeft),
     });
     this.#moves++;
-    this.#moving = this.#move(candidate, target);
+    this.#pendingMove = this.#requestMove(candidate, target);
   }
 
   /** Where the stream goes on after it stopped; `undefined` if it was not moved. */
-  async moved(): Promise<GoesOn | undefined> {
-    const movedTo = await this.#moving;
-    this.#moving = undefined;
-    return movedTo;
+  async waitForMove(): Promise<MoveResult | undefined> {
+    const result = await this.#pendingMove;
+    this.#pendingMove = undefined;
+    return result;
   }
 
-  async #move(
+  async #requestMove(
     from: LinkedCandidate,
     to: LinkedCandidate,
-  ): Promise<GoesOn | undefined> {
+  ): Promise<MoveResult | undefined> {
     const { attemptId } = this.#input.head;
     const { clock, metrics, log } = this.#context;
     const exchange = new Exchange({
@@ -110,10 +110,13 @@
       target: MOVE_PATH,
       headers: ["Host", addressOf(from), "Content-Type", "application/json"],
       body: Buffer.from(encodeMove(attemptId, addressOf(to))),
-      connectWaitMs: CONNECT_WAIT_MS,
+      connectTimeoutMs: CONNECT_TIMEOUT_MS,
     });
     const startedMs = clock.monoMs();
-    const timer = clock.after(MOVE_WAIT_MS, () => exchange.cancel("timed out"));
+    const timer = clock.after(
+      MOVE_TIMEOUT_MS,
+      () => exchange.cancel("timed out"),
+    );
     const moved = await readMove(exchange);
     timer.close();
     const outcome = moved ? "stopped" : "failed";
--- a/src/gateway/suspects.ts
+++ b/src/gateway/suspects.ts
@@ -16,26 +16,26 @@
 import { SUSPECT_PREFIX, TRIAL_PREFIX } from "../platform/mod.ts";
 import type { Fleet } from "../routing/mod.ts";
 import {
-  decodeEnds,
-  type EndNews,
-  mayBeCause,
+  canBeCause,
+  type CrashRow,
+  decodeCrashes,
   type SuspectEvent,
-  SuspectKeeper,
-  SuspectLinks,
+  SuspectPublisher,
+  SuspectTracker,
 } from "../suspects/mod.ts";
 import type { Datagrams } from "./datagrams.ts";
-import { EndTeller } from "./end_teller.ts";
-import { LateSigns } from "./late_signs.ts";
-import type { Loss, Losses } from "./losses.ts";
+import { CrashNotifier } from "./end_teller.ts";
+import { RestartWatch } from "./late_signs.ts";
+import type { Loss, LossProber } from "./losses.ts";
 import type { Members } from "./members.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 
 /** What was told may be lost on the way: it is told again this often. */
-const TELL_AGAIN_MS = 2_000;
+const RESEND_INTERVAL_MS = 2_000;
 /** What had begun as it was given up has ended its upstream by then, if it does. */
-const ENDS_WITHIN_MS = 200;
+const CRASH_WAIT_MS = 200;
 /** How often the store is asked after a start until it answers. */
-const LIST_AGAIN_MS = 1_000;
+const STORE_RETRY_MS = 1_000;
 
 /** Options of {@link Suspects}. */
 export interface SuspectOptions {
@@ -43,7 +43,7 @@
   readonly datagrams: Datagrams;
   readonly members: Members;
   readonly fleet: Fleet;
-  readonly losses: Losses;
+  readonly losses: LossProber;
   readonly store: KeyValue;
   readonly leastLeaseMs: number;
   readonly metrics: GatewayMetrics;
@@ -55,12 +55,12 @@
   readonly #options: SuspectOptions;
   readonly #store: SuspectStore;
   protected readonly handlers: Handlers<Messages> = {};
-  #keeper!: SuspectKeeper;
-  #teller!: EndTeller;
-  #lateSigns!: LateSigns;
+  #keeper!: SuspectTracker;
+  #teller!: CrashNotifier;
+  #lateSigns!: RestartWatch;
   #clock!: Clock;
   #timer: Timer | undefined;
-  #open = true;
+  #isOpen = true;
 
   constructor(options: SuspectOptions) {
     super();
@@ -79,28 +79,28 @@
     this.#clock = kernel.clock;
     const { clock } = kernel;
     const { datagrams, members, metrics, self } = this.#options;
-    this.#teller = new EndTeller(self.region, datagrams, members, clock);
-    this.#lateSigns = new LateSigns(
+    this.#teller = new CrashNotifier(self.region, datagrams, members, clock);
+    this.#lateSigns = new RestartWatch(
       this.#options.fleet,
       clock,
       (digest, loss, lostMs) => void this.#noteEnd(digest, loss, lostMs),
     );
-    this.#keeper = new SuspectKeeper(
-      new Links(this.#teller, metrics, kernel.log),
+    this.#keeper = new SuspectTracker(
+      new SuspectNotifier(this.#teller, metrics, kernel.log),
       this.#store,
       () => clock.monoMs(),
     );
-    datagrams.on("ends", (params) => this.#onTold(params));
+    datagrams.on("ends", (params) => this.#onCrashes(params));
     this.#timer = clock.every(
-      TELL_AGAIN_MS,
-      () => this.#keeper.tellAgain(members.leads[0]?.id === self.id),
+      RESEND_INTERVAL_MS,
+      () => this.#keeper.republish(members.leads[0]?.id === self.id),
     );
-    void this.#readStore();
+    void this.#loadRecords();
     return Promise.resolve();
   }
 
   close(_deadlineMs: number): Promise<void> {
-    this.#open = false;
+    this.#isOpen = false;
     this.#timer?.close();
     this.#teller.close();
     this.#lateSigns.close();
@@ -112,7 +112,7 @@
   }
 
   /** What is known and decided. */
-  get keeper(): SuspectKeeper {
+  get keeper(): SuspectTracker {
     return this.#keeper;
   }
 
@@ -124,13 +124,13 @@
     const { upstream } = loss;
     const lostMs = this.#clock.monoMs();
     // An upstream that leaves ends by plan, whatever still runs there.
-    const isLeaving = this.#options.fleet.get(upstream.id)?.state ===
+    const isDraining = this.#options.fleet.get(upstream.id)?.state ===
       "draining";
-    if (loss.isGivenUp) await this.#clock.sleep(ENDS_WITHIN_MS);
-    const reach = await this.#options.losses.look(upstream);
-    if (isLeaving || !mayBeCause(loss)) return undefined;
+    if (loss.isGivenUp) await this.#clock.sleep(CRASH_WAIT_MS);
+    const reach = await this.#options.losses.probe(upstream);
+    if (isDraining || !canBeCause(loss)) return undefined;
     if (reach === "refused") return this.#noteEnd(digest, loss, lostMs);
-    if (reach === "open") this.#lateSigns.add(digest, loss, lostMs);
+    if (reach === "open") this.#lateSigns.watch(digest, loss, lostMs);
     return undefined;
   }
 
@@ -140,51 +140,55 @@
     lostMs: number,
   ): string {
     const sinceLostMs = this.#clock.monoMs() - lostMs;
-    return this.#keeper.noteEnd(digest, upstream.key, sentAgoMs + sinceLostMs);
+    return this.#keeper.noteCrash(
+      digest,
+      upstream.key,
+      sentAgoMs + sinceLostMs,
+    );
   }
 
-  async #readStore(): Promise<void> {
-    while (this.#open) {
-      if (await this.#keeper.readRecords()) return;
-      await this.#clock.sleep(LIST_AGAIN_MS);
+  async #loadRecords(): Promise<void> {
+    while (this.#isOpen) {
+      if (await this.#keeper.loadRecords()) return;
+      await this.#clock.sleep(STORE_RETRY_MS);
     }
   }
 
-  #onTold(params: unknown): void {
-    const told = decodeEnds(params);
-    if (!told) return;
-    const rows = this.#keeper.adopt(told.rows);
+  #onCrashes(params: unknown): void {
+    const message = decodeCrashes(params);
+    if (!message) return;
+    const rows = this.#keeper.merge(message.rows);
     const { members, self } = this.#options;
     if (rows.length === 0 || !members.isLead) return;
-    this.#teller.tell(rows, told.region === self.region);
+    this.#teller.notify(rows, message.region === self.region);
   }
 }
 
 /** This VM's ways to the others and the log. */
-class Links extends SuspectLinks {
-  readonly #teller: EndTeller;
+class SuspectNotifier extends SuspectPublisher {
+  readonly #teller: CrashNotifier;
   readonly #metrics: GatewayMetrics;
   readonly #log: Log;
 
-  constructor(teller: EndTeller, metrics: GatewayMetrics, log: Log) {
+  constructor(teller: CrashNotifier, metrics: GatewayMetrics, log: Log) {
     super();
     this.#teller = teller;
     this.#metrics = metrics;
     this.#log = log;
   }
 
-  tell(rows: readonly EndNews[]): void {
-    this.#teller.tell(rows, true);
+  publish(rows: readonly CrashRow[]): void {
+    this.#teller.notify(rows, true);
   }
 
-  note({ type, ...fields }: SuspectEvent): void {
+  noteEvent({ type, ...fields }: SuspectEvent): void {
     this.#metrics.count("suspect_events", `type="${type}"`);
-    this.#log.warn(SUSPECT_LINES[type], fields);
+    this.#log.warn(SUSPECT_EVENTS[type], fields);
   }
 }
 
 /** The log's line of each event. */
-const SUSPECT_LINES: Readonly<Record<SuspectEvent["type"], string>> = {
+const SUSPECT_EVENTS: Readonly<Record<SuspectEvent["type"], string>> = {
   ended: "upstream ended under",
   cleared: "suspect cleared",
   trial: "suspect on trial",
--- a/src/gateway/turns_test.ts
+++ b/src/gateway/turns_test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from "../base/describe.ts";
 import { systemClock } from "../base/mod.ts";
-import { Turns } from "./turns.ts";
+import { StartQueue } from "./turns.ts";
 
 describe("turns", () => {
   it("begin one request in each turn, in the order in which they came", async (t) => {
-    const turns = new Turns(systemClock);
+    const queue = new StartQueue(systemClock);
     const begun: number[] = [];
     const at: number[] = [];
     let turn = 0;
@@ -14,7 +14,7 @@
     };
     setImmediate(count);
     await Promise.all(Array.from({ length: 5 }, async (_, i) => {
-      await turns.next();
+      await queue.waitTurn();
       begun.push(i);
       at.push(turn);
     }));
@@ -25,17 +25,17 @@
 
   // What can't begin soon is refused, so the wait has to follow the turns as they are.
   it("tell how long a new request would wait", async (t) => {
-    const turns = new Turns(systemClock);
-    t.is(turns.waitMs, 0);
+    const queue = new StartQueue(systemClock);
+    t.is(queue.waitMs, 0);
     const slow = setInterval(() => {
       const endMs = performance.now() + 20;
       while (performance.now() < endMs);
     }, 1);
-    const all = Array.from({ length: 30 }, () => turns.next());
+    const all = Array.from({ length: 30 }, () => queue.waitTurn());
     await all[14];
-    t.true(turns.waitMs > 100, `${turns.waitMs} ms`);
+    t.true(queue.waitMs > 100, `${queue.waitMs} ms`);
     await Promise.all(all);
     clearInterval(slow);
-    t.is(turns.waitMs, 0);
+    t.is(queue.waitMs, 0);
   });
 });
--- a/src/gateway/upstream_link.ts
+++ b/src/gateway/upstream_link.ts
@@ -5,58 +5,58 @@
  */
 
 import {
-  coldOwner,
-  ColdPace,
+  ColdRateLimiter,
   type EnginePace,
   type KnownUpstream,
   type PromptPart,
+  selectColdOwner,
   type StepCandidate,
   UpstreamHealth,
 } from "../routing/mod.ts";
-import { Connections } from "./connections.ts";
+import { KeepAliveAgent } from "./connections.ts";
 
 /**
  * An upstream that owes answers and sends nothing for this long has gone dark or hangs: engines at work send events
  * several times as often, and a plain service's slowest usual answer takes less.
  */
-const SILENT_MS = 600;
+const SILENCE_TIMEOUT_MS = 600;
 
 /** Two VMs that lose an upstream within this time have lost the same one; at its usual rate it takes them a tenth of it. */
-const LOST_TOGETHER_MS = 1_000;
+const SAME_LOSS_WINDOW_MS = 1_000;
 
 /** This VM's side of one upstream. */
 export class UpstreamLink {
-  readonly agent: Connections;
+  readonly agent: KeepAliveAgent;
   readonly health = new UpstreamHealth();
-  readonly coldPace = new ColdPace();
+  readonly coldPace = new ColdRateLimiter();
   /** Called now and then for each stream that runs there, so that it can leave an engine that reads. */
   readonly streamChecks = new Set<() => void>();
   /** Called for each request that is there when the upstream turns out to be dark. */
-  readonly onDark = new Set<() => void>();
+  readonly darkListeners = new Set<() => void>();
   running = 0;
   /** Requests under way under which upstreams ended before. */
-  suspects = 0;
+  suspectCount = 0;
   waitingTokens = 0;
   usedMonoMs: number;
   /** Where the last request was sent. */
   upstream: KnownUpstream | undefined;
 
-  #quietSinceMs: number;
-  #lostBy: { readonly vmId: string; readonly lostMs: number } | undefined;
-  #owner:
+  #silentSinceMs: number;
+  #lastLoss: { readonly vmId: string; readonly lostMs: number } | undefined;
+  #cachedOwner:
     | { readonly vmIds: readonly string[]; readonly id: string }
     | undefined;
 
   constructor(nowMs: number) {
-    this.agent = new Connections({});
+    this.agent = new KeepAliveAgent({});
     this.usedMonoMs = nowMs;
-    this.#quietSinceMs = nowMs;
+    this.#silentSinceMs = nowMs;
   }
 
   /** Counts a request that is sent. */
-  open(upstream: KnownUpstream, nowMs: number, promptTokens: number): void {
+  noteSend(upstream: KnownUpstream, nowMs: number, promptTokens: number): void {
     this.upstream = upstream;
-    if (this.running === 0) this.#quietSinceMs = nowMs;
+    if (this.running === 0) this.#silentSinceMs = nowMs;
     this.running++;
     this.waitingTokens += promptTokens;
     this.health.noteSend(nowMs);
@@ -67,35 +67,40 @@
    * and ten cold upstreams asking anew took 0.4 ms a request.
    */
   coldOwner(upstreamKey: string, vmIds: readonly string[]): string | undefined {
-    if (this.#owner?.vmIds !== vmIds) {
-      this.#owner = { vmIds, id: coldOwner(upstreamKey, vmIds) ?? "" };
+    if (this.#cachedOwner?.vmIds !== vmIds) {
+      this.#cachedOwner = {
+        vmIds,
+        id: selectColdOwner(upstreamKey, vmIds) ?? "",
+      };
     }
-    return this.#owner.id;
+    return this.#cachedOwner.id;
   }
 
   /**
    * Notes that a VM lost its connection here; whether another one did so too, a moment ago. A VM whose own links fail
    * loses every upstream, and must not have the whole region leave them.
    */
-  isLostFor(vmId: string, nowMs: number): boolean {
-    const before = this.#lostBy;
-    this.#lostBy = { vmId, lostMs: nowMs };
-    return before !== undefined && before.vmId !== vmId &&
-      nowMs - before.lostMs < LOST_TOGETHER_MS;
+  confirmLoss(vmId: string, nowMs: number): boolean {
+    const previous = this.#lastLoss;
+    this.#lastLoss = { vmId, lostMs: nowMs };
+    return previous !== undefined && previous.vmId !== vmId &&
+      nowMs - previous.lostMs < SAME_LOSS_WINDOW_MS;
   }
 
   /** Notes that bytes came. */
-  heard(nowMs: number): void {
-    this.#quietSinceMs = nowMs;
+  noteReceived(nowMs: number): void {
+    this.#silentSinceMs = nowMs;
   }
 
   /** Sets the upstream aside if it owes answers and has sent nothing for long. */
   checkSilence(nowMs: number): boolean {
-    if (this.running === 0 || nowMs - this.#quietSinceMs < SILENT_MS) {
+    if (
+      this.running === 0 || nowMs - this.#silentSinceMs < SILENCE_TIMEOUT_MS
+    ) {
       return false;
     }
-    this.#quietSinceMs = nowMs;
-    this.health.note("lost", nowMs);
+    this.#silentSinceMs = nowMs;
+    this.health.noteOutcome("lost", nowMs);
     return true;
   }
 }
@@ -109,7 +114,7 @@
   /** Prompt tokens that it will have to read. */
   readonly unreadTokens: number;
   /** Set if a lead chose it: the lead has looked at its cold start, and knows who has read the prompt. */
-  readonly granted?: Grant;
+  readonly grant?: Grant;
 }
 
 /** What a lead says of an upstream that it chose. */
--- a/src/gateway/upstream_send.ts
+++ b/src/gateway/upstream_send.ts
@@ -6,22 +6,22 @@
 
 import type { IncomingMessage } from "node:http";
 import { failure } from "../base/mod.ts";
-import { addressTo, decodeAnswer } from "../platform/mod.ts";
+import { addSendHeaders, decodeAnswer } from "../platform/mod.ts";
 import type { SendOutcome } from "../routing/mod.ts";
 import type { GatewayContext } from "./context.ts";
 import { Exchange, type ExchangeFailure } from "./exchange.ts";
 import type { Loss } from "./losses.ts";
 import {
   type Answered,
-  REFUSED_RETURN_MS,
+  type OutboundRequest,
+  REFUSED_RETRY_AFTER_MS,
   Send,
-  type Sendable,
   type Unanswered,
 } from "./send.ts";
 import type { LinkedCandidate, UpstreamLink } from "./upstream_link.ts";
 
 /** A connection inside a region takes a few ms; an upstream that took none in this time is dark. */
-const CONNECT_WAIT_MS = 250;
+const CONNECT_TIMEOUT_MS = 250;
 
 /** A send to an upstream; counts what this VM has under way there. */
 export class UpstreamSend extends Send {
@@ -35,41 +35,41 @@
   #loss: Loss | undefined;
   #isCanceled = false;
   #isGivenUp = false;
-  #open = true;
+  #isOpen = true;
 
   constructor(
     context: GatewayContext,
-    sendable: Sendable,
+    outbound: OutboundRequest,
     candidate: LinkedCandidate,
   ) {
-    super(context, sendable);
+    super(context, outbound);
     const { upstream, link } = candidate;
     this.#candidate = candidate;
     this.#link = link;
-    this.#waitingTokens = sendable.promptTokens;
+    this.#waitingTokens = outbound.promptTokens;
     const nowMs = context.clock.monoMs();
     this.#sentMonoMs = nowMs;
-    link.open(upstream, nowMs, this.#waitingTokens);
-    if (sendable.mayRepeat) link.onDark.add(this.#leaveDark);
-    if (sendable.isSuspect) link.suspects++;
+    link.noteSend(upstream, nowMs, this.#waitingTokens);
+    if (outbound.mayRepeat) link.darkListeners.add(this.#cancelWhenDark);
+    if (outbound.isSuspect) link.suspectCount++;
     // A lead has counted what it granted.
-    if (!candidate.granted) context.members.noteRead();
+    if (!candidate.grant) context.members.notePromptRead();
     candidate.pace.noteSend(this.#waitingTokens);
     this.exchange = new Exchange({
       agent: link.agent,
       host: upstream.host,
       port: upstream.port,
-      method: sendable.method,
-      target: sendable.target,
-      headers: addressTo(sendable.headers, {
+      method: outbound.method,
+      target: outbound.target,
+      headers: addSendHeaders(outbound.headers, {
         upstreamId: upstream.id,
-        workMs: sendable.deadlineMonoMs - nowMs,
-        fetchFrom: sendable.fetchFrom,
-        goesOnFrom: sendable.goesOnFrom,
-        urgency: sendable.urgency,
+        workMs: outbound.deadlineMonoMs - nowMs,
+        fetchFrom: outbound.fetchFrom,
+        goesOnFrom: outbound.goesOnFrom,
+        urgency: outbound.urgency,
       }),
-      body: sendable.body,
-      connectWaitMs: CONNECT_WAIT_MS,
+      body: outbound.body,
+      connectTimeoutMs: CONNECT_TIMEOUT_MS,
     });
   }
 
@@ -80,16 +80,16 @@
 
   noteChunk(): void {
     const nowMs = this.context.clock.monoMs();
-    this.#link.heard(nowMs);
+    this.#link.noteReceived(nowMs);
     this.#learnPace(nowMs);
     this.#firstChunkMonoMs ??= nowMs;
     this.#lastChunkMonoMs = nowMs;
-    const { eventGapMs, onStreamCheck } = this.sendable;
+    const { eventGapMs, onStreamCheck } = this.outbound;
     // Where no pause can be too long a stream never moves, and need not be looked at forty times a second.
-    if (this.#candidate.pace.canExceed(eventGapMs)) {
+    if (this.#candidate.pace.canExceedGap(eventGapMs)) {
       this.context.upstreams.watchStream(this.#link, onStreamCheck);
     }
-    this.#started();
+    this.#notePromptRead();
   }
 
   #learnPace(nowMs: number): void {
@@ -103,7 +103,7 @@
       );
       return;
     }
-    const shared = this.sendable.parts.slice(0, -1);
+    const shared = this.outbound.parts.slice(0, -1);
     this.context.upstreams.holders.noteRead(shared, upstream.key, nowMs);
     // A prompt behind as much again starts by the others' reading, which is known late.
     if (this.#waitingTokens > waitingTokens) {
@@ -142,65 +142,65 @@
 
   /** What became of a send counts here, and at the lead for all VMs of the region. */
   #noteOutcome(outcome: SendOutcome): void {
-    this.#link.health.note(outcome, this.context.clock.monoMs());
-    this.context.members.noteOver([this.#candidate.key, outcome]);
+    this.#link.health.noteOutcome(outcome, this.context.clock.monoMs());
+    this.context.members.noteSendEnd([this.#candidate.key, outcome]);
   }
 
   /** The upstream can't be reached any more; what may be repeated goes elsewhere while a repeat is left. */
-  readonly #leaveDark = (): void => {
-    if (this.sendable.hasOther()) this.cancel("upstream went dark");
+  readonly #cancelWhenDark = (): void => {
+    if (this.outbound.hasAlternative()) this.cancel("upstream went dark");
   };
 
   close(): void {
-    if (!this.#open) return;
-    this.#open = false;
-    this.#link.streamChecks.delete(this.sendable.onStreamCheck);
-    this.#link.onDark.delete(this.#leaveDark);
-    this.#started();
+    if (!this.#isOpen) return;
+    this.#isOpen = false;
+    this.#link.streamChecks.delete(this.outbound.onStreamCheck);
+    this.#link.darkListeners.delete(this.#cancelWhenDark);
+    this.#notePromptRead();
     this.#link.running--;
-    if (this.sendable.isSuspect) this.#link.suspects--;
-    this.context.members.noteOver();
+    if (this.outbound.isSuspect) this.#link.suspectCount--;
+    this.context.members.noteSendEnd();
   }
 
-  protected override lost(cause: ExchangeFailure): Unanswered {
+  protected override handleFailure(cause: ExchangeFailure): Unanswered {
     if (cause.sent) this.noteBroken();
     else this.#noteOutcome("lost");
-    return super.lost(cause);
+    return super.handleFailure(cause);
   }
 
-  protected read(answer: IncomingMessage): Answered | Unanswered {
-    this.#link.heard(this.context.clock.monoMs());
-    const read = decodeAnswer(answer, this.sendable.attemptId);
-    if (!read.matches || (!read.signed && !read.notRun)) {
-      const reason = read.matches
+  protected checkAnswer(answer: IncomingMessage): Answered | Unanswered {
+    this.#link.noteReceived(this.context.clock.monoMs());
+    const decoded = decodeAnswer(answer, this.outbound.attemptId);
+    if (!decoded.matches || (!decoded.signed && !decoded.notRun)) {
+      const reason = decoded.matches
         ? "answer is not signed"
         : "answer of another attempt";
       this.cancel(reason);
       this.#noteOutcome("failed");
-      return super.lost({ sent: true, reason });
+      return super.handleFailure({ sent: true, reason });
     }
-    if (!read.notRun) {
-      this.#noteOutcome(read.status >= 500 ? "failed" : "answered");
-      return { type: "answered", answer, read };
+    if (!decoded.notRun) {
+      this.#noteOutcome(decoded.status >= 500 ? "failed" : "answered");
+      return { type: "answered", answer, decoded };
     }
     answer.resume();
-    this.#noteOutcome(read.wrongUpstream ? "replaced" : "shed");
+    this.#noteOutcome(decoded.wrongUpstream ? "replaced" : "shed");
     return {
       type: "unanswered",
-      reached: true,
+      wasSent: true,
       mayHaveRun: false,
-      arrived: !read.wrongUpstream,
+      wasAccepted: !decoded.wrongUpstream,
       arrivals: 1,
-      reason: `upstream refused with ${read.status}`,
+      reason: `upstream refused with ${decoded.status}`,
       failure: failure("upstreamRefused"),
-      comeBackMs: REFUSED_RETURN_MS,
+      comeBackMs: REFUSED_RETRY_AFTER_MS,
     };
   }
 
-  #started(): void {
+  #notePromptRead(): void {
     if (this.#waitingTokens === 0) return;
     this.#link.waitingTokens -= this.#waitingTokens;
     this.#waitingTokens = 0;
-    this.context.members.noteRead();
+    this.context.members.notePromptRead();
   }
 }
--- a/src/gateway/upstreams.ts
+++ b/src/gateway/upstreams.ts
@@ -15,13 +15,13 @@
 } from "../kernel/mod.ts";
 import {
   EnginePace,
-  fetchSource,
   type Fleet,
   type HeldPart,
   PartHolders,
   preferenceOf,
+  selectFetchSource,
   type SendOutcome,
-  type ServiceRow,
+  type ServiceConfig,
 } from "../routing/mod.ts";
 import type { Load, SeenOutcome } from "../region/mod.ts";
 import { OtherLoads, type RegionLoads } from "./other_loads.ts";
@@ -34,11 +34,11 @@
 } from "./upstream_link.ts";
 
 /** Connections of an upstream that is known no more are kept this long, for the answers that are still under way. */
-const KEEP_MS = 60_000;
-const SWEEP_MS = 5_000;
+const LINK_TTL_MS = 60_000;
+const SWEEP_INTERVAL_MS = 5_000;
 /** An upstream's silence is found late by up to this much, a third of what is taken for silence. */
-const SILENCE_CHECK_MS = 200;
-const OUTCOMES: ReadonlySet<string> = new Set<SendOutcome>([
+const SILENCE_CHECK_INTERVAL_MS = 200;
+const SEND_OUTCOMES: ReadonlySet<string> = new Set<SendOutcome>([
   "answered",
   "failed",
   "shed",
@@ -46,7 +46,7 @@
   "replaced",
 ]);
 /** Streams beside a prompt that is read pause from its start on; a tenth of the shortest pause allowed is lost by looking. */
-const STREAM_CHECK_MS = 25;
+const STREAM_CHECK_INTERVAL_MS = 25;
 
 /** See the module. */
 export class Upstreams extends Task {
@@ -54,7 +54,7 @@
   /** Which engines hold which parts of prompts. */
   readonly holders = new PartHolders();
   readonly #fleet: Fleet;
-  readonly #others: OtherLoads;
+  readonly #otherLoads: OtherLoads;
   readonly #self: { readonly id: string; readonly region: string };
   readonly #selfHash: number;
   readonly #links = new Map<string, UpstreamLink>();
@@ -72,16 +72,21 @@
   ) {
     super();
     this.#fleet = fleet;
-    this.#others = new OtherLoads(region, self.id);
+    this.#otherLoads = new OtherLoads(region, self.id);
     this.#self = self;
     this.#selfHash = hash32(self.id);
   }
 
   start(kernel: Kernel): Promise<void> {
     this.#clock = kernel.clock;
-    this.#timers.push(this.#clock.every(SWEEP_MS, () => this.#sweep()));
     this.#timers.push(
-      this.#clock.every(SILENCE_CHECK_MS, () => this.#checkSilence(kernel.log)),
+      this.#clock.every(SWEEP_INTERVAL_MS, () => this.#sweep()),
+    );
+    this.#timers.push(
+      this.#clock.every(
+        SILENCE_CHECK_INTERVAL_MS,
+        () => this.#checkSilence(kernel.log),
+      ),
     );
     return Promise.resolve();
   }
@@ -110,22 +115,29 @@
   }
 
   /** Shared parts that engines read for this VM in the last `ms`. */
-  heldWithin(ms: number): HeldPart[] {
-    return this.holders.readWithin(ms, this.#clock.monoMs());
+  partsReadWithin(ms: number): HeldPart[] {
+    return this.holders.ownReadsWithin(ms, this.#clock.monoMs());
   }
 
   /** The same for all VMs of the region. */
-  regionHeldWithin(ms: number): HeldPart[] {
-    return this.holders.readInRegion(ms, this.#clock.monoMs());
+  regionPartsReadWithin(ms: number): HeldPart[] {
+    return this.holders.regionReadsWithin(ms, this.#clock.monoMs());
   }
 
   /** Takes in what another VM says that engines hold; anything else than pairs of texts is left out. */
-  noteHeld(held: readonly HeldPart[] | undefined, isNear: boolean): void {
+  noteHeldParts(
+    held: readonly HeldPart[] | undefined,
+    isSameRegion: boolean,
+  ): void {
     if (!Array.isArray(held)) return;
     const nowMs = this.#clock.monoMs();
     for (const pair of held) {
       if (!Array.isArray(pair)) continue;
-      this.holders.noteTold([String(pair[0]), String(pair[1])], isNear, nowMs);
+      this.holders.noteRemoteRead(
+        [String(pair[0]), String(pair[1])],
+        isSameRegion,
+        nowMs,
+      );
     }
   }
 
@@ -140,46 +152,51 @@
 
   /** The upstreams of a service in this region, with what all VMs of the region have under way there. */
   candidates(
-    service: ServiceRow,
+    service: ServiceConfig,
     { parts, tokens }: PromptShape = NO_PROMPT,
   ): LinkedCandidate[] {
     const nowMs = this.#clock.monoMs();
-    const pace = this.pace(service);
-    const warmTokens = this.holders.warmth(parts.slice(0, -1), nowMs);
-    const coldVmIds = this.#others.coldVmIds(nowMs);
-    return this.#fleet.of(service.name, this.#self.region).map((upstream) => {
-      const { key } = upstream;
-      const link = this.#link(key, nowMs);
-      const cold = service.coldPerS > 0 && upstream.coldUntilMs > nowMs;
-      const [running, waitingTokens] = this.#others.at(key, nowMs);
-      return {
-        key,
-        hash: upstream.hash,
-        preference: preferenceOf(this.#selfHash, upstream.hash),
-        running: link.running + running,
-        waitingTokens: link.waitingTokens + waitingTokens,
-        slots: upstream.slots,
-        doubtful: cold || link.health.isFailing(),
-        suspects: link.suspects,
-        aside: link.health.isAside(nowMs),
-        paced: !cold ||
-          (link.coldOwner(key, coldVmIds) === this.#self.id &&
-            link.coldPace.ready(nowMs)),
-        unreadTokens: Math.max(0, tokens - warmTokens(key)),
-        upstream,
-        link,
-        pace,
-      };
-    });
+    const pace = this.paceOf(service);
+    const warmTokens = this.holders.cachedPrefixTokens(
+      parts.slice(0, -1),
+      nowMs,
+    );
+    const coldVmIds = this.#otherLoads.coldVmIds(nowMs);
+    return this.#fleet.usableIn(service.name, this.#self.region).map(
+      (upstream) => {
+        const { key } = upstream;
+        const link = this.#getLink(key, nowMs);
+        const isCold = service.coldPerS > 0 && upstream.coldUntilMs > nowMs;
+        const [running, waitingTokens] = this.#otherLoads.loadAt(key, nowMs);
+        return {
+          key,
+          hash: upstream.hash,
+          preference: preferenceOf(this.#selfHash, upstream.hash),
+          running: link.running + running,
+          waitingTokens: link.waitingTokens + waitingTokens,
+          slots: upstream.slots,
+          isDoubtful: isCold || link.health.isFailing(),
+          suspectCount: link.suspectCount,
+          isAside: link.health.isAside(nowMs),
+          isWithinColdRate: !isCold ||
+            (link.coldOwner(key, coldVmIds) === this.#self.id &&
+              link.coldPace.canTake(nowMs)),
+          unreadTokens: Math.max(0, tokens - warmTokens(key)),
+          upstream,
+          link,
+          pace,
+        };
+      },
+    );
   }
 
   /** The upstream that a lead chose; `undefined` if it is not known here or may not be used. */
-  granted(
-    service: ServiceRow,
+  grantedCandidate(
+    service: ServiceConfig,
     key: string,
-    granted: Grant,
+    grant: Grant,
   ): LinkedCandidate | undefined {
-    const upstream = this.#fleet.of(service.name, this.#self.region)
+    const upstream = this.#fleet.usableIn(service.name, this.#self.region)
       .find((known) => known.key === key);
     if (!upstream) return undefined;
     return {
@@ -187,15 +204,15 @@
       hash: upstream.hash,
       preference: 0,
       slots: upstream.slots,
-      doubtful: false,
-      suspects: 0,
-      aside: false,
-      paced: true,
-      ...granted,
+      isDoubtful: false,
+      suspectCount: 0,
+      isAside: false,
+      isWithinColdRate: true,
+      ...grant,
       upstream,
-      link: this.#link(key, this.#clock.monoMs()),
-      pace: this.pace(service),
-      granted,
+      link: this.#getLink(key, this.#clock.monoMs()),
+      pace: this.paceOf(service),
+      grant,
     };
   }
 
@@ -207,19 +224,19 @@
   }
 
   /** Takes in what became of another VM's sends. */
-  noteSeen(vmId: string, seen: readonly SeenOutcome[]): void {
+  noteOutcomes(vmId: string, outcomes: readonly SeenOutcome[]): void {
     const nowMs = this.#clock.monoMs();
-    for (const pair of seen) {
-      if (!Array.isArray(pair) || !OUTCOMES.has(pair[1])) continue;
+    for (const pair of outcomes) {
+      if (!Array.isArray(pair) || !SEND_OUTCOMES.has(pair[1])) continue;
       const link = this.#links.get(String(pair[0]));
       if (!link) continue;
-      if (pair[1] === "lost" && !link.isLostFor(vmId, nowMs)) continue;
-      link.health.note(pair[1], nowMs);
+      if (pair[1] === "lost" && !link.confirmLoss(vmId, nowMs)) continue;
+      link.health.noteOutcome(pair[1], nowMs);
     }
   }
 
   /** What is known of the speed of a service's engines; plain services read nothing and keep the first figures. */
-  pace({ name }: ServiceRow): EnginePace {
+  paceOf({ name }: ServiceConfig): EnginePace {
     let pace = this.#paces.get(name);
     if (!pace) {
       pace = new EnginePace();
@@ -230,26 +247,29 @@
 
   /** Requests that run at an upstream, by all VMs of the region as far as known. */
   running(upstreamKey: string): number {
-    const [others] = this.#others.at(upstreamKey, this.#clock.monoMs());
+    const [others] = this.#otherLoads.loadAt(upstreamKey, this.#clock.monoMs());
     return others + (this.#links.get(upstreamKey)?.running ?? 0);
   }
 
   /** Prompt tokens that wait at an upstream, by all VMs of the region as far as known. */
   waitingTokens(upstreamKey: string): number {
-    const [, others] = this.#others.at(upstreamKey, this.#clock.monoMs());
+    const [, others] = this.#otherLoads.loadAt(
+      upstreamKey,
+      this.#clock.monoMs(),
+    );
     return others + (this.#links.get(upstreamKey)?.waitingTokens ?? 0);
   }
 
   /** Looks again, in the step that sends, whether the upstream may be used, and counts a cold one's request. */
-  take(
-    { upstream, link, granted }: LinkedCandidate,
-    service: ServiceRow,
+  tryAdmit(
+    { upstream, link, grant }: LinkedCandidate,
+    service: ServiceConfig,
     { parts }: PromptShape,
   ): boolean {
     const nowMs = this.#clock.monoMs();
-    if (!this.#fleet.mayUse(upstream)) return false;
+    if (!this.#fleet.canUse(upstream)) return false;
     if (
-      !granted && upstream.coldUntilMs > nowMs &&
+      !grant && upstream.coldUntilMs > nowMs &&
       !link.coldPace.tryTake(nowMs, service.coldPerS)
     ) return false;
     this.holders.noteSent(parts.slice(0, -1), upstream.key, nowMs);
@@ -257,25 +277,25 @@
   }
 
   /** `IP:PORT` of an engine to copy a prompt's shared parts from, among regions that may hold them. */
-  fetchFrom(
-    { upstream, granted }: LinkedCandidate,
-    { engine, name }: ServiceRow,
+  pickFetchSource(
+    { upstream, grant }: LinkedCandidate,
+    { engine, name }: ServiceConfig,
     { parts }: PromptShape,
     isAllowed: (region: string) => boolean,
   ): string | undefined {
     if (!engine) return undefined;
-    if (granted) return granted.fetchFrom;
-    const everywhere = this.#fleet.ofRegions(name, isAllowed);
-    const source = fetchSource(
+    if (grant) return grant.fetchFrom;
+    const candidates = this.#fleet.usableInRegions(name, isAllowed);
+    const source = selectFetchSource(
       upstream,
-      everywhere,
+      candidates,
       parts,
-      (partId) => this.holders.holders(partId, this.#clock.monoMs()),
+      (partId) => this.holders.sourcesOf(partId, this.#clock.monoMs()),
     );
     return source && `${source.host}:${source.port}`;
   }
 
-  #link(key: string, nowMs: number): UpstreamLink {
+  #getLink(key: string, nowMs: number): UpstreamLink {
     let link = this.#links.get(key);
     if (!link) {
       link = new UpstreamLink(nowMs);
@@ -289,7 +309,7 @@
   watchStream({ streamChecks }: UpstreamLink, check: () => void): void {
     streamChecks.add(check);
     this.#streamTimer ??= this.#clock.every(
-      STREAM_CHECK_MS,
+      STREAM_CHECK_INTERVAL_MS,
       () => this.#checkStreams(),
     );
   }
@@ -310,7 +330,7 @@
     for (const [key, link] of this.#links) {
       if (!link.checkSilence(nowMs)) continue;
       log.warn("upstream silent", { upstream: key, running: link.running });
-      void this.#askWhetherDark(log, key, link);
+      void this.#probeSilent(log, key, link);
     }
   }
 
@@ -318,22 +338,22 @@
    * An engine that reads a long prompt is silent too, so silence alone ends no request. One that takes no connection
    * either has lost its power or its link: whoever waits there would learn nothing until its deadline.
    */
-  async #askWhetherDark(
+  async #probeSilent(
     log: Log,
     key: string,
     link: UpstreamLink,
   ): Promise<void> {
     const { upstream } = link;
-    if (!upstream || link.onDark.size === 0) return;
+    if (!upstream || link.darkListeners.size === 0) return;
     if (!(await isDark(upstream.host, upstream.port, this.#clock))) return;
     log.warn("upstream dark", { upstream: key, running: link.running });
-    for (const leave of [...link.onDark]) leave();
+    for (const listener of [...link.darkListeners]) listener();
   }
 
   #sweep(): void {
     const nowMs = this.#clock.monoMs();
     for (const [key, link] of this.#links) {
-      if (link.running > 0 || nowMs - link.usedMonoMs < KEEP_MS) continue;
+      if (link.running > 0 || nowMs - link.usedMonoMs < LINK_TTL_MS) continue;
       link.agent.destroy();
       this.#links.delete(key);
     }
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -6,13 +6,13 @@
 
 import type { Clock } from "../base/mod.ts";
 import type { Log } from "./log.ts";
-import type { Host, Messages, Port, Task } from "./task.ts";
+import type { Messages, Task, TaskHost, TaskPort } from "./task.ts";
 
 /** A {@link Task} whatever its messages are. */
 export type AnyTask = Pick<Task, "name" | "start" | "close" | "dump">;
 
 /** Holds the daemon's services; see {@link Task}. */
-export class Kernel implements Host {
+export class Kernel implements TaskHost {
   readonly clock: Clock;
   readonly log: Log;
   readonly #tasks = new Map<string, AnyTask>();
@@ -33,10 +33,10 @@
   }
 
   /** The port of a started service. */
-  get<M extends Messages>(name: string): Port<M> {
+  get<M extends Messages>(name: string): TaskPort<M> {
     const task = this.#tasks.get(name);
     if (!task) throw new Error(`no service named "${name}"`);
-    return task as unknown as Port<M>;
+    return task as unknown as TaskPort<M>;
   }
 
   /** Whether a service of this name was started. */
--- a/src/kernel/task.ts
+++ b/src/kernel/task.ts
@@ -17,18 +17,18 @@
   ) => M[K]["out"] | Promise<M[K]["out"]>;
 };
 
-/** What others hold of a task; see {@link Host.get}. */
-export interface Port<M extends Messages> {
+/** What others hold of a task; see {@link TaskHost.get}. */
+export interface TaskPort<M extends Messages> {
   /** Sends one message and resolves with its answer. */
   ask<K extends keyof M>(type: K, input: M[K]["in"]): Promise<M[K]["out"]>;
 }
 
 /** What a task finds around it when it starts: the kernel. */
-export interface Host {
+export interface TaskHost {
   readonly clock: Clock;
   readonly log: Log;
   /** The port of a service that was started earlier. Throws if there is none of this name. */
-  get<M extends Messages>(name: string): Port<M>;
+  get<M extends Messages>(name: string): TaskPort<M>;
   /** Whether a service of this name was started. */
   has(name: string): boolean;
   /** Every service's state by name. */
@@ -36,13 +36,14 @@
 }
 
 /** A service of the daemon. The kernel starts services in order and closes them in reverse. */
-export abstract class Task<M extends Messages = Messages> implements Port<M> {
+export abstract class Task<M extends Messages = Messages>
+  implements TaskPort<M> {
   /** The name others find it by. */
   abstract readonly name: string;
   protected abstract readonly handlers: Handlers<M>;
 
   /** Opens sockets and timers. Services started earlier can be found through `kernel`. */
-  abstract start(kernel: Host): Promise<void>;
+  abstract start(kernel: TaskHost): Promise<void>;
 
   /** Stops taking work, finishes what it holds until `deadlineMs` (wall clock), then frees everything. */
   abstract close(deadlineMs: number): Promise<void>;
--- a/src/kernel/winston_log.ts
+++ b/src/kernel/winston_log.ts
@@ -7,12 +7,14 @@
 import { createLogger, format, type Logger, transports } from "winston";
 import { type LogLevel, quote } from "./log.ts";
 
-const keyValue = format.printf(({ timestamp, level, message, ...pairs }) => {
-  const rest = Object.entries(pairs).map(([key, value]) =>
-    ` ${key}=${quote(value)}`
-  ).join("");
-  return `time=${timestamp} level=${level} event=${quote(message)}${rest}`;
-});
+const keyValueFormat = format.printf(
+  ({ timestamp, level, message, ...pairs }) => {
+    const rest = Object.entries(pairs).map(([key, value]) =>
+      ` ${key}=${quote(value)}`
+    ).join("");
+    return `time=${timestamp} level=${level} event=${quote(message)}${rest}`;
+  },
+);
 
 /** A logger that writes to standard error, with `fields` on each line. */
 export function openLog(
@@ -23,7 +25,7 @@
     level: level === "silent" ? "error" : level,
     silent: level === "silent",
     defaultMeta: fields,
-    format: format.combine(format.timestamp(), keyValue),
+    format: format.combine(format.timestamp(), keyValueFormat),
     transports: [new transports.Stream({ stream: process.stderr })],
   });
 }
--- a/src/platform/callers.ts
+++ b/src/platform/callers.ts
@@ -37,13 +37,13 @@
 export const READY_PATH = "/api/ready";
 
 /** What a directory question names. */
-export interface LookupQuestion {
+export interface LookupQuery {
   readonly region: string;
   readonly failureDomain: string;
 }
 
 /** Decodes the query of a directory question. */
-export function decodeLookup(url: URL): LookupQuestion {
+export function decodeLookup(url: URL): LookupQuery {
   return {
     region: url.searchParams.get("region") ?? "",
     failureDomain: url.searchParams.get("zone") ?? "",
@@ -53,9 +53,9 @@
 /** The answer to a directory question, as JSON text. */
 export function encodeLookup(
   addresses: readonly string[],
-  keepSeconds: number,
+  ttlS: number,
 ): string {
-  return JSON.stringify({ addresses, ttl_s: keepSeconds });
+  return JSON.stringify({ addresses, ttl_s: ttlS });
 }
 
 function decodePrompt(text: string | undefined): PromptPart[] {
@@ -70,18 +70,20 @@
   return parts;
 }
 
-function one(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
-function decodeWait(text: string | undefined): number | undefined {
+function decodeWaitMs(text: string | undefined): number | undefined {
   if (text === undefined) return undefined;
   const ms = Number(text);
   return Number.isFinite(ms) && ms >= 0 ? ms : undefined;
 }
 
-function decodeCounts(headers: IncomingHttpHeaders): [number, number] {
-  const [prompt, output] = (one(headers["token-counts"]) ?? "").split(",");
+function decodeTokenCounts(headers: IncomingHttpHeaders): [number, number] {
+  const [prompt, output] = (firstValue(headers["token-counts"]) ?? "").split(
+    ",",
+  );
   return [Math.max(0, Number(prompt) || 0), Math.max(0, Number(output) || 0)];
 }
 
@@ -89,7 +91,7 @@
 const KEY_HEADER = /^authorization$/i;
 const BEARER = /^Bearer +(\S+) *$/i;
 
-function decodeKey(request: IncomingMessage): string | undefined {
+function decodeKeyDigest(request: IncomingMessage): string | undefined {
   const sent = request.headers.authorization;
   if (sent === undefined) return undefined;
   let count = 0;
@@ -103,26 +105,26 @@
 /** Decodes a caller's head. A malformed prompt or count is forwarded as it is and only not used for placing. */
 export function decodeHead(request: IncomingMessage): CallerHead {
   const { headers } = request;
-  const [promptTokens, outputTokens] = decodeCounts(headers);
+  const [promptTokens, outputTokens] = decodeTokenCounts(headers);
   return {
-    attemptId: one(headers["attempt-id"]) ?? "",
+    attemptId: firstValue(headers["attempt-id"]) ?? "",
     host: (headers.host ?? "").toLowerCase().replace(/:\d+$/, ""),
     target: request.url ?? "/",
-    waitMs: decodeWait(one(headers["deadline-ms"])),
-    promptParts: decodePrompt(one(headers["prompt-prefix"])),
+    waitMs: decodeWaitMs(firstValue(headers["deadline-ms"])),
+    promptParts: decodePrompt(firstValue(headers["prompt-prefix"])),
     promptTokens,
     outputTokens,
     expectedOutputTokens: Math.min(
       outputTokens,
-      Number(one(headers["length-hint"])) || outputTokens,
+      Number(firstValue(headers["length-hint"])) || outputTokens,
     ),
-    resumesAfter: one(headers["last-event-id"]),
-    keyDigest: decodeKey(request),
+    resumesAfter: firstValue(headers["last-event-id"]),
+    keyDigest: decodeKeyDigest(request),
   };
 }
 
 /** Statuses that promise a caller that its request has not run and never will. */
-const PROMISES_NOT_RUN = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /**
  * Our own failure as a caller reads it. `comeBackMs` of 0 names no time. What has not run says so by its status, and what
@@ -130,13 +132,13 @@
  */
 export function encodeFailure(
   failure: Failure,
-  comeBackMs: number,
+  retryAfterMs: number,
 ): { status: number; headers: string[]; body: string } {
   const { code, httpStatus, retryable } = codes[failure.code];
-  const promised = PROMISES_NOT_RUN.has(httpStatus);
+  const isNotRunStatus = NOT_RUN_STATUSES.has(httpStatus);
   const status = failure.ran === "no"
-    ? (retryable && !promised ? 503 : httpStatus)
-    : (promised ? 502 : httpStatus);
+    ? (retryable && !isNotRunStatus ? 503 : httpStatus)
+    : (isNotRunStatus ? 502 : httpStatus);
   const body = JSON.stringify({
     error: {
       code,
@@ -151,8 +153,8 @@
     "Content-Length",
     String(Buffer.byteLength(body)),
   ];
-  if (comeBackMs > 0) {
-    headers.push("Retry-After", (comeBackMs / 1000).toFixed(2));
+  if (retryAfterMs > 0) {
+    headers.push("Retry-After", (retryAfterMs / 1000).toFixed(2));
   }
   return { status, headers, body };
 }
--- a/src/platform/config.ts
+++ b/src/platform/config.ts
@@ -6,11 +6,11 @@
 
 import {
   type CallerLimits,
-  type EngineShape,
+  type EngineSpec,
   GatewayConfig,
   type Route,
   type RouteKind,
-  type ServiceRow,
+  type ServiceConfig,
 } from "../routing/mod.ts";
 import { secretDigest } from "../base/mod.ts";
 import type { Entry } from "../adapters/mod.ts";
@@ -23,8 +23,8 @@
   CONFIG_KEY,
   numberField,
   parseRecord,
-  textField,
-  UnreadableRecord,
+  RecordError,
+  stringField,
 } from "./keys.ts";
 
 type Fields = Record<string, unknown>;
@@ -37,18 +37,18 @@
   idleMs: 15_000,
 };
 
-function objects(record: Fields, name: string): Fields[] {
+function objectList(record: Fields, name: string): Fields[] {
   const list = record[name];
-  if (!Array.isArray(list)) throw new UnreadableRecord(`${name} is not a list`);
+  if (!Array.isArray(list)) throw new RecordError(`${name} is not a list`);
   return list.map((item) => {
     if (typeof item !== "object" || item === null) {
-      throw new UnreadableRecord(`${name} holds something else than objects`);
+      throw new RecordError(`${name} holds something else than objects`);
     }
     return item as Fields;
   });
 }
 
-function routeKind(route: Fields): RouteKind {
+function decodeRouteKind(route: Fields): RouteKind {
   const { kind } = route;
   if (kind === "safe") return "idempotent";
   if (kind === "streaming") return "stream";
@@ -58,15 +58,15 @@
 
 function decodeTargets(route: Fields): Route["targets"] {
   if (route.split === undefined) {
-    return [{ service: textField(route, "service"), weight: 1 }];
+    return [{ service: stringField(route, "service"), weight: 1 }];
   }
-  return objects(route, "split").map((part) => ({
-    service: textField(part, "service"),
+  return objectList(route, "split").map((part) => ({
+    service: stringField(part, "service"),
     weight: numberField(part, "weight", 1),
   }));
 }
 
-function texts(value: unknown): string[] {
+function stringList(value: unknown): string[] {
   return Array.isArray(value)
     ? value.filter((item) => typeof item === "string")
     : [];
@@ -74,10 +74,10 @@
 
 function decodeRoute(route: Fields): Route {
   return {
-    name: textField(route, "name"),
-    host: textField(route, "host").toLowerCase(),
-    pathPrefix: textField(route, "path_prefix"),
-    kind: routeKind(route),
+    name: stringField(route, "name"),
+    host: stringField(route, "host").toLowerCase(),
+    pathPrefix: stringField(route, "path_prefix"),
+    kind: decodeRouteKind(route),
     resumable: route.resumable === true,
     targets: decodeTargets(route),
     timeoutMs: numberField(route, "timeout_ms", 10_000),
@@ -86,25 +86,28 @@
     priority: numberField(route, "priority", 5),
     mostUpstreams: Math.max(1, numberField(route, "max_attempts", 1)),
     anonymous: route.anonymous === true,
-    homeRegions: texts(route.home_regions),
+    homeRegions: stringList(route.home_regions),
   };
 }
 
 /** Stands in a sealed configuration in place of `api_keys`. */
-const KEY_DIGESTS = "ibisgap_key_digests";
+const KEY_DIGESTS_FIELD = "ibisgap_key_digests";
 
 /**
  * A configuration as this gateway keeps it and tells it to other VMs: with digests in place of the callers' keys. All
  * other entries, and what can't be read, stay as they are.
  */
-export function sealEntry(entry: Entry): Entry {
+export function hashApiKeys(entry: Entry): Entry {
   if (entry.key !== CONFIG_KEY) return entry;
   try {
     const record = parseRecord(entry.value);
     if (!Array.isArray(record.tenants)) return entry;
     const tenants = record.tenants.map((tenant: Fields) => {
       const { api_keys: keys, ...rest } = tenant;
-      return { ...rest, [KEY_DIGESTS]: texts(keys).map(secretDigest) };
+      return {
+        ...rest,
+        [KEY_DIGESTS_FIELD]: stringList(keys).map(secretDigest),
+      };
     });
     return { ...entry, value: JSON.stringify({ ...record, tenants }) };
   } catch {
@@ -127,10 +130,10 @@
 
 function decodeWorkspace(tenant: Fields): WorkspaceRow {
   return {
-    name: textField(tenant, "name"),
-    keyDigests: texts(tenant[KEY_DIGESTS]),
+    name: stringField(tenant, "name"),
+    keyDigests: stringList(tenant[KEY_DIGESTS_FIELD]),
     priority: typeof tenant.priority === "number" ? tenant.priority : undefined,
-    homeRegions: texts(tenant.home_regions),
+    homeRegions: stringList(tenant.home_regions),
     quota: decodeQuota(tenant),
   };
 }
@@ -139,11 +142,11 @@
   return new Workspaces(
     record.tenants === undefined || record.tenants === null
       ? undefined
-      : objects(record, "tenants").map(decodeWorkspace),
+      : objectList(record, "tenants").map(decodeWorkspace),
   );
 }
 
-function decodeEngine(service: Fields): EngineShape | undefined {
+function decodeEngine(service: Fields): EngineSpec | undefined {
   const { engine } = service;
   if (typeof engine !== "object" || engine === null) return undefined;
   return {
@@ -154,9 +157,9 @@
   };
 }
 
-function decodeService(service: Fields): ServiceRow {
+function decodeService(service: Fields): ServiceConfig {
   return {
-    name: textField(service, "name"),
+    name: stringField(service, "name"),
     mostConnections: numberField(service, "max_conns", 64),
     coldMs: numberField(service, "cold_s", 0) * 1000,
     coldPerS: numberField(service, "cold_rate_s", 0),
@@ -182,13 +185,13 @@
   };
 }
 
-/** Decodes a configuration that {@link sealEntry} sealed. Throws {@link UnreadableRecord}; unknown fields are ignored. */
+/** Decodes a configuration that {@link hashApiKeys} sealed. Throws {@link RecordError}; unknown fields are ignored. */
 export function decodeConfig(text: string): GatewayConfig {
   const record = parseRecord(text);
   return new GatewayConfig(
     numberField(record, "version"),
-    objects(record, "routes").map(decodeRoute),
-    objects(record, "services").map(decodeService),
+    objectList(record, "routes").map(decodeRoute),
+    objectList(record, "services").map(decodeService),
     decodeLimits(record),
     decodeWorkspaces(record),
   );
--- a/src/platform/keys.ts
+++ b/src/platform/keys.ts
@@ -21,47 +21,47 @@
 const EVACUATE_PREFIX = "op/evacuate/";
 
 /** The failure domain that a key says is evacuated, if it is such a key. */
-export function evacuatedDomain(key: string): string | undefined {
+export function decodeEvacuationKey(key: string): string | undefined {
   return key.startsWith(EVACUATE_PREFIX)
     ? key.slice(EVACUATE_PREFIX.length)
     : undefined;
 }
 
 /** The id of the upstream that registers itself under a key. */
-export function upstreamId(key: string): string {
+export function decodeUpstreamId(key: string): string {
   return key.slice(UPSTREAM_PREFIX.length);
 }
 
 /** A record that could not be read: what was wrong with it. */
-export class UnreadableRecord extends Error {}
+export class RecordError extends Error {}
 
-/** Parses a stored JSON object. Throws {@link UnreadableRecord}. */
+/** Parses a stored JSON object. Throws {@link RecordError}. */
 export function parseRecord(text: string): Record<string, unknown> {
   let value: unknown;
   try {
     value = JSON.parse(text);
   } catch {
-    throw new UnreadableRecord("not JSON");
+    throw new RecordError("not JSON");
   }
   if (typeof value !== "object" || value === null || Array.isArray(value)) {
-    throw new UnreadableRecord("not an object");
+    throw new RecordError("not an object");
   }
   return value as Record<string, unknown>;
 }
 
-/** A field that must be a string that is not empty. Throws {@link UnreadableRecord}. */
-export function textField(
+/** A field that must be a string that is not empty. Throws {@link RecordError}. */
+export function stringField(
   record: Record<string, unknown>,
   name: string,
 ): string {
   const value = record[name];
   if (typeof value !== "string" || value === "") {
-    throw new UnreadableRecord(`${name} is not a text`);
+    throw new RecordError(`${name} is not a text`);
   }
   return value;
 }
 
-/** A field that must be a number, 0 or more. Throws {@link UnreadableRecord}. */
+/** A field that must be a number, 0 or more. Throws {@link RecordError}. */
 export function numberField(
   record: Record<string, unknown>,
   name: string,
@@ -69,7 +69,7 @@
 ): number {
   const value = record[name] ?? fallback;
   if (typeof value !== "number" || !Number.isFinite(value) || value < 0) {
-    throw new UnreadableRecord(`${name} is not a number`);
+    throw new RecordError(`${name} is not a number`);
   }
   return value;
 }
--- a/src/platform/platform_test.ts
+++ b/src/platform/platform_test.ts
@@ -3,16 +3,16 @@
 import { codes, failure } from "../base/mod.ts";
 import { KvServer } from "../standins/mod.ts";
 import {
-  addressTo,
+  addResumeHeader,
+  addSendHeaders,
   decodeAnswer,
   decodeConfig,
+  decodeEvacuationKey,
   decodeHead,
   decodeUpstream,
   encodeFailure,
-  evacuatedDomain,
   forwardedHeaders,
   PlatformKeyValue,
-  resumedAfter,
 } from "./mod.ts";
 
 const GOOD_ENTRY = {
@@ -175,8 +175,8 @@
   });
 
   it("evacuations are told from other keys", (t) => {
-    t.is(evacuatedDomain("op/evacuate/hall-a"), "hall-a");
-    t.is(evacuatedDomain("op/config"), undefined);
+    t.is(decodeEvacuationKey("op/evacuate/hall-a"), "hall-a");
+    t.is(decodeEvacuationKey("op/config"), undefined);
   });
 
   describe("a caller's head", () => {
@@ -271,7 +271,7 @@
 
     it("name the upstream and what is left of the time", (t) => {
       t.deepEqual(
-        addressTo(["Host", "h"], { upstreamId: "i-1", workMs: 1234.9 }),
+        addSendHeaders(["Host", "h"], { upstreamId: "i-1", workMs: 1234.9 }),
         [
           "Host",
           "h",
@@ -284,7 +284,7 @@
     });
 
     it("ask to go on after the last event that was passed on", (t) => {
-      t.deepEqual(resumedAfter(["Host", "h", "last-event-id", "3"], "5"), [
+      t.deepEqual(addResumeHeader(["Host", "h", "last-event-id", "3"], "5"), [
         "Host",
         "h",
         "Last-Event-Id",
