--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -21,11 +21,11 @@
 import { isNotSent } from "../adapters/not_sent.ts";
 
 /** A call without an answer by then counts as lost: sixty times the store's usual 4 ms, eight times over. */
-const CALL_WAIT_MS = 2_000;
+const CALL_TIMEOUT_MS = 2_000;
 /** How long one question for changes may wait at the store; short, so that a silent connection is found soon. */
 const WATCH_WAIT_MS = 3_000;
 /** Connections kept; more calls at once wait their turn. */
-const MOST_CONNECTIONS = 6;
+const MAX_CONNECTIONS = 6;
 
 /** Changes after a revision. */
 export interface Changes {
@@ -40,7 +40,7 @@
   readonly message: string;
 };
 
-interface Answer {
+interface StoreResponse {
   readonly status: number;
   // deno-lint-ignore no-explicit-any -- the platform's JSON; each caller checks the fields that it takes.
   readonly body: any;
@@ -48,7 +48,7 @@
 
 type Method = "GET" | "POST" | "DELETE";
 
-function encode(value: string): string {
+function encodeValue(value: string): string {
   return Buffer.from(value, "utf8").toString("base64");
 }
 
@@ -77,7 +77,7 @@
   return entry && { type: "put", entry };
 }
 
-function failure(
+function storeError(
   kind: "unavailable" | "lost" | "limited" | "leaseGone",
   message: string,
 ): StoreError {
@@ -90,7 +90,7 @@
   readonly #port: number;
   readonly #agent = new Agent({
     keepAlive: true,
-    maxSockets: MOST_CONNECTIONS,
+    maxSockets: MAX_CONNECTIONS,
     scheduling: "lifo",
   });
   readonly #counts: Record<StorePurpose, number> = {
@@ -130,7 +130,7 @@
     let rev: number | undefined;
     let after: string | undefined;
     for (;;) {
-      const page = await this.#page(prefix, after, purpose);
+      const page = await this.#listPage(prefix, after, purpose);
       if (page.isErr()) return err(page.error);
       // Pages are no snapshot: watching from the first page's revision repeats what changed between the pages.
       rev ??= page.value.rev;
@@ -177,7 +177,7 @@
   ) {
     return await this.#transact(
       options.ifRev === undefined ? [] : [{ key, revision: options.ifRev }],
-      [{ key, value: encode(value), lease: Number(options.leaseId ?? 0) }],
+      [{ key, value: encodeValue(value), lease: Number(options.leaseId ?? 0) }],
       [],
       purpose,
     );
@@ -189,7 +189,7 @@
         .map(({ key, ifRev }) => ({ key, revision: ifRev! })),
       writes.flatMap((write) =>
         write.type === "put"
-          ? [{ key: write.key, value: encode(write.value), lease: 0 }]
+          ? [{ key: write.key, value: encodeValue(write.value), lease: 0 }]
           : []
       ),
       writes.filter(({ type }) => type === "delete").map(({ key }) => key),
@@ -217,7 +217,7 @@
     );
     if (answer.isErr()) return err(answer.error);
     if (answer.value.status === 404) {
-      return err(failure("leaseGone", "the lease has ended"));
+      return err(storeError("leaseGone", "the lease has ended"));
     }
     return this.#expectOk(answer.value).map(() => undefined);
   }
@@ -243,17 +243,17 @@
     onEvent: (event: WatchEvent) => void,
     purpose: StorePurpose,
   ): Watch {
-    let open = true;
-    const run = async () => {
+    let isOpen = true;
+    const poll = async () => {
       let afterRev = fromRev - 1;
-      while (open) {
+      while (isOpen) {
         const changes = await this.changes(
           prefix,
           afterRev,
           WATCH_WAIT_MS,
           purpose,
         );
-        if (!open) return;
+        if (!isOpen) return;
         if (changes.isErr()) {
           onEvent({ type: "lost", message: changes.error.message });
           return;
@@ -262,8 +262,8 @@
         for (const event of changes.value.events) onEvent(event);
       }
     };
-    void run();
-    return { close: () => void (open = false) };
+    void poll();
+    return { close: () => void (isOpen = false) };
   }
 
   counts(): Readonly<Record<StorePurpose, number>> {
@@ -275,7 +275,7 @@
     return Promise.resolve();
   }
 
-  async #page(
+  async #listPage(
     prefix: string,
     after: string | undefined,
     purpose: StorePurpose,
@@ -317,21 +317,21 @@
       });
     }
     if (status === 404) {
-      return err(failure("leaseGone", "there is no such lease"));
+      return err(storeError("leaseGone", "there is no such lease"));
     }
     return this.#expectOk(answer.value).map((value) => Number(value.revision));
   }
 
   // deno-lint-ignore no-explicit-any -- the platform's JSON
-  #expectOk({ status, body }: Answer): Result<any, StoreError> {
+  #expectOk({ status, body }: StoreResponse): Result<any, StoreError> {
     if (status === 200) return ok(body);
     if (status === 429) {
-      return err(failure("limited", "the store's rate limit"));
+      return err(storeError("limited", "the store's rate limit"));
     }
     if (status === 413) {
       return err({ kind: "tooLarge", message: "the value is too large" });
     }
-    return err(failure("unavailable", `the store answered ${status}`));
+    return err(storeError("unavailable", `the store answered ${status}`));
   }
 
   #call(
@@ -340,7 +340,7 @@
     body: unknown,
     purpose: StorePurpose,
     extraWaitMs = 0,
-  ): Promise<Result<Answer, StoreError>> {
+  ): Promise<Result<StoreResponse, StoreError>> {
     this.#counts[purpose]++;
     const payload = body === undefined ? undefined : JSON.stringify(body);
     return new Promise((resolve) => {
@@ -358,13 +358,16 @@
       // A connection may go silent for good; only this deadline shows it.
       const timer = setTimeout(
         () => call.destroy(new Error("no answer in time")),
-        CALL_WAIT_MS + extraWaitMs,
+        CALL_TIMEOUT_MS + extraWaitMs,
       );
       const fail = (error: unknown) => {
         clearTimeout(timer);
         resolve(
           err(
-            failure(isNotSent(error) ? "unavailable" : "lost", String(error)),
+            storeError(
+              isNotSent(error) ? "unavailable" : "lost",
+              String(error),
+            ),
           ),
         );
       };
--- a/src/platform/upstream_wire.ts
+++ b/src/platform/upstream_wire.ts
@@ -7,7 +7,7 @@
 import type { IncomingMessage } from "node:http";
 
 /** Headers of one connection only, which are not forwarded. */
-const HOP_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -46,37 +46,40 @@
 /** Copies raw headers, less those of one connection and those that `isLeftOut` names, in lower case. */
 function copyHeaders(
   raw: readonly string[],
-  isLeftOut: (name: string) => boolean,
+  isExcluded: (name: string) => boolean,
 ): string[] {
-  const named = new Set<string>();
+  const connectionHeaders = new Set<string>();
   for (let at = 0; at < raw.length; at += 2) {
     if (raw[at].toLowerCase() !== "connection") continue;
     for (const name of raw[at + 1].split(",")) {
-      named.add(name.trim().toLowerCase());
+      connectionHeaders.add(name.trim().toLowerCase());
     }
   }
   const kept: string[] = [];
   for (let at = 0; at < raw.length; at += 2) {
     const name = raw[at].toLowerCase();
-    if (HOP_HEADERS.has(name) || named.has(name) || isLeftOut(name)) continue;
+    if (
+      HOP_BY_HOP_HEADERS.has(name) || connectionHeaders.has(name) ||
+      isExcluded(name)
+    ) continue;
     kept.push(raw[at], raw[at + 1]);
   }
   return kept;
 }
 
 /** Who calls, as an upstream is told. */
-export interface ToldCaller {
+export interface ForwardedCaller {
   /** Absent if nobody's key was asked for. */
   readonly workspace: string | undefined;
 }
 
 /**
- * A caller's headers as any upstream gets them; see {@link addressTo} for what each send adds. `caller` is absent where
+ * A caller's headers as any upstream gets them; see {@link addSendHeaders} for what each send adds. `caller` is absent where
  * the configuration has no workspaces: a key then means nothing here and is the upstream's own matter.
  */
 export function forwardedHeaders(
   raw: readonly string[],
-  caller: ToldCaller | undefined,
+  caller: ForwardedCaller | undefined,
 ): string[] {
   const kept = copyHeaders(
     raw,
@@ -89,23 +92,23 @@
 }
 
 /** What one send tells its upstream besides the caller's own headers. */
-export interface SendAddress {
+export interface SendHeaderOptions {
   /** The upstream that is meant; any other one turns the request away. */
   readonly upstreamId: string;
   /** How long it may work, in ms from its arrival. */
   readonly workMs: number;
   /** `IP:PORT` of an engine that it may copy the prompt's shared parts from. */
   readonly fetchFrom?: string;
-  /** `IP:PORT/HANDLE` of the memory that the stream goes on from; see {@link RunMoved}. */
+  /** `IP:PORT/HANDLE` of the memory that the stream goes on from; see {@link StoppedRun}. */
   readonly goesOnFrom?: string;
   /** From 0, which is admitted first, to 9. */
   readonly urgency?: number;
 }
 
 /** The headers of one send. */
-export function addressTo(
+export function addSendHeaders(
   forwarded: readonly string[],
-  { upstreamId, workMs, fetchFrom, goesOnFrom, urgency }: SendAddress,
+  { upstreamId, workMs, fetchFrom, goesOnFrom, urgency }: SendHeaderOptions,
 ): string[] {
   return [
     ...forwarded,
@@ -131,7 +134,7 @@
 }
 
 /** An engine stopped a run. */
-export interface RunMoved {
+export interface StoppedRun {
   /** Names the copy, once. */
   readonly handle: string;
   /** Whether the memory is at the target; otherwise only the source still has it. */
@@ -139,7 +142,10 @@
 }
 
 /** Decodes the answer to a move; `undefined` if the run was not stopped. */
-export function decodeMove(status: number, text: string): RunMoved | undefined {
+export function decodeMove(
+  status: number,
+  text: string,
+): StoppedRun | undefined {
   if (status !== 200 && status !== 503) return undefined;
   try {
     const { handle } = JSON.parse(text) as { handle?: unknown };
@@ -196,7 +202,7 @@
 }
 
 /** Headers that ask an upstream to go on with a stream after an event. */
-export function resumedAfter(
+export function addResumeHeader(
   forwarded: readonly string[],
   eventId: string,
 ): string[] {
--- a/src/platform/workspaces_test.ts
+++ b/src/platform/workspaces_test.ts
@@ -7,7 +7,7 @@
   decodeConfig,
   decodeHead,
   forwardedHeaders,
-  sealEntry,
+  hashApiKeys,
 } from "./mod.ts";
 
 const KEY = "k-1";
@@ -29,7 +29,7 @@
 }
 
 function decodeTenants(tenants: unknown) {
-  return decodeConfig(sealEntry(entryOf(tenants) as never).value).workspaces;
+  return decodeConfig(hashApiKeys(entryOf(tenants) as never).value).workspaces;
 }
 
 function keyOf(sent: readonly string[]): string | undefined {
@@ -53,10 +53,10 @@
         burst: 70,
         home_regions: ["north"],
       }]);
-      const sealed = sealEntry(entry as never);
+      const sealed = hashApiKeys(entry as never);
       t.false(sealed.value.includes(`"${KEY}"`));
       const row = decodeConfig(sealed.value).workspaces
-        .holderOf(secretDigest(KEY));
+        .findByKeyDigest(secretDigest(KEY));
       t.deepEqual(row, {
         name: "convoys",
         keyDigests: [secretDigest(KEY), secretDigest("k-2")],
@@ -79,8 +79,8 @@
     });
 
     it("ask nobody for a key if there are none, and everybody if the list is empty", (t) => {
-      t.false(decodeTenants(undefined).areRequired);
-      t.true(decodeTenants([]).areRequired);
+      t.false(decodeTenants(undefined).isKeyRequired);
+      t.true(decodeTenants([]).isKeyRequired);
     });
 
     it("that can't be read make the configuration unreadable, and are not told on", (t) => {
@@ -90,12 +90,12 @@
         ...entryOf([]),
         value: `{"tenants":[{"api_keys":["${KEY}`,
       };
-      t.is(sealEntry(broken as never).value, "");
+      t.is(hashApiKeys(broken as never).value, "");
     });
 
     it("are only looked for in the configuration", (t) => {
       const other = { ...entryOf([]), key: "op/evacuate/hall-a" };
-      t.is(sealEntry(other as never), other as never);
+      t.is(hashApiKeys(other as never), other as never);
     });
   });
 
--- a/src/quota/counts.ts
+++ b/src/quota/counts.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { Bucket } from "../decisions/bucket.ts";
+import { TokenBucket } from "../decisions/bucket.ts";
 import type { QuotaLimit } from "../workspaces/mod.ts";
 
 /** What a request uses of its workspace's limit. */
@@ -26,24 +26,24 @@
  * Part of the slack that regions hold beside their shares, so that a small workspace, whose share is less than a prompt,
  * isn't refused for a clump. The rest is for what is told late.
  */
-export const SPARE_OF_SLACK = 0.4;
+export const SPARE_SLACK_SHARE = 0.4;
 
 /** Part of the excess that regions let pass: as much as shares that move late leave unused. */
-export const USED_EXCESS = 0.5;
+export const USED_EXCESS_SHARE = 0.5;
 
 /** Looks up a workspace's limit; `undefined` if it has none. */
-export type LimitOf = (workspace: string) => QuotaLimit | undefined;
+export type LimitLookup = (workspace: string) => QuotaLimit | undefined;
 
 const MS_PER_S = 1_000;
 /** A limit that changed by less than this share keeps its bucket's size. */
-const SAME_SHARE = 1e-3;
+const MIN_RESIZE_SHARE = 1e-3;
 
-function isSame(a: number, b: number): boolean {
-  return Math.abs(a - b) <= SAME_SHARE * Math.max(a, b);
+function isNearlyEqual(a: number, b: number): boolean {
+  return Math.abs(a - b) <= MIN_RESIZE_SHARE * Math.max(a, b);
 }
 
 /** One holder's part of a limit. */
-export interface Part {
+export interface LimitPart {
   /** Share of rate and burst, from 0 to 1. */
   readonly share: number;
   /** Units beside the share that may go at once. */
@@ -51,37 +51,42 @@
 }
 
 /** Counts one workspace's use against a part of its limit that may change. */
-export class PartCount {
-  readonly bucket: Bucket;
+export class PartUsage {
+  readonly bucket: TokenBucket;
   #unitsPerS: number;
   #burstUnits: number;
 
   /** `level` is the share of the burst that is there at first. */
   constructor(
     { unitsPerS, burstUnits }: QuotaLimit,
-    { share, spareUnits }: Part,
-    level: number,
+    { share, spareUnits }: LimitPart,
+    initialLevel: number,
     nowMs: number,
   ) {
     this.#unitsPerS = unitsPerS * share;
     this.#burstUnits = burstUnits * share + spareUnits;
-    this.bucket = new Bucket(
+    this.bucket = new TokenBucket(
       this.#unitsPerS / MS_PER_S,
       this.#burstUnits,
       nowMs,
     );
-    this.bucket.take(this.#burstUnits * (1 - level), nowMs);
+    this.bucket.take(this.#burstUnits * (1 - initialLevel), nowMs);
   }
 
   /**
    * Makes the part another one. What one holder's bucket gains by a larger part another's loses, so a part that moves
    * brings no second burst.
    */
-  fit(limit: QuotaLimit, { share, spareUnits }: Part, nowMs: number): void {
+  resize(
+    limit: QuotaLimit,
+    { share, spareUnits }: LimitPart,
+    nowMs: number,
+  ): void {
     const unitsPerS = limit.unitsPerS * share;
     const burstUnits = limit.burstUnits * share + spareUnits;
     if (
-      isSame(unitsPerS, this.#unitsPerS) && isSame(burstUnits, this.#burstUnits)
+      isNearlyEqual(unitsPerS, this.#unitsPerS) &&
+      isNearlyEqual(burstUnits, this.#burstUnits)
     ) return;
     this.#unitsPerS = unitsPerS;
     this.#burstUnits = burstUnits;
--- a/src/quota/own_part.ts
+++ b/src/quota/own_part.ts
@@ -6,15 +6,15 @@
 
 import { hash32, mix32 } from "../base/mod.ts";
 import {
-  type LimitOf,
-  PartCount,
+  type LimitLookup,
+  PartUsage,
   type QuotaSlack,
   type QuotaUse,
-  SPARE_OF_SLACK,
+  SPARE_SLACK_SHARE,
 } from "./counts.ts";
 
 /** A VM that starts doesn't know what it has used before; half of a burst serves its first callers. */
-const FIRST_LEVEL = 0.5;
+const INITIAL_LEVEL = 0.5;
 const HASH_RANGE = 0x1_0000_0000;
 const MS_PER_S = 1_000;
 
@@ -23,20 +23,20 @@
  * flood pass; the lead leaves the parts of VMs that it doesn't hear alone. A request larger than the part may pass on some
  * VMs only, so many that the sum stays within what operators bear beyond the limit.
  */
-export class OwnPart {
+export class LocalQuota {
   readonly #vmHash: number;
-  readonly #limitOf: LimitOf;
+  readonly #limitOf: LimitLookup;
   readonly #slack: QuotaSlack;
-  readonly #sinceMs: number;
-  readonly #counts = new Map<string, PartCount>();
+  readonly #startedMs: number;
+  readonly #usages = new Map<string, PartUsage>();
 
   constructor(
     vmId: string,
-    limitOf: LimitOf,
+    limitOf: LimitLookup,
     slack: QuotaSlack,
     nowMs: number,
   ) {
-    this.#sinceMs = nowMs;
+    this.#startedMs = nowMs;
     this.#vmHash = hash32(vmId);
     this.#limitOf = limitOf;
     this.#slack = slack;
@@ -46,7 +46,7 @@
   waitMs({ workspace, units }: QuotaUse, vms: number, nowMs: number): number {
     const limit = this.#limitOf(workspace);
     if (!limit) return 0;
-    const { bucket } = this.#count(workspace, vms, nowMs)!;
+    const { bucket } = this.#usageOf(workspace, vms, nowMs)!;
     const isLarge = units > limit.burstUnits / vms;
     if (isLarge && !this.#mayPassLarge(workspace, units, vms)) return Infinity;
     return bucket.readyAtMs(units, nowMs) - nowMs;
@@ -54,12 +54,12 @@
 
   /** Counts a request that is sent. */
   take({ workspace, units }: QuotaUse, vms: number, nowMs: number): void {
-    this.#count(workspace, vms, nowMs)?.bucket.take(units, nowMs);
+    this.#usageOf(workspace, vms, nowMs)?.bucket.take(units, nowMs);
   }
 
   /** A request that was counted has not run. */
-  giveBack({ workspace, units }: QuotaUse): void {
-    this.#counts.get(workspace)?.bucket.refund(units);
+  refund({ workspace, units }: QuotaUse): void {
+    this.#usages.get(workspace)?.bucket.refund(units);
   }
 
   /** Whether this is one of the VMs that let requests beyond their part pass. */
@@ -67,25 +67,26 @@
     const { excess, slackUnits, windowMs } = this.#slack;
     const { unitsPerS, burstUnits } = this.#limitOf(workspace)!;
     const windowUnits = unitsPerS * windowMs / MS_PER_S + burstUnits;
-    const bornUnits = windowUnits * excess + slackUnits * (1 - SPARE_OF_SLACK);
-    const most = bornUnits / units;
-    return mix32(hash32(workspace), this.#vmHash) / HASH_RANGE < most / vms;
+    const toleratedUnits = windowUnits * excess +
+      slackUnits * (1 - SPARE_SLACK_SHARE);
+    const maxVms = toleratedUnits / units;
+    return mix32(hash32(workspace), this.#vmHash) / HASH_RANGE < maxVms / vms;
   }
 
-  #count(
+  #usageOf(
     workspace: string,
     vms: number,
     nowMs: number,
-  ): PartCount | undefined {
+  ): PartUsage | undefined {
     const limit = this.#limitOf(workspace);
     if (!limit) return undefined;
-    let count = this.#counts.get(workspace);
+    let usage = this.#usages.get(workspace);
     const part = { share: 1 / vms, spareUnits: 0 };
-    if (count) count.fit(limit, part, nowMs);
+    if (usage) usage.resize(limit, part, nowMs);
     else {
-      count = new PartCount(limit, part, FIRST_LEVEL, this.#sinceMs);
-      this.#counts.set(workspace, count);
+      usage = new PartUsage(limit, part, INITIAL_LEVEL, this.#startedMs);
+      this.#usages.set(workspace, usage);
     }
-    return count;
+    return usage;
   }
 }
--- a/src/quota/own_part_sim_test.ts
+++ b/src/quota/own_part_sim_test.ts
@@ -1,11 +1,11 @@
 import { Random } from "../base/mod.ts";
 import { describe, it } from "../base/describe.ts";
 import type { QuotaLimit } from "../workspaces/mod.ts";
-import { EqualShares, OwnPart, RegionQuota } from "./mod.ts";
+import { EqualShares, LocalQuota, RegionQuota } from "./mod.ts";
 
 const REGIONS = ["north", "south", "west"];
-const VMS_A_REGION = 21;
-const VMS = REGIONS.length * VMS_A_REGION;
+const VMS_PER_REGION = 21;
+const VMS = REGIONS.length * VMS_PER_REGION;
 const STEP_MS = 10;
 const WINDOW_MS = 8_000;
 const SECONDS = 30;
@@ -25,7 +25,7 @@
  * leaves the parts of VMs that it doesn't hear alone, once it has noticed. Returns the most units in any window, as a share
  * of what operators bear.
  */
-function play(
+function simulate(
   limit: QuotaLimit,
   units: number,
   { isCut, startsAgain }: Cut,
@@ -36,33 +36,33 @@
   const leads = REGIONS.map((region) =>
     new RegionQuota(new EqualShares(region, REGIONS), limitOf, SLACK, 0)
   );
-  const openOwn = (vm: number, nowMs: number) =>
-    new OwnPart(`vm-${vm}`, limitOf, SLACK, nowMs);
-  const own = Array.from({ length: VMS }, (_, vm) => openOwn(vm, 0));
-  const heardMs = own.map(() => 0);
+  const createQuota = (vm: number, nowMs: number) =>
+    new LocalQuota(`vm-${vm}`, limitOf, SLACK, nowMs);
+  const quotas = Array.from({ length: VMS }, (_, vm) => createQuota(vm, 0));
+  const heardMs = quotas.map(() => 0);
   const passed: number[] = [];
   const use = { workspace: WORKSPACE, units };
   for (let nowMs = 0; nowMs < SECONDS * 1_000; nowMs += STEP_MS) {
     for (let vm = 0; vm < VMS; vm++) {
-      if (startsAgain?.(vm, nowMs)) own[vm] = openOwn(vm, nowMs);
+      if (startsAgain?.(vm, nowMs)) quotas[vm] = createQuota(vm, nowMs);
       if (!isCut(vm, nowMs)) heardMs[vm] = nowMs;
     }
-    const heard = REGIONS.map((_, region) => {
+    const heardShares = REGIONS.map((_, region) => {
       const vms = heardMs.filter((ms, vm) =>
         vm % REGIONS.length === region && nowMs - ms < SILENT_MS
       );
-      return vms.length / VMS_A_REGION;
+      return vms.length / VMS_PER_REGION;
     });
     let sum = 0;
     for (let call = 0; call < VMS; call++) {
       const vm = random.int(VMS);
       const region = vm % REGIONS.length;
       if (isCut(vm, nowMs)) {
-        if (own[vm].waitMs(use, VMS, nowMs) > 0) continue;
-        own[vm].take(use, VMS, nowMs);
+        if (quotas[vm].waitMs(use, VMS, nowMs) > 0) continue;
+        quotas[vm].take(use, VMS, nowMs);
       } else {
-        if (leads[region].waitMs(use, heard[region], nowMs) > 0) continue;
-        leads[region].take(use, heard[region], nowMs);
+        if (leads[region].waitMs(use, heardShares[region], nowMs) > 0) continue;
+        leads[region].take(use, heardShares[region], nowMs);
       }
       sum += units;
     }
@@ -108,7 +108,7 @@
       for (const units of [200, 1_100, 9_240]) {
         it(`stay within the bound with ${name}, ${unitsPerS} a second, ${units} a request`, (t) => {
           for (const seed of [1, 2]) {
-            const most = play(limitOf(unitsPerS), units, cut, seed);
+            const most = simulate(limitOf(unitsPerS), units, cut, seed);
             t.true(most <= 1, `${most}`);
           }
         });
@@ -118,6 +118,6 @@
 
   it("serve callers while all are cut off", (t) => {
     const limit = limitOf(1_250_000);
-    t.true(play(limit, 1_100, cuts["all cut"], 1) > 0.5);
+    t.true(simulate(limit, 1_100, cuts["all cut"], 1) > 0.5);
   });
 });
--- a/src/quota/region_quota.ts
+++ b/src/quota/region_quota.ts
@@ -5,22 +5,22 @@
  */
 
 import {
-  type LimitOf,
-  PartCount,
+  type LimitLookup,
+  PartUsage,
   type QuotaSlack,
   type QuotaUse,
-  SPARE_OF_SLACK,
-  USED_EXCESS,
+  SPARE_SLACK_SHARE,
+  USED_EXCESS_SHARE,
 } from "./counts.ts";
-import { Turns } from "./turns.ts";
-import { type Shares, STANDBY_MS, type StandbyRow } from "./shares.ts";
+import { RoundRobin } from "./turns.ts";
+import { type Shares, STANDBY_VALID_MS, type StandbyRow } from "./shares.ts";
 
 /** Rows of one standby message, some four kilobytes; with more called workspaces they take turns. */
-const MOST_ROWS = 64;
+const MAX_ROWS = 64;
 /** A workspace that nobody called for this long, and whose bucket is full again, is forgotten. */
 const IDLE_MS = 30_000;
 
-interface ToldLevel {
+interface StandbyLevel {
   readonly level: number;
   readonly heardMs: number;
 }
@@ -28,29 +28,29 @@
 /** See the module. */
 export class RegionQuota {
   readonly #shares: Shares;
-  readonly #limitOf: LimitOf;
+  readonly #limitOf: LimitLookup;
   readonly #spareUnits: number;
   /** What a share is multiplied by. */
-  readonly #stretch: number;
+  readonly #excessFactor: number;
   /** Since when this VM counts: buckets fill from then on, whenever their workspace is called first. */
-  #sinceMs: number;
-  readonly #counts = new Map<string, PartCount>();
+  #startedMs: number;
+  readonly #usages = new Map<string, PartUsage>();
   /** When each workspace was called last. */
-  readonly #calledMs = new Map<string, number>();
-  readonly #turns = new Turns();
-  readonly #toldLevels = new Map<string, ToldLevel>();
+  readonly #lastUsedMs = new Map<string, number>();
+  readonly #roundRobin = new RoundRobin();
+  readonly #standbyLevels = new Map<string, StandbyLevel>();
 
   constructor(
     shares: Shares,
-    limitOf: LimitOf,
+    limitOf: LimitLookup,
     { slackUnits, excess }: Pick<QuotaSlack, "slackUnits" | "excess">,
     nowMs: number,
   ) {
-    this.#sinceMs = nowMs;
+    this.#startedMs = nowMs;
     this.#shares = shares;
     this.#limitOf = limitOf;
-    this.#stretch = 1 + excess * USED_EXCESS;
-    this.#spareUnits = slackUnits * SPARE_OF_SLACK / shares.regionCount;
+    this.#excessFactor = 1 + excess * USED_EXCESS_SHARE;
+    this.#spareUnits = slackUnits * SPARE_SLACK_SHARE / shares.regionCount;
   }
 
   /**
@@ -59,16 +59,20 @@
    */
   waitMs(
     { workspace, units }: QuotaUse,
-    heard: number,
+    heardShare: number,
     nowMs: number,
   ): number {
-    const bucket = this.#count(workspace, heard, nowMs)?.bucket;
+    const bucket = this.#usageOf(workspace, heardShare, nowMs)?.bucket;
     return bucket ? bucket.readyAtMs(units, nowMs) - nowMs : 0;
   }
 
   /** Counts a request that is sent. */
-  take({ workspace, units }: QuotaUse, heard: number, nowMs: number): void {
-    this.#count(workspace, heard, nowMs)?.bucket.take(units, nowMs);
+  take(
+    { workspace, units }: QuotaUse,
+    heardShare: number,
+    nowMs: number,
+  ): void {
+    this.#usageOf(workspace, heardShare, nowMs)?.bucket.take(units, nowMs);
   }
 
   /** Counts what callers ask for, within the limit or not. */
@@ -77,73 +81,78 @@
   }
 
   /** A request that was counted has not run. */
-  giveBack({ workspace, units }: QuotaUse): void {
-    this.#counts.get(workspace)?.bucket.refund(units);
+  refund({ workspace, units }: QuotaUse): void {
+    this.#usages.get(workspace)?.bucket.refund(units);
   }
 
   /** What a successor has to know next, of workspaces that were called. */
-  standby(nowMs: number): StandbyRow[] {
-    this.#forget(nowMs);
-    const called = this.called(nowMs);
-    return [...this.#turns.next(called, MOST_ROWS, (row) => row.workspace)];
+  nextStandbyRows(nowMs: number): StandbyRow[] {
+    this.#dropIdle(nowMs);
+    const rows = this.standbyRows(nowMs);
+    return [...this.#roundRobin.next(rows, MAX_ROWS, (row) => row.workspace)];
   }
 
   /** What is known of each workspace that was called. */
-  called(nowMs: number): StandbyRow[] {
-    return [...this.#counts].map(([workspace, count]) => ({
+  standbyRows(nowMs: number): StandbyRow[] {
+    return [...this.#usages].map(([workspace, usage]) => ({
       workspace,
-      ...this.#shares.standby(workspace),
-      level: count.level(nowMs),
+      ...this.#shares.standbyCounters(workspace),
+      level: usage.level(nowMs),
     }));
   }
 
-  #forget(nowMs: number): void {
-    for (const [workspace, calledMs] of this.#calledMs) {
-      const level = this.#counts.get(workspace)?.level(nowMs) ?? 1;
-      if (nowMs - calledMs < IDLE_MS || level < 1) continue;
-      this.#calledMs.delete(workspace);
-      this.#counts.delete(workspace);
+  #dropIdle(nowMs: number): void {
+    for (const [workspace, lastUsedMs] of this.#lastUsedMs) {
+      const level = this.#usages.get(workspace)?.level(nowMs) ?? 1;
+      if (nowMs - lastUsedMs < IDLE_MS || level < 1) continue;
+      this.#lastUsedMs.delete(workspace);
+      this.#usages.delete(workspace);
     }
   }
 
   /** Takes in what a predecessor said. */
-  noteStandby(row: StandbyRow, nowMs: number): void {
-    this.#shares.noteStandby(row, nowMs);
-    this.#toldLevels.set(row.workspace, { level: row.level, heardMs: nowMs });
+  applyStandby(row: StandbyRow, nowMs: number): void {
+    this.#shares.applyStandby(row, nowMs);
+    this.#standbyLevels.set(row.workspace, {
+      level: row.level,
+      heardMs: nowMs,
+    });
   }
 
   /** This VM counts from now on; what it may have counted before is of the past. */
-  begin(nowMs: number): void {
-    this.#counts.clear();
-    this.#sinceMs = nowMs;
-    this.#shares.begin(nowMs);
+  startLeading(nowMs: number): void {
+    this.#usages.clear();
+    this.#startedMs = nowMs;
+    this.#shares.startLeading(nowMs);
   }
 
-  #count(
+  #usageOf(
     workspace: string,
-    heard: number,
+    heardShare: number,
     nowMs: number,
-  ): PartCount | undefined {
-    this.#calledMs.set(workspace, nowMs);
+  ): PartUsage | undefined {
+    this.#lastUsedMs.set(workspace, nowMs);
     const limit = this.#limitOf(workspace);
     if (!limit) {
-      this.#counts.delete(workspace);
+      this.#usages.delete(workspace);
       return undefined;
     }
     const part = {
-      share: this.#shares.shareOf(workspace, nowMs) * heard * this.#stretch,
-      spareUnits: this.#spareUnits * heard,
+      share: this.#shares.shareOf(workspace, nowMs) * heardShare *
+        this.#excessFactor,
+      spareUnits: this.#spareUnits * heardShare,
     };
-    let count = this.#counts.get(workspace);
-    if (count) count.fit(limit, part, nowMs);
+    let usage = this.#usages.get(workspace);
+    if (usage) usage.resize(limit, part, nowMs);
     else {
-      const told = this.#toldLevels.get(workspace);
-      const isFresh = told && this.#sinceMs - told.heardMs < STANDBY_MS;
-      count = isFresh
-        ? new PartCount(limit, part, told.level, told.heardMs)
-        : new PartCount(limit, part, 0, this.#sinceMs);
-      this.#counts.set(workspace, count);
+      const standbyLevel = this.#standbyLevels.get(workspace);
+      const isFresh = standbyLevel &&
+        this.#startedMs - standbyLevel.heardMs < STANDBY_VALID_MS;
+      usage = isFresh
+        ? new PartUsage(limit, part, standbyLevel.level, standbyLevel.heardMs)
+        : new PartUsage(limit, part, 0, this.#startedMs);
+      this.#usages.set(workspace, usage);
     }
-    return count;
+    return usage;
   }
 }
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -8,7 +8,7 @@
  */
 
 /** What a predecessor said is good for this long. */
-export const STANDBY_MS = 3_000;
+export const STANDBY_VALID_MS = 3_000;
 
 /** One workspace in a note. */
 export interface ShareRow {
@@ -24,7 +24,7 @@
 }
 
 /** What one region's first lead tells another's. */
-export interface ShareNote {
+export interface ShareReport {
   readonly region: string;
   readonly rows: readonly ShareRow[];
 }
@@ -57,27 +57,27 @@
   abstract shareOf(workspace: string, nowMs: number): number;
 
   /** This VM becomes its region's first lead. */
-  abstract begin(nowMs: number): void;
+  abstract startLeading(nowMs: number): void;
 
   /** Counts what callers ask for, within the limit or not. */
   abstract noteDemand(workspace: string, units: number, nowMs: number): void;
 
   /** Moves shares, as far as this region may give. */
-  abstract balance(nowMs: number): void;
+  abstract rebalance(nowMs: number): void;
 
   /** What another region is told; `undefined` if there is nothing to say. */
-  abstract tell(region: string, nowMs: number): ShareNote | undefined;
+  abstract buildReport(region: string, nowMs: number): ShareReport | undefined;
 
   /** Takes in what another region told. */
-  abstract noteTold(note: ShareNote, nowMs: number): void;
+  abstract applyReport(report: ShareReport, nowMs: number): void;
 
   /** What a successor in this region has to know. */
-  abstract standby(
+  abstract standbyCounters(
     workspace: string,
   ): Pick<StandbyRow, "given" | "taken">;
 
   /** Takes in what a predecessor said. */
-  abstract noteStandby(row: StandbyRow, nowMs: number): void;
+  abstract applyStandby(row: StandbyRow, nowMs: number): void;
 }
 
 /** Each region has the same share for good: no message, and nothing to lose. */
@@ -86,21 +86,21 @@
     return 1 / this.regions.length;
   }
 
-  begin(): void {}
+  startLeading(): void {}
 
   noteDemand(): void {}
 
-  balance(): void {}
+  rebalance(): void {}
 
-  tell(): undefined {
+  buildReport(): undefined {
     return undefined;
   }
 
-  noteTold(): void {}
+  applyReport(): void {}
 
-  standby(): Pick<StandbyRow, "given" | "taken"> {
+  standbyCounters(): Pick<StandbyRow, "given" | "taken"> {
     return { given: {}, taken: {} };
   }
 
-  noteStandby(): void {}
+  applyStandby(): void {}
 }
--- a/src/quota/shares_sim_test.ts
+++ b/src/quota/shares_sim_test.ts
@@ -1,20 +1,20 @@
 import { Random } from "../base/mod.ts";
 import { describe, it } from "../base/describe.ts";
-import { Bucket } from "../decisions/bucket.ts";
+import { TokenBucket } from "../decisions/bucket.ts";
 import type { QuotaLimit } from "../workspaces/mod.ts";
 import {
   EqualShares,
   MovingShares,
   RegionQuota,
-  type ShareNote,
+  type ShareReport,
   type Shares,
   type StandbyRow,
 } from "./mod.ts";
 
 const REGIONS = ["north", "south", "west"];
 const STEP_MS = 10;
-const TELL_MS = 250;
-const FAR_MS = 80;
+const REPORT_INTERVAL_MS = 250;
+const LINK_DELAY_MS = 80;
 const WINDOW_MS = 8_000;
 const SECONDS = 40;
 const WORKSPACE = "convoys";
@@ -23,12 +23,13 @@
 const EXCESS = 0.1;
 const SLACK = { slackUnits: 72_000, excess: EXCESS };
 
-type Way = (region: string, nowMs: number) => Shares;
-const EQUAL: Way = (region) => new EqualShares(region, REGIONS);
-const MOVING: Way = (region, nowMs) => new MovingShares(region, REGIONS, nowMs);
+type CreateShares = (region: string, nowMs: number) => Shares;
+const EQUAL: CreateShares = (region) => new EqualShares(region, REGIONS);
+const MOVING: CreateShares = (region, nowMs) =>
+  new MovingShares(region, REGIONS, nowMs);
 
 /** What happens to a region's first lead. */
-interface Script {
+interface Scenario {
   /** Units a second that callers of a region ask for. */
   readonly demand: (region: string, nowMs: number) => number;
   readonly unitsOf: (random: Random) => number;
@@ -52,60 +53,71 @@
   readonly messages: number;
 }
 
-function quota(way: Way, region: string, limit: QuotaLimit, nowMs: number) {
-  const shares = way(region, nowMs);
+function createLead(
+  createShares: CreateShares,
+  region: string,
+  limit: QuotaLimit,
+  nowMs: number,
+) {
+  const shares = createShares(region, nowMs);
   return { shares, quota: new RegionQuota(shares, () => limit, SLACK, nowMs) };
 }
 
 /** Plays a script; every region counts by its own share, and an exact bucket beside it tells what was within the limit. */
-function play(way: Way, script: Script, seed = 1): Outcome {
-  const { limit, passes = () => true, loss = NO_LOSS } = script;
+function simulate(
+  createShares: CreateShares,
+  scenario: Scenario,
+  seed = 1,
+): Outcome {
+  const { limit, passes = () => true, loss = NO_LOSS } = scenario;
   const random = new Random(seed);
   const leads = new Map(
-    REGIONS.map((region) => [region, quota(way, region, limit, 0)]),
+    REGIONS.map((
+      region,
+    ) => [region, createLead(createShares, region, limit, 0)]),
   );
-  const exact = new Bucket(limit.unitsPerS / 1_000, limit.burstUnits, 0);
-  const flying: { atMs: number; to: string; note: ShareNote }[] = [];
+  const exact = new TokenBucket(limit.unitsPerS / 1_000, limit.burstUnits, 0);
+  const inFlight: { atMs: number; to: string; report: ShareReport }[] = [];
   const passed: { atMs: number; units: number }[] = [];
   let within = 0;
   let refused = 0;
   let messages = 0;
   const standby = new Map<string, StandbyRow[]>();
   for (let nowMs = 0; nowMs < SECONDS * 1_000; nowMs += STEP_MS) {
-    for (const { region, atMs, isTold } of script.successions ?? []) {
+    for (const { region, atMs, isTold } of scenario.successions ?? []) {
       if (atMs !== nowMs) continue;
-      const next = quota(way, region, limit, nowMs);
+      const next = createLead(createShares, region, limit, nowMs);
       if (isTold) {
         for (const row of standby.get(region) ?? []) {
-          next.quota.noteStandby(row, nowMs);
+          next.quota.applyStandby(row, nowMs);
         }
       }
       leads.set(region, next);
     }
-    while (flying.length > 0 && flying[0].atMs <= nowMs) {
-      const { to, note } = flying.shift()!;
-      leads.get(to)!.shares.noteTold(note, nowMs);
+    while (inFlight.length > 0 && inFlight[0].atMs <= nowMs) {
+      const { to, report } = inFlight.shift()!;
+      leads.get(to)!.shares.applyReport(report, nowMs);
     }
-    if (nowMs % TELL_MS === 0) {
+    if (nowMs % REPORT_INTERVAL_MS === 0) {
       for (const [region, { shares, quota }] of leads) {
-        shares.balance(nowMs);
-        standby.set(region, quota.standby(nowMs));
+        shares.rebalance(nowMs);
+        standby.set(region, quota.nextStandbyRows(nowMs));
         for (const to of REGIONS) {
           if (to === region) continue;
-          const note = shares.tell(to, nowMs);
-          if (!note) continue;
+          const report = shares.buildReport(to, nowMs);
+          if (!report) continue;
           messages++;
           if (passes(region, to, nowMs) && random.next() >= loss) {
-            flying.push({ atMs: nowMs + FAR_MS, to, note });
+            inFlight.push({ atMs: nowMs + LINK_DELAY_MS, to, report });
           }
         }
       }
     }
     for (const [region, { quota }] of leads) {
-      const perStep = script.demand(region, nowMs) * STEP_MS / 1_000;
+      const perStep = scenario.demand(region, nowMs) * STEP_MS / 1_000;
       let asked = 0;
       while (asked < perStep) {
-        const units = script.unitsOf(random);
+        const units = scenario.unitsOf(random);
         // A step's last request comes as often as its part of the step says.
         if (
           asked + units > perStep && random.next() > (perStep - asked) / units
@@ -129,14 +141,16 @@
   }
   return {
     refusedWithin: refused / Math.max(1, within),
-    mostInWindow: most(passed) /
+    mostInWindow: maxUnitsInWindow(passed) /
       ((limit.unitsPerS * WINDOW_MS / 1_000 + limit.burstUnits) *
           (1 + EXCESS) + SLACK.slackUnits),
     messages,
   };
 }
 
-function most(passed: readonly { atMs: number; units: number }[]): number {
+function maxUnitsInWindow(
+  passed: readonly { atMs: number; units: number }[],
+): number {
   let first = 0;
   let sum = 0;
   let best = 0;
@@ -161,7 +175,7 @@
 }
 
 /** One region after the other has its day; the whole is `mean` units a second. */
-function hours(mean: number): Script["demand"] {
+function daytimeDemand(mean: number): Scenario["demand"] {
   const days: Record<string, [number, number, number]> = {
     north: [0, 13_000, 0.39],
     south: [10_500, 24_000, 0.33],
@@ -174,7 +188,7 @@
   };
 }
 
-const flood = (limit: QuotaLimit): Script => ({
+const flood = (limit: QuotaLimit): Scenario => ({
   limit,
   unitsOf,
   demand: () => limit.unitsPerS * 2,
@@ -186,9 +200,13 @@
     // limit has room for.
     it("follow the callers from region to region", (t) => {
       for (const seed of [1, 2, 3]) {
-        const script = { limit: LARGE, unitsOf, demand: hours(693_000) };
-        const equal = play(EQUAL, script, seed);
-        const moving = play(MOVING, script, seed);
+        const scenario = {
+          limit: LARGE,
+          unitsOf,
+          demand: daytimeDemand(693_000),
+        };
+        const equal = simulate(EQUAL, scenario, seed);
+        const moving = simulate(MOVING, scenario, seed);
         t.log("large workspace", { equal, moving });
         t.true(moving.refusedWithin < 0.03);
         t.true(moving.refusedWithin < equal.refusedWithin / 4);
@@ -197,9 +215,13 @@
 
     it("serve a workspace whose burst is two prompts", (t) => {
       for (const seed of [1, 2, 3]) {
-        const script = { limit: SMALL, unitsOf, demand: hours(8_000) };
-        const equal = play(EQUAL, script, seed);
-        const moving = play(MOVING, script, seed);
+        const scenario = {
+          limit: SMALL,
+          unitsOf,
+          demand: daytimeDemand(8_000),
+        };
+        const equal = simulate(EQUAL, scenario, seed);
+        const moving = simulate(MOVING, scenario, seed);
         t.log("small workspace", { equal, moving });
         t.true(moving.refusedWithin < 0.11);
         t.true(moving.refusedWithin < equal.refusedWithin);
@@ -210,16 +232,16 @@
     // they keep for them is lost to it.
     it("let a region that floods have nearly all", (t) => {
       for (const seed of [1, 2, 3]) {
-        const usual = hours(693_000);
-        const script: Script = {
+        const usual = daytimeDemand(693_000);
+        const scenario: Scenario = {
           limit: LARGE,
           unitsOf,
           demand: (region, nowMs) =>
             usual(region, nowMs) *
             (nowMs >= 4_000 && nowMs < 15_000 ? 6 : 1),
         };
-        const equal = play(EQUAL, script, seed);
-        const moving = play(MOVING, script, seed);
+        const equal = simulate(EQUAL, scenario, seed);
+        const moving = simulate(MOVING, scenario, seed);
         t.log("flood", { equal, moving });
         t.true(moving.refusedWithin < 0.15);
         t.true(moving.refusedWithin < equal.refusedWithin / 2);
@@ -227,14 +249,14 @@
     });
 
     it("stay where they are while regions are cut, and serve the region that has the callers", (t) => {
-      const script: Script = {
+      const scenario: Scenario = {
         limit: LARGE,
         unitsOf,
-        demand: hours(693_000),
+        demand: daytimeDemand(693_000),
         passes: (_from, _to, nowMs) => nowMs < 4_000 || nowMs > 10_000,
       };
-      const moving = play(MOVING, script);
-      t.log({ equal: play(EQUAL, script), moving });
+      const moving = simulate(MOVING, scenario);
+      t.log({ equal: simulate(EQUAL, scenario), moving });
       t.true(moving.refusedWithin < 0.06);
     });
   });
@@ -242,7 +264,7 @@
   // Every region asks for twice the whole limit; whatever fails, the sum over all regions must stay below what the
   // operators bear in any window: a tenth above the limit, and the slack.
   describe("under a flood in all regions", () => {
-    const cases: Record<string, Partial<Script>> = {
+    const cases: Record<string, Partial<Scenario>> = {
       "without trouble": {},
       "with a third of the notes lost": { loss: 0.33 },
       "while all regions are cut from each other": {
@@ -283,11 +305,11 @@
           for (const seed of [1, 2, 3]) {
             // The shares stand unevenly when the trouble begins.
             const base = flood(limit);
-            const demand: Script["demand"] = (region, nowMs) =>
+            const demand: Scenario["demand"] = (region, nowMs) =>
               nowMs < 3_000
-                ? hours(limit.unitsPerS)(region, nowMs)
+                ? daytimeDemand(limit.unitsPerS)(region, nowMs)
                 : base.demand(region, nowMs);
-            const { mostInWindow } = play(MOVING, {
+            const { mostInWindow } = simulate(MOVING, {
               ...base,
               demand,
               ...trouble,
@@ -303,22 +325,22 @@
       const [first, next, south] = ["north", "north", "south"].map((region) =>
         new MovingShares(region, ["north", "south"], 0)
       );
-      const tell = (from: Shares, to: Shares, nowMs: number) =>
-        to.noteTold(from.tell(region(to), nowMs)!, nowMs);
+      const sendReport = (from: Shares, to: Shares, nowMs: number) =>
+        to.applyReport(from.buildReport(region(to), nowMs)!, nowMs);
       const region = (shares: Shares) => shares === south ? "south" : "north";
-      tell(south, first, 0);
+      sendReport(south, first, 0);
       t.is(first.shareOf(WORKSPACE, 100), 0.5);
-      tell(south, next, 100);
-      for (let nowMs = 1_000; nowMs < 3_000; nowMs += TELL_MS) {
+      sendReport(south, next, 100);
+      for (let nowMs = 1_000; nowMs < 3_000; nowMs += REPORT_INTERVAL_MS) {
         south.noteDemand(WORKSPACE, 100_000, nowMs);
-        tell(south, next, nowMs);
-        next.balance(nowMs);
-        tell(next, south, nowMs);
+        sendReport(south, next, nowMs);
+        next.rebalance(nowMs);
+        sendReport(next, south, nowMs);
       }
       t.true(south.shareOf(WORKSPACE, 3_000) > 0.9);
-      first.begin(10_000);
+      first.startLeading(10_000);
       t.true(first.shareOf(WORKSPACE, 10_000) < 0.1);
-      tell(south, first, 10_100);
+      sendReport(south, first, 10_100);
       t.true(
         first.shareOf(WORKSPACE, 10_100) + south.shareOf(WORKSPACE, 10_100) <=
           1,
@@ -331,7 +353,7 @@
           return 0.6;
         }
       }
-      const { mostInWindow } = play(
+      const { mostInWindow } = simulate(
         (region) => new Greedy(region, REGIONS),
         flood(LARGE),
       );
--- a/src/region/far_regions.ts
+++ b/src/region/far_regions.ts
@@ -8,43 +8,45 @@
 import type { VmRecord } from "./record.ts";
 
 /** Silence after which nothing is handed to a region, at least: four digests of its first lead. */
-const SILENT_MS = 2_000;
-const SILENT_DIGESTS = 4;
+const MIN_SILENT_MS = 2_000;
+const MISSED_DIGESTS = 4;
 /** A region that was only cut off still uses its part of what all share; it counts for this long. */
 const FORGET_MS = 30_000;
 
 /** A region as one of its leads described it. */
-export interface FarRegion {
+export interface RemoteRegion {
   readonly digest: RegionDigest;
   readonly heardMs: number;
 }
 
-function isFresh({ digest, heardMs }: FarRegion, nowMs: number): boolean {
+function isFresh({ digest, heardMs }: RemoteRegion, nowMs: number): boolean {
   return nowMs - heardMs <
-    Math.max(SILENT_MS, SILENT_DIGESTS * digest.everyMs);
+    Math.max(MIN_SILENT_MS, MISSED_DIGESTS * digest.everyMs);
 }
 
 /** See the module. */
-export class FarRegions {
+export class RemoteRegions {
   /** By region, the latest digest of any of its leads. */
-  readonly #latest = new Map<string, FarRegion>();
+  readonly #latest = new Map<string, RemoteRegion>();
 
   /** Takes in what a lead said at `heardMs`; what is older than what is known is left aside. */
-  note(digest: RegionDigest, heardMs: number): void {
+  update(digest: RegionDigest, heardMs: number): void {
     const { region } = digest.from;
     if ((this.#latest.get(region)?.heardMs ?? -Infinity) >= heardMs) return;
     this.#latest.set(region, { digest, heardMs });
   }
 
   /** Regions that were heard lately. */
-  fresh(nowMs: number): FarRegion[] {
-    return [...this.#latest.values()].filter((far) => isFresh(far, nowMs));
+  fresh(nowMs: number): RemoteRegion[] {
+    return [...this.#latest.values()].filter((remote) =>
+      isFresh(remote, nowMs)
+    );
   }
 
   /** Addresses of some VMs of a region that take requests; none if the region is silent. */
-  ready(region: string, nowMs: number): readonly string[] {
-    const far = this.#latest.get(region);
-    return far && isFresh(far, nowMs) ? far.digest.ready : [];
+  readyIps(region: string, nowMs: number): readonly string[] {
+    const remote = this.#latest.get(region);
+    return remote && isFresh(remote, nowMs) ? remote.digest.ready : [];
   }
 
   /** The leads of a region as last said, fresh or not. */
@@ -53,14 +55,14 @@
   }
 
   /** VMs of all these regions together. */
-  vms(): number {
+  vmCount(): number {
     let sum = 0;
     for (const { digest } of this.#latest.values()) sum += digest.vms;
     return sum;
   }
 
   /** What may be passed on to the VMs of the own region. */
-  passOn(nowMs: number): PassedDigest[] {
+  passedDigests(nowMs: number): PassedDigest[] {
     return this.fresh(nowMs).map(({ digest, heardMs }) => ({
       ...digest,
       yours: undefined,
@@ -70,14 +72,14 @@
   }
 
   /** Drops what was not heard for long. */
-  forget(nowMs: number): void {
+  dropStale(nowMs: number): void {
     for (const [region, { heardMs }] of this.#latest) {
       if (nowMs - heardMs >= FORGET_MS) this.#latest.delete(region);
     }
   }
 
   /** This process was paused for `ms`: nobody had a chance to be heard. */
-  shift(ms: number): void {
+  skipPause(ms: number): void {
     for (const [region, { digest, heardMs }] of this.#latest) {
       this.#latest.set(region, { digest, heardMs: heardMs + ms });
     }
--- a/src/region/load_book.ts
+++ b/src/region/load_book.ts
@@ -15,7 +15,7 @@
 }
 
 /** A grant that its VM says nothing about for this long came to nothing, or its message was lost. */
-const GRANT_KEPT_MS = 1_000;
+const GRANT_TIMEOUT_MS = 1_000;
 const NO_LOAD: UpstreamLoad = [0, 0];
 
 /**
@@ -23,21 +23,21 @@
  * granted since is added until then. Without grants, the requests of the last tenths of a second would all be sent to
  * the upstream that was the emptiest before them.
  */
-export class LoadBook {
-  readonly #said = new Map<string, VmLoad>();
+export class LoadTracker {
+  readonly #reported = new Map<string, VmLoad>();
   readonly #grants = new Map<string, Grant[]>();
   readonly #sums = new Map<string, [running: number, waitingTokens: number]>();
 
   /** Takes in what a VM says. */
-  note(vmId: string, said: VmLoad, nowMs: number): void {
-    const before = this.#said.get(vmId);
-    if (before) this.#add(before.load, -1);
-    this.#add(said.load, 1);
-    this.#said.set(vmId, said);
-    this.#settle(
+  update(vmId: string, reported: VmLoad, nowMs: number): void {
+    const before = this.#reported.get(vmId);
+    if (before) this.#addLoad(before.load, -1);
+    this.#addLoad(reported.load, 1);
+    this.#reported.set(vmId, reported);
+    this.#dropGrants(
       vmId,
       ({ question, grantedMs }) =>
-        question <= said.asked || nowMs - grantedMs >= GRANT_KEPT_MS,
+        question <= reported.asked || nowMs - grantedMs >= GRANT_TIMEOUT_MS,
     );
   }
 
@@ -52,16 +52,16 @@
     const grants = this.#grants.get(vmId) ?? [];
     grants.push({ question, upstreamKey, promptTokens, grantedMs: nowMs });
     this.#grants.set(vmId, grants);
-    this.#addOne(upstreamKey, 1, promptTokens);
+    this.#addToSum(upstreamKey, 1, promptTokens);
   }
 
   /** Forgets the VMs that `isThere` does not hold for: their requests ended with them. */
-  keep(isThere: (vmId: string) => boolean): void {
-    for (const [vmId, { load }] of this.#said) {
-      if (isThere(vmId)) continue;
-      this.#add(load, -1);
-      this.#said.delete(vmId);
-      this.#settle(vmId, () => true);
+  retain(isAlive: (vmId: string) => boolean): void {
+    for (const [vmId, { load }] of this.#reported) {
+      if (isAlive(vmId)) continue;
+      this.#addLoad(load, -1);
+      this.#reported.delete(vmId);
+      this.#dropGrants(vmId, () => true);
     }
   }
 
@@ -75,25 +75,25 @@
     return Object.fromEntries(this.#sums);
   }
 
-  #settle(vmId: string, isOver: (grant: Grant) => boolean): void {
+  #dropGrants(vmId: string, isSettled: (grant: Grant) => boolean): void {
     const grants = this.#grants.get(vmId);
     if (!grants) return;
-    const open: Grant[] = [];
+    const remaining: Grant[] = [];
     for (const grant of grants) {
-      if (isOver(grant)) {
-        this.#addOne(grant.upstreamKey, -1, -grant.promptTokens);
-      } else open.push(grant);
+      if (isSettled(grant)) {
+        this.#addToSum(grant.upstreamKey, -1, -grant.promptTokens);
+      } else remaining.push(grant);
     }
-    this.#grants.set(vmId, open);
+    this.#grants.set(vmId, remaining);
   }
 
-  #add(load: Load, sign: 1 | -1): void {
+  #addLoad(load: Load, sign: 1 | -1): void {
     for (const [key, [running, waitingTokens]] of Object.entries(load)) {
-      this.#addOne(key, sign * running, sign * waitingTokens);
+      this.#addToSum(key, sign * running, sign * waitingTokens);
     }
   }
 
-  #addOne(key: string, running: number, waitingTokens: number): void {
+  #addToSum(key: string, running: number, waitingTokens: number): void {
     const sum = this.#sums.get(key) ?? [0, 0];
     sum[0] += running;
     sum[1] += waitingTokens;
--- a/src/region/messages.ts
+++ b/src/region/messages.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { HeldPart, RegionPlaces, SendOutcome } from "../routing/mod.ts";
+import type { HeldPart, OfferedCapacity, SendOutcome } from "../routing/mod.ts";
 import { isVmRecord, type VmRecord } from "./record.ts";
 
 /** Revision of the last news of each matter of the store that a VM has: who is ahead can be asked. */
@@ -23,7 +23,7 @@
 export type Load = Readonly<Record<string, UpstreamLoad>>;
 
 /** Places by service. */
-export type Room = Readonly<Record<string, RegionPlaces>>;
+export type Room = Readonly<Record<string, OfferedCapacity>>;
 
 /** What became of a send, by upstream key. */
 export type SeenOutcome = readonly [upstreamKey: string, outcome: SendOutcome];
@@ -95,7 +95,7 @@
 
 /** Which VMs of a region callers may use. */
 export interface NamedList {
-  /** At most {@link MOST_NAMED} addresses of VMs that take requests. */
+  /** At most {@link MAX_NAMED} addresses of VMs that take requests. */
   readonly ready: readonly string[];
   /** VMs that are being stopped, with the time that they still serve, in ms. */
   readonly leaving: readonly (readonly [ip: string, servesMs: number])[];
@@ -121,13 +121,13 @@
 }
 
 /** Most addresses of one list: what callers take from an answer, and a datagram of about a kilobyte. */
-export const MOST_NAMED = 64;
+export const MAX_NAMED = 64;
 
 function isList(value: unknown): value is unknown[] {
   return Array.isArray(value);
 }
 
-function areRevisions(value: unknown): value is Revisions {
+function isRevisions(value: unknown): value is Revisions {
   const revisions = value as Partial<Revisions> | null;
   return typeof revisions?.operators === "number" &&
     typeof revisions.upstreams === "number";
@@ -137,7 +137,7 @@
 export function decodeReport(params: unknown): Report | undefined {
   if (!isVmRecord(params)) return undefined;
   const report = params as Report;
-  return areRevisions(report.revisions) &&
+  return isRevisions(report.revisions) &&
       typeof report.everyMs === "number" && typeof report.load === "object"
     ? report
     : undefined;
@@ -155,7 +155,7 @@
 /** Reads a digest; `undefined` if it is none. */
 export function decodeDigest(params: unknown): RegionDigest | undefined {
   const digest = params as Partial<RegionDigest> | null;
-  return isVmRecord(digest?.from) && areRevisions(digest.revisions) &&
+  return isVmRecord(digest?.from) && isRevisions(digest.revisions) &&
       isList(digest.leads) && isList(digest.ready) &&
       typeof digest.everyMs === "number"
     ? digest as RegionDigest
@@ -165,7 +165,7 @@
 /** Reads a roster; `undefined` if it is none. */
 export function decodeRoster(params: unknown): Roster | undefined {
   const roster = params as Partial<Roster> | null;
-  return isVmRecord(roster?.from) && areRevisions(roster.revisions) &&
+  return isVmRecord(roster?.from) && isRevisions(roster.revisions) &&
       isList(roster.leads) && isList(roster.regions) &&
       typeof roster.everyMs === "number"
     ? roster as Roster
--- a/src/region/order.ts
+++ b/src/region/order.ts
@@ -9,17 +9,17 @@
 import type { VmRecord } from "./record.ts";
 
 /** Leads of a region. With three, two may be lost or cut off at once and nobody waits for a new one to be found. */
-export const LEADS = 3;
+export const LEAD_COUNT = 3;
 /** VMs that take the leads' place next; all VMs know them, so the loss of every lead at once costs no search. */
-export const STANDBYS = 3;
+export const STANDBY_COUNT = 3;
 /** Up to this many VMs a region needs no leads: all hear all, at the cost of a few datagrams. */
-export const ALL_LEAD_VMS = 4;
+export const MAX_ALL_LEAD_VMS = 4;
 /** VMs of a region that ask the store for changes, for all of it. */
-export const READERS = 3;
+export const READER_COUNT = 3;
 
 /** How many VMs of a region lead it. */
-export function leadCount(vms: number): number {
-  return vms <= ALL_LEAD_VMS ? vms : LEADS;
+export function countLeads(vmCount: number): number {
+  return vmCount <= MAX_ALL_LEAD_VMS ? vmCount : LEAD_COUNT;
 }
 
 /**
@@ -27,14 +27,14 @@
  * failure domains, so that the loss or cut of one leaves a lead in another; inside a domain the strongest VM comes first,
  * since a lead's work comes on top of its callers'.
  */
-export function leadOrder<V extends VmRecord>(vms: readonly V[]): V[] {
-  const strongest = vms
+export function orderLeads<V extends VmRecord>(vms: readonly V[]): V[] {
+  const byStrength = vms
     .map((vm) => ({ vm, weight: hash32(vm.id) }))
     .sort((a, b) => b.vm.cores - a.vm.cores || b.weight - a.weight);
-  const taken = new Map<string, number>();
-  const rounds = strongest.map(({ vm }, rank) => {
-    const round = taken.get(vm.failureDomain) ?? 0;
-    taken.set(vm.failureDomain, round + 1);
+  const vmsPerDomain = new Map<string, number>();
+  const rounds = byStrength.map(({ vm }, rank) => {
+    const round = vmsPerDomain.get(vm.failureDomain) ?? 0;
+    vmsPerDomain.set(vm.failureDomain, round + 1);
     return { vm, round, rank };
   });
   return rounds.sort((a, b) => a.round - b.round || a.rank - b.rank)
@@ -42,7 +42,7 @@
 }
 
 /** A VM of the order as choosing readers sees it. */
-export interface ReaderVm {
+export interface ReaderCandidate {
   readonly id: string;
   /** Whether the store answers its questions at the moment. */
   readonly isServed: boolean;
@@ -53,11 +53,14 @@
  * reader that the store turns away. No other VM ever asks, so the calls of an outage don't grow with the region; a region
  * whose readers are all turned away hears from another one.
  */
-export function isReader(self: string, order: readonly ReaderVm[]): boolean {
+export function isReader(
+  self: string,
+  order: readonly ReaderCandidate[],
+): boolean {
   let servedBefore = 0;
   for (const [index, { id, isServed }] of order.entries()) {
-    if (index >= LEADS + STANDBYS) return false;
-    if (id === self) return index < READERS || servedBefore < READERS;
+    if (index >= LEAD_COUNT + STANDBY_COUNT) return false;
+    if (id === self) return index < READER_COUNT || servedBefore < READER_COUNT;
     if (isServed) servedBefore++;
   }
   return false;
--- a/src/region/record.ts
+++ b/src/region/record.ts
@@ -26,7 +26,7 @@
 }
 
 /** The record alone of something that extends it. */
-export function recordOf(
+export function toVmRecord(
   { id, ip, region, failureDomain, bornMs, cores }: VmRecord,
 ): VmRecord {
   return { id, ip, region, failureDomain, bornMs, cores };
--- a/src/region/view_sim_test.ts
+++ b/src/region/view_sim_test.ts
@@ -1,8 +1,8 @@
 import { Random } from "../base/mod.ts";
 import { describe, it } from "../base/describe.ts";
 import {
-  type Due,
-  LEADS,
+  type DueMessage,
+  LEAD_COUNT,
   type RegionDigest,
   RegionView,
   type Report,
@@ -16,7 +16,7 @@
 const FAR_MS = 80;
 const REGIONS = ["north", "south", "west"];
 
-type Sent =
+type Message =
   | { readonly type: "report"; readonly said: Report }
   | { readonly type: "roster"; readonly said: Roster }
   | { readonly type: "digest"; readonly said: RegionDigest };
@@ -40,7 +40,7 @@
   readonly #random: Random;
   readonly #loss: number;
   /** What arrives, by the time of its arrival. */
-  readonly #flying = new Map<number, { to: string; message: Sent }[]>();
+  readonly #inFlight = new Map<number, { to: string; message: Message }[]>();
 
   constructor(perRegion: number, seed = 1, loss = 0.01) {
     this.#random = new Random(seed);
@@ -99,8 +99,8 @@
     const endMs = this.nowMs + ms;
     while (this.nowMs < endMs) {
       this.nowMs += STEP_MS;
-      const due = this.#flying.get(this.nowMs) ?? [];
-      this.#flying.delete(this.nowMs);
+      const due = this.#inFlight.get(this.nowMs) ?? [];
+      this.#inFlight.delete(this.nowMs);
       for (const { to, message } of due) this.#deliver(to, message);
       for (const vm of this.up) {
         if (vm.isFrozen || this.nowMs < vm.nextTickMs) continue;
@@ -114,9 +114,9 @@
   }
 
   /** Runs until something holds; returns how long that took. */
-  runUntil(done: () => boolean, mostMs: number): number {
+  runUntil(done: () => boolean, maxMs: number): number {
     const startMs = this.nowMs;
-    while (!done() && this.nowMs - startMs < mostMs) this.run(STEP_MS);
+    while (!done() && this.nowMs - startMs < maxMs) this.run(STEP_MS);
     return this.nowMs - startMs;
   }
 
@@ -136,10 +136,10 @@
   /** Whether that holds for all regions, and the VMs are counted. */
   isSettled(): boolean {
     return REGIONS.every((region) => this.isSettledIn(region)) &&
-      this.up.every(({ view }) => view.allVms === this.up.length);
+      this.up.every(({ view }) => view.vmCount === this.up.length);
   }
 
-  #deliver(to: string, message: Sent): void {
+  #deliver(to: string, message: Message): void {
     const vm = this.vms.get(to);
     if (!vm?.isUp || vm.isFrozen) return;
     if (message.type === "report") {
@@ -149,7 +149,7 @@
     } else vm.view.known.noteDigest(message.said, this.nowMs);
   }
 
-  #send(from: Vm, messages: readonly Due[]): void {
+  #send(from: Vm, messages: readonly DueMessage[]): void {
     for (const due of messages) {
       for (const ip of due.ips) {
         const to = this.vms.get(ip);
@@ -161,14 +161,14 @@
         const isLost = this.#random.next() < this.#loss;
         if (isLost || !this.passes(from.record, to.record)) continue;
         const atMs = this.nowMs + (isFar ? FAR_MS : NEAR_MS);
-        const arriving = this.#flying.get(atMs) ?? [];
+        const arriving = this.#inFlight.get(atMs) ?? [];
         arriving.push({ to: ip, message });
-        this.#flying.set(atMs, arriving);
+        this.#inFlight.set(atMs, arriving);
       }
     }
   }
 
-  #message({ record, view }: Vm, due: Due): Sent {
+  #message({ record, view }: Vm, due: DueMessage): Message {
     if (due.type === "report") {
       const said = {
         ...record,
@@ -182,18 +182,18 @@
       return { type: "report", said };
     }
     if (due.type === "roster") {
-      const said = { ...view.tellRegion(this.nowMs, due.withNames), load: {} };
+      const said = { ...view.buildRoster(this.nowMs, due.withNames), load: {} };
       return { type: "roster", said };
     }
     const said = {
-      ...view.tellRegions(this.nowMs, due.to),
+      ...view.buildDigest(this.nowMs, due.toRegion),
       room: { model: { free: 1, queue: 1 } },
     };
     return { type: "digest", said };
   }
 }
 
-function settled(perRegion: number, seed = 1): World {
+function createSettledWorld(perRegion: number, seed = 1): World {
   const world = new World(perRegion, seed);
   world.runUntil(() => world.isSettled(), 10_000);
   world.run(1_000);
@@ -201,7 +201,7 @@
 }
 
 /** Time until no VM of `region` names the address. */
-function goneAfter(world: World, ip: string, region: string): number {
+function waitUntilGone(world: World, ip: string, region: string): number {
   return world.runUntil(
     () =>
       world.in(region).every(({ record, view }) =>
@@ -225,11 +225,11 @@
   for (const perRegion of [3, 24, 64]) {
     it(`stops naming a dead VM soon, with ${perRegion} VMs a region`, (t) => {
       for (const seed of [1, 2, 3]) {
-        const world = settled(perRegion, seed);
+        const world = createSettledWorld(perRegion, seed);
         const dead = world.vms.get("10.0.0.3")!;
         dead.isUp = false;
-        const nearMs = goneAfter(world, dead.record.ip, "north");
-        const farMs = nearMs + goneAfter(world, dead.record.ip, "south");
+        const nearMs = waitUntilGone(world, dead.record.ip, "north");
+        const farMs = nearMs + waitUntilGone(world, dead.record.ip, "south");
         t.true(nearMs <= 1_500, `near: ${nearMs} ms`);
         t.true(farMs <= 3_000, `far: ${farMs} ms`);
       }
@@ -238,9 +238,9 @@
 
   // All leads of a region are lost at once: its VMs must not stay without news, nor forget each other.
   it("has new leads when all are lost at once", (t) => {
-    const world = settled(24);
+    const world = createSettledWorld(24);
     const leads = world.leadsOf("north");
-    t.is(leads.length, LEADS);
+    t.is(leads.length, LEAD_COUNT);
     for (const lead of leads) lead.isUp = false;
     const tookMs = world.runUntil(() => world.isSettledIn("north"), 20_000);
     t.true(tookMs < 4_000, `${tookMs} ms`);
@@ -253,7 +253,7 @@
   });
 
   it("finds the region again when leads and standbys are lost at once", (t) => {
-    const world = settled(24);
+    const world = createSettledWorld(24);
     const [first] = world.in("north");
     for (const { ip } of first.view.order) world.vms.get(ip)!.isUp = false;
     const tookMs = world.runUntil(() => world.isSettledIn("north"), 30_000);
@@ -262,7 +262,7 @@
 
   // A lead freezes and wakes: it has heard nobody for seconds, which says nothing of them.
   it("keeps its VMs through the freeze of a lead", (t) => {
-    const world = settled(24);
+    const world = createSettledWorld(24);
     const [lead] = world.leadsOf("north");
     lead.isFrozen = true;
     world.run(4_000);
@@ -280,20 +280,20 @@
 
   // VMs hear nothing of a lead that hears them: they must take the next one, and not wait for it.
   it("does without a lead that can be reached and not heard", (t) => {
-    const world = settled(24);
+    const world = createSettledWorld(24);
     const [lead] = world.leadsOf("north");
     world.passes = (from) => from.id !== lead.record.id;
     world.run(3_000);
     for (const vm of world.in("north")) {
       if (vm === lead) continue;
       t.false(vm.view.leads.some(({ id }) => id === lead.record.id));
-      t.is(vm.view.leads.length, LEADS);
+      t.is(vm.view.leads.length, LEAD_COUNT);
     }
   });
 
   // Two failure domains of a region can't reach each other: each half goes on, and they are one again afterwards.
   it("goes on in both halves of a cut region, and joins them again", (t) => {
-    const world = settled(24);
+    const world = createSettledWorld(24);
     world.passes = (from, to) =>
       from.region !== "north" || to.region !== "north" ||
       from.failureDomain === to.failureDomain;
@@ -309,7 +309,7 @@
   });
 
   it("goes on in a region that is cut off, and is whole again afterwards", (t) => {
-    const world = settled(24);
+    const world = createSettledWorld(24);
     const isCut = (vm: VmRecord) => vm.region === "north";
     world.passes = (from, to) => isCut(from) === isCut(to);
     world.run(20_000);
@@ -323,7 +323,7 @@
 
   // All VMs are off and on again at once, the seeds among them.
   it("finds itself after all were off", (t) => {
-    const world = settled(24);
+    const world = createSettledWorld(24);
     for (const vm of world.up) vm.isUp = false;
     world.run(1_300);
     for (let i = 0; i < 72; i++) world.start(i);
@@ -333,7 +333,7 @@
   // Without this the control of a large fleet takes what its callers need.
   it("costs a VM no more messages when it grows, and few bytes between regions", (t) => {
     const cost = (perRegion: number) => {
-      const world = settled(perRegion);
+      const world = createSettledWorld(perRegion);
       world.sent = world.farBytes = 0;
       world.run(10_000);
       const vms = world.up.length;
--- a/src/routing/budget.ts
+++ b/src/routing/budget.ts
@@ -5,7 +5,7 @@
  */
 
 /** Bounds of the budget, for all VMs together. */
-export interface RepeatBounds {
+export interface RetryBudgetLimits {
   /** Repeats per request of the service. */
   readonly ratio: number;
   /** Repeats beyond that in each window. */
@@ -24,7 +24,7 @@
 interface Bucket {
   readonly startMs: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
 /**
@@ -32,12 +32,12 @@
  * overload going. Each VM uses the ratio on its own requests and an equal part of the slack, so no message is needed
  * and the sum over all VMs stays below the bound.
  */
-export class RepeatBudget {
-  readonly #bounds: RepeatBounds;
+export class RetryBudget {
+  readonly #limits: RetryBudgetLimits;
   readonly #buckets: Bucket[] = [];
 
-  constructor(bounds: RepeatBounds) {
-    this.#bounds = bounds;
+  constructor(limits: RetryBudgetLimits) {
+    this.#limits = limits;
   }
 
   /** Counts a request's first send. */
@@ -46,38 +46,39 @@
   }
 
   /** Takes one repeat if there is one left; `vms` is how many VMs share the slack. */
-  tryTake(nowMs: number, vms: number): boolean {
-    if (!this.hasOne(nowMs, vms)) return false;
-    this.#bucket(nowMs).repeats++;
+  tryTake(nowMs: number, vmCount: number): boolean {
+    if (!this.canTake(nowMs, vmCount)) return false;
+    this.#bucket(nowMs).retries++;
     return true;
   }
 
-  /** Whether {@link RepeatBudget.tryTake} would succeed. */
-  hasOne(nowMs: number, vms: number): boolean {
+  /** Whether {@link RetryBudget.tryTake} would succeed. */
+  canTake(nowMs: number, vmCount: number): boolean {
     this.#bucket(nowMs);
-    const { ratio, slack } = this.#bounds;
+    const { ratio, slack } = this.#limits;
     let requests = 0;
-    let repeats = 0;
-    for (const held of this.#buckets) {
-      requests += held.requests;
-      repeats += held.repeats;
+    let retries = 0;
+    for (const bucket of this.#buckets) {
+      requests += bucket.requests;
+      retries += bucket.retries;
     }
-    const allowed = USED_SHARE * (ratio * requests + slack / Math.max(1, vms));
-    return repeats + 1 <= allowed;
+    const allowed = USED_SHARE *
+      (ratio * requests + slack / Math.max(1, vmCount));
+    return retries + 1 <= allowed;
   }
 
   #bucket(nowMs: number): Bucket {
     const startMs = Math.floor(nowMs / BUCKET_MS) * BUCKET_MS;
     while (
       this.#buckets.length > 0 &&
-      this.#buckets[0].startMs <= startMs - this.#bounds.windowMs
+      this.#buckets[0].startMs <= startMs - this.#limits.windowMs
     ) {
       this.#buckets.shift();
     }
     const last = this.#buckets.at(-1);
     if (last && last.startMs >= startMs) return last;
-    const fresh = { startMs, requests: 0, repeats: 0 };
-    this.#buckets.push(fresh);
-    return fresh;
+    const bucket = { startMs, requests: 0, retries: 0 };
+    this.#buckets.push(bucket);
+    return bucket;
   }
 }
--- a/src/routing/cold.ts
+++ b/src/routing/cold.ts
@@ -10,7 +10,7 @@
  * Which VM alone may send to a cold upstream. A cold upstream crashes well above a rate that holds for all VMs
  * together; one owner keeps it without a message. While VMs disagree on who is there, two may send.
  */
-export function coldOwner(
+export function selectColdOwner(
   upstreamKey: string,
   vmIds: readonly string[],
 ): string | undefined {
@@ -22,22 +22,22 @@
  * rate and one more each in any second: 1.5 of the rate and two, within the bound of half as much again and three. Two
  * owners of 4.27 a second at the whole rate send ten in a second where 9.4 are allowed.
  */
-const OWNER_SHARE = 0.75;
+const OWNER_RATE_SHARE = 0.75;
 
 /** Sends to one cold upstream, spread evenly: no two closer than the gap of the owner's share of the rate. */
-export class ColdPace {
+export class ColdRateLimiter {
   #nextAtMs = -Infinity;
 
   /** Whether a request may be sent now; if so it is counted. `perS` of 0 sets no limit. */
-  tryTake(nowMs: number, perS: number): boolean {
-    if (perS <= 0) return true;
+  tryTake(nowMs: number, ratePerS: number): boolean {
+    if (ratePerS <= 0) return true;
     if (nowMs < this.#nextAtMs) return false;
-    this.#nextAtMs = nowMs + 1000 / (perS * OWNER_SHARE);
+    this.#nextAtMs = nowMs + 1000 / (ratePerS * OWNER_RATE_SHARE);
     return true;
   }
 
-  /** Whether {@link ColdPace.tryTake} would succeed. */
-  ready(nowMs: number): boolean {
+  /** Whether {@link ColdRateLimiter.tryTake} would succeed. */
+  canTake(nowMs: number): boolean {
     return nowMs >= this.#nextAtMs;
   }
 }
--- a/src/routing/cold_test.ts
+++ b/src/routing/cold_test.ts
@@ -1,13 +1,13 @@
 import { describe, it } from "../base/describe.ts";
-import { ColdPace } from "./mod.ts";
+import { ColdRateLimiter } from "./mod.ts";
 
 /** Most sends in any second of ten, by owners that all try every millisecond. */
-function mostInASecond(owners: number, perS: number): number {
+function maxSendsPerSecond(owners: number, perS: number): number {
   const sentMs: number[] = [];
-  const paces = Array.from({ length: owners }, () => new ColdPace());
+  const limiters = Array.from({ length: owners }, () => new ColdRateLimiter());
   for (let nowMs = 0; nowMs < 10_000; nowMs++) {
-    for (const pace of paces) {
-      if (pace.tryTake(nowMs, perS)) sentMs.push(nowMs);
+    for (const limiter of limiters) {
+      if (limiter.tryTake(nowMs, perS)) sentMs.push(nowMs);
     }
   }
   return Math.max(
@@ -23,12 +23,12 @@
   describe("a cold upstream", () => {
     for (const perS of [1, 2.8, 4.27, 6, 10, 40]) {
       it(`of ${perS} a second bears two owners at once`, (t) => {
-        t.true(mostInASecond(2, perS) <= perS * 1.5 + 3);
+        t.true(maxSendsPerSecond(2, perS) <= perS * 1.5 + 3);
       });
     }
 
     it("gets most of its rate from one owner", (t) => {
-      t.true(mostInASecond(1, 10) >= 7);
+      t.true(maxSendsPerSecond(1, 10) >= 7);
     });
   });
 });
--- a/src/routing/config.ts
+++ b/src/routing/config.ts
@@ -6,7 +6,7 @@
 
 import { hash32 } from "../base/mod.ts";
 import { Workspaces } from "../workspaces/mod.ts";
-import type { CallerLimits, Route, ServiceRow } from "./types.ts";
+import type { CallerLimits, Route, ServiceConfig } from "./types.ts";
 
 const HASH_RANGE = 0x1_0000_0000;
 
@@ -17,7 +17,7 @@
 >;
 
 /** Of a service that no route sends to. */
-const NO_BOUNDS = { objectiveMs: 1_000, eventGapMs: 0, timeoutMs: 10_000 };
+const DEFAULT_BOUNDS = { objectiveMs: 1_000, eventGapMs: 0, timeoutMs: 10_000 };
 
 /** See the module. */
 export class GatewayConfig {
@@ -27,14 +27,14 @@
   readonly workspaces: Workspaces;
   readonly #byHost = new Map<string, Route[]>();
   /** Regions that some routes to a service are bound to. */
-  readonly #homes = new Map<string, Set<string>>();
+  readonly #homeRegions = new Map<string, Set<string>>();
   readonly #bounds = new Map<string, ServiceBounds>();
-  readonly #services = new Map<string, ServiceRow>();
+  readonly #services = new Map<string, ServiceConfig>();
 
   constructor(
     version: number,
     routes: readonly Route[],
-    services: readonly ServiceRow[],
+    services: readonly ServiceConfig[],
     limits: CallerLimits,
     workspaces: Workspaces = new Workspaces(undefined),
   ) {
@@ -47,10 +47,10 @@
       list.push(route);
       this.#byHost.set(route.host, list);
       for (const { service } of route.targets) {
-        const homes = this.#homes.get(service) ?? new Set();
-        for (const home of route.homeRegions) homes.add(home);
-        this.#homes.set(service, homes);
-        this.#noteBounds(service, route);
+        const regions = this.#homeRegions.get(service) ?? new Set();
+        for (const region of route.homeRegions) regions.add(region);
+        this.#homeRegions.set(service, regions);
+        this.#mergeBounds(service, route);
       }
     }
     for (const list of this.#byHost.values()) {
@@ -59,7 +59,7 @@
     for (const service of services) this.#services.set(service.name, service);
   }
 
-  #noteBounds(
+  #mergeBounds(
     service: string,
     { objectiveMs, eventGapMs, timeoutMs }: Route,
   ): void {
@@ -82,19 +82,19 @@
 
   /** Whether some requests of a service are bound to a region. */
   isHomeOf(service: string, region: string): boolean {
-    return this.#homes.get(service)?.has(region) ?? false;
+    return this.#homeRegions.get(service)?.has(region) ?? false;
   }
 
   /** The shortest objective and pause, and the longest time, of the routes to a service. */
   boundsOf(service: string): ServiceBounds {
-    return this.#bounds.get(service) ?? NO_BOUNDS;
+    return this.#bounds.get(service) ?? DEFAULT_BOUNDS;
   }
 
-  service(name: string): ServiceRow | undefined {
+  service(name: string): ServiceConfig | undefined {
     return this.#services.get(name);
   }
 
-  services(): Iterable<ServiceRow> {
+  services(): Iterable<ServiceConfig> {
     return this.#services.values();
   }
 }
@@ -102,10 +102,10 @@
 /** Which service of a route serves an attempt: by the targets' weights, the same for an attempt on every VM. */
 export function chooseService(route: Route, attemptId: string): string {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
-  let at = hash32(attemptId) / HASH_RANGE * total;
+  let point = hash32(attemptId) / HASH_RANGE * total;
   for (const { service, weight } of route.targets) {
-    if (at < weight) return service;
-    at -= weight;
+    if (point < weight) return service;
+    point -= weight;
   }
   return route.targets[0].service;
 }
--- a/src/routing/directory.ts
+++ b/src/routing/directory.ts
@@ -5,7 +5,7 @@
  */
 
 /** A VM as the directory sees it. */
-export interface NamedVm {
+export interface DirectoryVm {
   readonly ip: string;
   readonly region: string;
   /** Whether it takes requests and is not being stopped. */
@@ -15,22 +15,22 @@
 }
 
 /** Callers keep an answer for a second, some for three; a request that they send then must still end. */
-const LEAST_SERVES_MS = 3_000;
+const MIN_SERVES_MS = 3_000;
 
 /**
  * The VMs that callers of a region should use: those of the region, since bodies bound to a home may not pass through
  * others. While all of them are being stopped in turn, the one that serves longest is named before another region's; those
  * come only when nobody of the region is there.
  */
-export function nameVms<V extends NamedVm>(
+export function selectVms<V extends DirectoryVm>(
   vms: readonly V[],
   region: string,
 ): V[] {
-  const near = vms.filter((vm) => vm.region === region);
-  const ready = near.filter(({ isReady }) => isReady);
+  const inRegion = vms.filter((vm) => vm.region === region);
+  const ready = inRegion.filter(({ isReady }) => isReady);
   if (ready.length > 0) return ready;
-  const leaving = near.filter(({ servesMs }) => servesMs >= LEAST_SERVES_MS)
+  const draining = inRegion.filter(({ servesMs }) => servesMs >= MIN_SERVES_MS)
     .sort((a, b) => b.servesMs - a.servesMs);
-  if (leaving.length > 0) return leaving.slice(0, 1);
+  if (draining.length > 0) return draining.slice(0, 1);
   return vms.filter(({ isReady }) => isReady);
 }
--- a/src/routing/engine_pace_test.ts
+++ b/src/routing/engine_pace_test.ts
@@ -3,13 +3,13 @@
 import { EnginePace } from "./mod.ts";
 
 /** An engine's make: prompt tokens read in a ms, gaps of a stream beside no reading and beside uninterrupted reading. */
-interface Make {
+interface EngineModel {
   readonly readPerMs: number;
   readonly quietGapMs: number;
   readonly busyGapMs: number;
 }
 
-const MAKES: readonly Make[] = [
+const MODELS: readonly EngineModel[] = [
   { readPerMs: 92, quietGapMs: 30, busyGapMs: 290 },
   { readPerMs: 62, quietGapMs: 45, busyGapMs: 560 },
   { readPerMs: 5, quietGapMs: 200, busyGapMs: 1_500 },
@@ -17,49 +17,53 @@
 ];
 
 /** Shows streams of one make, each time off by up to a fifth. */
-function show(pace: EnginePace, make: Make, streams: number): void {
+function feedStreams(
+  pace: EnginePace,
+  model: EngineModel,
+  streams: number,
+): void {
   const random = new Random(5);
-  const off = (ms: number) => ms * (0.8 + 0.4 * random.next());
+  const addNoise = (ms: number) => ms * (0.8 + 0.4 * random.next());
   for (let i = 0; i < streams; i++) {
-    pace.noteFirstEvent(12_000, off(12_000 / make.readPerMs));
-    pace.noteGap(0, 20, off(make.quietGapMs));
-    pace.noteGap(500_000, 20, off(make.busyGapMs));
+    pace.noteFirstEvent(12_000, addNoise(12_000 / model.readPerMs));
+    pace.noteGap(0, 20, addNoise(model.quietGapMs));
+    pace.noteGap(500_000, 20, addNoise(model.busyGapMs));
   }
 }
 
 describe("routing", () => {
   describe("engine pace", () => {
-    for (const make of MAKES) {
-      it(`is learned of engines that read ${make.readPerMs} tokens a ms`, (t) => {
+    for (const model of MODELS) {
+      it(`is learned of engines that read ${model.readPerMs} tokens a ms`, (t) => {
         const pace = new EnginePace();
-        show(pace, make, 1_000);
-        const readMs = 12_000 / make.readPerMs;
+        feedStreams(pace, model, 1_000);
+        const readMs = 12_000 / model.readPerMs;
         t.true(Math.abs(pace.readMs(12_000) / readMs - 1) < 0.15);
-        t.true(Math.abs(pace.pauseMs(0) / make.quietGapMs - 1) < 0.15);
-        t.true(Math.abs(pace.pauseMs(1e6) / make.busyGapMs - 1) < 0.3);
+        t.true(Math.abs(pace.maxGapMs(0) / model.quietGapMs - 1) < 0.15);
+        t.true(Math.abs(pace.maxGapMs(1e6) / model.busyGapMs - 1) < 0.3);
       });
     }
 
     it("follows engines that become half as fast", (t) => {
       const pace = new EnginePace();
-      show(pace, MAKES[1], 200);
-      const half = { readPerMs: 31, quietGapMs: 90, busyGapMs: 1_100 };
-      show(pace, half, 200);
+      feedStreams(pace, MODELS[1], 200);
+      const halfSpeed = { readPerMs: 31, quietGapMs: 90, busyGapMs: 1_100 };
+      feedStreams(pace, halfSpeed, 200);
       t.true(Math.abs(pace.readMs(31_000) / 1_000 - 1) < 0.15);
-      t.true(pace.pauseMs(1e6) > 900);
+      t.true(pace.maxGapMs(1e6) > 900);
     });
 
     // One engine hangs, another says at once that it has read a prompt that it kept: neither tells the service's pace.
     it("does not believe an engine that stops or lies", (t) => {
       const pace = new EnginePace();
-      show(pace, MAKES[1], 200);
-      const before = pace.pauseMs(20_000);
+      feedStreams(pace, MODELS[1], 200);
+      const before = pace.maxGapMs(20_000);
       for (let i = 0; i < 50; i++) {
         pace.noteFirstEvent(12_000, 1);
         pace.noteFirstEvent(12_000, 30_000);
         pace.noteGap(0, 20, 5_000);
       }
-      t.true(Math.abs(pace.pauseMs(20_000) / before - 1) < 0.01);
+      t.true(Math.abs(pace.maxGapMs(20_000) / before - 1) < 0.01);
     });
 
     it("tells beside how many requests an event takes a time", (t) => {
@@ -69,17 +73,20 @@
         const running = 5 + random.int(50);
         pace.noteGap(0, running, 25 + 0.3 * running);
       }
-      t.true(Math.abs(pace.runningAt(37) - 40) < 6, `${pace.runningAt(37)}`);
+      t.true(
+        Math.abs(pace.runningAtGap(37) - 40) < 6,
+        `${pace.runningAtGap(37)}`,
+      );
     });
 
     it("predicts a pause that grows with what is read, up to that of an engine that reads on and on", (t) => {
       const pace = new EnginePace();
-      show(pace, MAKES[1], 200);
+      feedStreams(pace, MODELS[1], 200);
       const pauses = [0, 4_000, 12_000, 24_000, 100_000].map((tokens) =>
-        pace.pauseMs(tokens)
+        pace.maxGapMs(tokens)
       );
       t.deepEqual(pauses, [...pauses].sort((a, b) => a - b));
-      t.is(pace.pauseMs(100_000), pace.pauseMs(1_000_000));
+      t.is(pace.maxGapMs(100_000), pace.maxGapMs(1_000_000));
     });
   });
 });
--- a/src/routing/fleet.ts
+++ b/src/routing/fleet.ts
@@ -16,7 +16,7 @@
 }
 
 /** Whether an upstream's entry says anything else than the one before, its cold time aside. */
-export function isNewsOf(
+export function hasChanged(
   before: UpstreamRecord,
   after: UpstreamRecord,
 ): boolean {
@@ -26,7 +26,7 @@
     before.slots !== after.slots || before.state !== after.state;
 }
 
-/** See the module. Holds the entries as they were last read; {@link Fleet.of} lists what may be sent to. */
+/** See the module. Holds the entries as they were last read; {@link Fleet.usableIn} lists what may be sent to. */
 export class Fleet {
   readonly #byId = new Map<string, KnownUpstream>();
   #byService = new Map<string, KnownUpstream[]>();
@@ -48,7 +48,7 @@
         region,
         coldUntilMs: nowMs + record.coldLeftMs,
       });}
-    this.#index();
+    this.#rebuildIndex();
     return before;
   }
 
@@ -56,7 +56,7 @@
   delete(id: string): KnownUpstream | undefined {
     const before = this.#byId.get(id);
     this.#byId.delete(id);
-    this.#index();
+    this.#rebuildIndex();
     return before;
   }
 
@@ -74,22 +74,22 @@
   }
 
   /** The upstreams of a service in a region that may be sent requests now: neither leaving nor evacuated. */
-  of(service: string, region: string): KnownUpstream[] {
-    return this.ofRegions(service, (name) => name === region);
+  usableIn(service: string, region: string): KnownUpstream[] {
+    return this.usableInRegions(service, (name) => name === region);
   }
 
   /** The upstreams of a service in some regions that may be sent requests now. */
-  ofRegions(
+  usableInRegions(
     service: string,
     isAllowed: (region: string) => boolean,
   ): KnownUpstream[] {
     return (this.#byService.get(service) ?? []).filter((upstream) =>
-      isAllowed(upstream.region) && this.mayUse(upstream)
+      isAllowed(upstream.region) && this.canUse(upstream)
     );
   }
 
   /** Whether an upstream is still the one that is known, and may be sent requests. */
-  mayUse(upstream: KnownUpstream): boolean {
+  canUse(upstream: KnownUpstream): boolean {
     return this.#byId.get(upstream.id)?.key === upstream.key &&
       this.#byId.get(upstream.id)?.state === "ready" &&
       !this.#evacuated.has(upstream.failureDomain);
@@ -102,7 +102,7 @@
     };
   }
 
-  #index(): void {
+  #rebuildIndex(): void {
     this.#byService = new Map();
     for (const upstream of this.#byId.values()) {
       const list = this.#byService.get(upstream.service) ?? [];
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -20,13 +20,13 @@
 /** First time set aside after a lost connection; a restart takes about this long, and a probe is one request. */
 const LOST_ASIDE_MS = 400;
 /** Longest time set aside: an entry lapses after about four seconds, so what is back by then must be tried. */
-const MOST_ASIDE_MS = 2_000;
+const MAX_ASIDE_MS = 2_000;
 /** An upstream that was replaced never comes back; its entry lapses within this time. */
 const REPLACED_ASIDE_MS = 5_000;
 /** After a refusal for want of room, others are tried first for as long as a few requests take to finish. */
 const SHED_ASIDE_MS = 100;
 /** Time between single requests to an upstream that has answered nothing since it was set aside. */
-const PROBE_GAP_MS = 500;
+const PROBE_INTERVAL_MS = 500;
 /** Weight of one outcome in the share of failures: the last ten or so decide. */
 const FAILURE_WEIGHT = 0.1;
 /** Above this share of failures an upstream is used only after the others. Plain services fail up to 0.14 when well. */
@@ -38,27 +38,27 @@
   #asideMs = LOST_ASIDE_MS;
   #failureShare = 0;
   /** Whether it has answered nothing since it was last set aside. */
-  #onProbation = false;
-  #sentMs = -Infinity;
+  #isProbing = false;
+  #lastSentMs = -Infinity;
 
   /** Notes that a request was sent. */
   noteSend(nowMs: number): void {
-    this.#sentMs = nowMs;
+    this.#lastSentMs = nowMs;
   }
 
   /** Notes the outcome of a send. */
-  note(outcome: SendOutcome, nowMs: number): void {
+  noteOutcome(outcome: SendOutcome, nowMs: number): void {
     if (outcome === "replaced") {
       this.#asideUntilMs = nowMs + REPLACED_ASIDE_MS;
       return;
     }
     if (outcome === "lost") {
       this.#asideUntilMs = nowMs + this.#asideMs;
-      this.#asideMs = Math.min(MOST_ASIDE_MS, this.#asideMs * 2);
-      this.#onProbation = true;
+      this.#asideMs = Math.min(MAX_ASIDE_MS, this.#asideMs * 2);
+      this.#isProbing = true;
       return;
     }
-    this.#onProbation = false;
+    this.#isProbing = false;
     this.#asideMs = LOST_ASIDE_MS;
     if (outcome === "shed") this.#asideUntilMs = nowMs + SHED_ASIDE_MS;
     const failed = outcome === "failed" ? 1 : 0;
@@ -68,7 +68,7 @@
   /** Whether it is set aside now. What comes back gets one request at a time until it has answered one. */
   isAside(nowMs: number): boolean {
     return nowMs < this.#asideUntilMs ||
-      (this.#onProbation && nowMs - this.#sentMs < PROBE_GAP_MS);
+      (this.#isProbing && nowMs - this.#lastSentMs < PROBE_INTERVAL_MS);
   }
 
   /** Whether it fails so often that others come first. */
--- a/src/routing/move.ts
+++ b/src/routing/move.ts
@@ -18,21 +18,21 @@
 }
 
 /** Fewer events than this are over before a move has paid. */
-const LEAST_EVENTS_LEFT = 4;
+const MIN_EVENTS_LEFT = 4;
 /** Share of the allowed pause above which a stream is better off elsewhere; the move itself takes part of the rest. */
-const PRESSED_SHARE = 0.5;
+const MIN_MOVE_GAP_SHARE = 0.5;
 /** Share of the allowed pause below which an engine is calm enough to take a stream. */
-const CALM_SHARE = 0.3;
+const MAX_TARGET_GAP_SHARE = 0.3;
 /** Share of its slots up to which an engine takes streams of others. */
-const TAKING_SHARE = 0.75;
+const MAX_TARGET_SLOT_SHARE = 0.75;
 
 /** Whether a stream's next event may come late where it runs, and enough is left of it to leave. */
-export function isPressed(
+export function shouldMove(
   { waitingTokens, eventsLeft, eventGapMs }: RunningStream,
   pace: EnginePace,
 ): boolean {
-  return pace.canExceed(eventGapMs) && eventsLeft >= LEAST_EVENTS_LEFT &&
-    pace.pauseMs(waitingTokens) >= eventGapMs * PRESSED_SHARE;
+  return pace.canExceedGap(eventGapMs) && eventsLeft >= MIN_EVENTS_LEFT &&
+    pace.maxGapMs(waitingTokens) >= eventGapMs * MIN_MOVE_GAP_SHARE;
 }
 
 /**
@@ -41,22 +41,23 @@
  * memory of a run is copied in some ten ms, so the stream pauses less than it would beside one long prompt. `draw` in
  * [0, 1) spreads the streams over the calmer half of the engines.
  */
-export function moveTarget<C extends StepCandidate>(
+export function selectMoveTarget<C extends StepCandidate>(
   stream: RunningStream,
   others: readonly C[],
   pace: EnginePace,
   draw: number,
 ): C | undefined {
-  if (!isPressed(stream, pace)) return undefined;
-  const calm = others.filter((other) =>
-    !other.aside && !other.doubtful && other.paced &&
-    other.running < other.slots * TAKING_SHARE &&
-    pace.pauseMs(other.waitingTokens) < stream.eventGapMs * CALM_SHARE
+  if (!shouldMove(stream, pace)) return undefined;
+  const targets = others.filter((other) =>
+    !other.isAside && !other.isDoubtful && other.isWithinColdRate &&
+    other.running < other.slots * MAX_TARGET_SLOT_SHARE &&
+    pace.maxGapMs(other.waitingTokens) <
+      stream.eventGapMs * MAX_TARGET_GAP_SHARE
   );
-  calm.sort((a, b) =>
-    a.running + pace.pauseMs(a.waitingTokens) -
-    b.running - pace.pauseMs(b.waitingTokens)
+  targets.sort((a, b) =>
+    a.running + pace.maxGapMs(a.waitingTokens) -
+    b.running - pace.maxGapMs(b.waitingTokens)
   );
   // All streams of an engine leave it at once, and VMs do not know yet where the others' go.
-  return calm[Math.floor(draw * Math.ceil(calm.length / 2))];
+  return targets[Math.floor(draw * Math.ceil(targets.length / 2))];
 }
--- a/src/routing/move_test.ts
+++ b/src/routing/move_test.ts
@@ -1,11 +1,14 @@
 import { describe, it } from "../base/describe.ts";
 import { hash32 } from "../base/mod.ts";
-import { EnginePace, moveTarget, type StepCandidate } from "./mod.ts";
+import { EnginePace, selectMoveTarget, type StepCandidate } from "./mod.ts";
 
 const pace = new EnginePace();
 for (let i = 0; i < 50; i++) pace.noteGap(500_000, 20, 900);
 
-function engine(key: string, more: Partial<StepCandidate> = {}): StepCandidate {
+function engine(
+  key: string,
+  overrides: Partial<StepCandidate> = {},
+): StepCandidate {
   return {
     key,
     hash: hash32(key),
@@ -14,24 +17,27 @@
     waitingTokens: 0,
     slots: 64,
     unreadTokens: 0,
-    doubtful: false,
-    suspects: 0,
-    aside: false,
-    paced: true,
-    ...more,
+    isDoubtful: false,
+    suspectCount: 0,
+    isAside: false,
+    isWithinColdRate: true,
+    ...overrides,
   };
 }
 
-const beside = { waitingTokens: 60_000, eventsLeft: 30, eventGapMs: 600 };
+const slowStream = { waitingTokens: 60_000, eventsLeft: 30, eventGapMs: 600 };
 
 describe("routing", () => {
   // A prompt of 60,000 tokens is read for a second. Every stream beside it pauses longer than is allowed, all along.
   describe("move of a stream", () => {
     it("leaves an engine that reads a long prompt for one that does not", (t) => {
-      t.is(moveTarget(beside, [engine("calm")], pace, 0)?.key, "calm");
+      t.is(
+        selectMoveTarget(slowStream, [engine("calm")], pace, 0)?.key,
+        "calm",
+      );
     });
 
-    const stays: [string, Partial<typeof beside>, StepCandidate[]][] = [
+    const stayCases: [string, Partial<typeof slowStream>, StepCandidate[]][] = [
       ["nothing is read", { waitingTokens: 0 }, [engine("calm")]],
       ["a short prompt is read", { waitingTokens: 2_000 }, [engine("calm")]],
       ["it is about to end", { eventsLeft: 2 }, [engine("calm")]],
@@ -41,23 +47,26 @@
       ]],
       ["the others are full", {}, [engine("full", { running: 60 })]],
       ["the others fail or are cold", {}, [
-        engine("failing", { doubtful: true }),
-        engine("lost", { aside: true }),
-        engine("cold", { paced: false }),
+        engine("failing", { isDoubtful: true }),
+        engine("lost", { isAside: true }),
+        engine("cold", { isWithinColdRate: false }),
       ]],
     ];
-    for (const [when, stream, others] of stays) {
+    for (const [when, stream, others] of stayCases) {
       it(`does not happen when ${when}`, (t) => {
-        t.is(moveTarget({ ...beside, ...stream }, others, pace, 0), undefined);
+        t.is(
+          selectMoveTarget({ ...slowStream, ...stream }, others, pace, 0),
+          undefined,
+        );
       });
     }
 
     // These engines read on and on and their streams still keep within the pause: a move would only cost.
     it("does not happen at engines whose streams never pause too long", (t) => {
-      const quick = new EnginePace();
-      for (let i = 0; i < 500; i++) quick.noteGap(500_000, 20, 290);
-      const stream = { ...beside, eventGapMs: 300 };
-      t.is(moveTarget(stream, [engine("calm")], quick, 0), undefined);
+      const fastPace = new EnginePace();
+      for (let i = 0; i < 500; i++) fastPace.noteGap(500_000, 20, 290);
+      const stream = { ...slowStream, eventGapMs: 300 };
+      t.is(selectMoveTarget(stream, [engine("calm")], fastPace, 0), undefined);
     });
 
     // Forty streams leave one engine in the same moment; no count shows yet where the first of them went.
@@ -68,7 +77,8 @@
       const used = new Set(
         Array.from(
           { length: 40 },
-          (_, i) => moveTarget(beside, [...others], pace, i / 40)?.key,
+          (_, i) =>
+            selectMoveTarget(slowStream, [...others], pace, i / 40)?.key,
         ),
       );
       t.deepEqual([...used].sort(), ["e3", "e5", "e8"]);
--- a/src/routing/part_holders_test.ts
+++ b/src/routing/part_holders_test.ts
@@ -1,50 +1,53 @@
 import { describe, it } from "../base/describe.ts";
 import { PartHolders } from "./mod.ts";
 
-const BOOK = [{ id: "all", tokens: 500 }, { id: "book", tokens: 4_800 }];
+const SHARED_PARTS = [{ id: "all", tokens: 500 }, {
+  id: "book",
+  tokens: 4_800,
+}];
 
 describe("routing", () => {
   describe("holders of shared parts", () => {
     it("are the engines that have read them, the latest first", (t) => {
       const holders = new PartHolders();
-      holders.noteRead(BOOK, "a", 0);
-      holders.noteTold(["book", "b"], true, 100);
-      t.deepEqual(holders.holders("book", 200), ["b", "a"]);
+      holders.noteRead(SHARED_PARTS, "a", 0);
+      holders.noteRemoteRead(["book", "b"], true, 100);
+      t.deepEqual(holders.sourcesOf("book", 200), ["b", "a"]);
     });
 
     // An engine that still reads has nothing to copy from: whoever copies from it reads the part again.
     it("are not the engines that were only sent them", (t) => {
       const holders = new PartHolders();
-      holders.noteSent(BOOK, "a", 0);
-      t.deepEqual(holders.holders("book", 100), []);
-      t.is(holders.warmth(BOOK, 100)("a"), 5_300);
-      t.is(holders.warmth(BOOK, 100)("c"), 0);
-      holders.noteRead(BOOK, "a", 200);
-      holders.noteSent(BOOK, "a", 300);
-      t.deepEqual(holders.holders("book", 400), ["a"]);
+      holders.noteSent(SHARED_PARTS, "a", 0);
+      t.deepEqual(holders.sourcesOf("book", 100), []);
+      t.is(holders.cachedPrefixTokens(SHARED_PARTS, 100)("a"), 5_300);
+      t.is(holders.cachedPrefixTokens(SHARED_PARTS, 100)("c"), 0);
+      holders.noteRead(SHARED_PARTS, "a", 200);
+      holders.noteSent(SHARED_PARTS, "a", 300);
+      t.deepEqual(holders.sourcesOf("book", 400), ["a"]);
     });
 
     it("hold a part with all before it, and no other that begins like it", (t) => {
       const holders = new PartHolders();
-      holders.noteTold(["book", "b"], true, 0);
-      holders.noteTold(["all", "c"], true, 0);
-      t.is(holders.warmth(BOOK, 0)("b"), 5_300);
-      t.is(holders.warmth(BOOK, 0)("c"), 500);
+      holders.noteRemoteRead(["book", "b"], true, 0);
+      holders.noteRemoteRead(["all", "c"], true, 0);
+      t.is(holders.cachedPrefixTokens(SHARED_PARTS, 0)("b"), 5_300);
+      t.is(holders.cachedPrefixTokens(SHARED_PARTS, 0)("c"), 500);
     });
 
     it("are forgotten after the time in which caches turn over", (t) => {
       const holders = new PartHolders();
-      holders.noteRead(BOOK, "a", 0);
-      t.deepEqual(holders.holders("book", 20_000), []);
+      holders.noteRead(SHARED_PARTS, "a", 0);
+      t.deepEqual(holders.sourcesOf("book", 20_000), []);
     });
 
     // What others told is not told on: it would go round for ever.
     it("are told to others once, for what was read for this VM", (t) => {
       const holders = new PartHolders();
-      holders.noteRead(BOOK, "a", 0);
-      holders.noteTold(["other", "b"], true, 0);
-      t.deepEqual(holders.readWithin(100, 50), [["book", "a"]]);
-      t.deepEqual(holders.readWithin(100, 150), []);
+      holders.noteRead(SHARED_PARTS, "a", 0);
+      holders.noteRemoteRead(["other", "b"], true, 0);
+      t.deepEqual(holders.ownReadsWithin(100, 50), [["book", "a"]]);
+      t.deepEqual(holders.ownReadsWithin(100, 150), []);
     });
 
     it("are bounded in number, in memory and in a message", (t) => {
@@ -52,8 +55,8 @@
       for (let i = 0; i < 10_000; i++) {
         holders.noteRead([{ id: `part${i}`, tokens: 10 }], "a", i / 1_000);
       }
-      t.deepEqual(holders.holders("part0", 10), []);
-      t.is(holders.readWithin(1_000, 10).length, 16);
+      t.deepEqual(holders.sourcesOf("part0", 10), []);
+      t.is(holders.ownReadsWithin(1_000, 10).length, 16);
     });
   });
 });
--- a/src/routing/place.ts
+++ b/src/routing/place.ts
@@ -23,20 +23,20 @@
   /** Prompt tokens of this request that it would have to read. */
   readonly unreadTokens: number;
   /** Whether it fails often or was lost a moment ago. */
-  readonly doubtful: boolean;
+  readonly isDoubtful: boolean;
   /** Requests under which upstreams ended before and that this VM has sent there. */
-  readonly suspects: number;
+  readonly suspectCount: number;
 }
 
 /** What a request is placed by, besides the candidates. */
-export interface PlaceTerms {
+export interface PlacementCriteria {
   /** What is known of the engines' speed. */
   readonly pace: EnginePace;
   /** An answer, or a stream's first event, within this earns its full worth. */
   readonly objectiveMs: number;
   /** The longest pause between a stream's events that is on time; 0 if none is asked for. */
   readonly eventGapMs: number;
-  /** Gap between events at which the answer still ends in time; see {@link endGapMs}. */
+  /** Gap between events at which the answer still ends in time; see {@link computeEndGapMs}. */
   readonly endGapMs: number;
 }
 
@@ -44,9 +44,9 @@
  * Share of the objective that reading what waits at an engine may take; above it a request is better off elsewhere. The
  * rest is for reading the request itself and the steps of a busy batch up to its first event.
  */
-const WAIT_SHARE = 0.4;
+const MAX_WAIT_SHARE = 0.4;
 /** Above this share of its slots an engine's next requests wait; the rest is left for what other VMs send meanwhile. */
-const FULL_SHARE = 0.9;
+const MAX_SLOT_SHARE = 0.9;
 /** Share of an answer's time in which its engine generates; in the rest it reads others' prompts. */
 const GENERATING_SHARE = 0.45;
 /**
@@ -55,7 +55,7 @@
  */
 const READ_WEIGHT = 3;
 /** What one more running request costs the ones beside it and itself: this share of the gap between two events. */
-const COMPANY_SHARE = 0.05;
+const CONCURRENCY_COST_SHARE = 0.05;
 /**
  * What separates the first preference from the last, in ms of delay: less than one more request costs. VMs that hear
  * nobody, as after a start or a cut, see the same idle engines; in one order all would send their first prompts to one.
@@ -63,12 +63,12 @@
 const PREFERENCE_MS = 1;
 const HASH_RANGE = 0x1_0000_0000;
 /** Share of the allowed pause below which reading does a stream no harm. */
-const HARMLESS_SHARE = 0.4;
+const HARMLESS_GAP_SHARE = 0.4;
 /**
  * What a stream that comes to pause too long costs, in ms of delay of the request that is placed. A long prompt passes
  * by an engine with 15 streams if another one can read it within 0.3 s more.
  */
-const HARM_MS = 20;
+const LATE_STREAM_COST_MS = 20;
 
 /** What ties a request to an engine. */
 export interface Affinity {
@@ -91,33 +91,39 @@
  * The gap between events, while nothing is read, at which an answer of `events` ends within `timeoutMs`. Beside more
  * requests than give this gap a long answer misses its deadline, and an engine elsewhere serves it better.
  */
-export function endGapMs(timeoutMs: number, events: number): number {
+export function computeEndGapMs(timeoutMs: number, events: number): number {
   return timeoutMs * GENERATING_SHARE / Math.max(1, events);
 }
 
 /** Requests that may run at a candidate beside one more, so that it is served as it should. */
-export function comfortableSlots(
+export function usableSlots(
   { slots }: Pick<Candidate, "slots">,
-  { pace, endGapMs }: PlaceTerms,
+  { pace, endGapMs }: PlacementCriteria,
 ): number {
-  const usable = Math.max(1, slots * FULL_SHARE);
-  return Math.min(usable, Math.max(1, pace.runningAt(endGapMs)));
+  const usable = Math.max(1, slots * MAX_SLOT_SHARE);
+  return Math.min(usable, Math.max(1, pace.runningAtGap(endGapMs)));
 }
 
 /** Whether a candidate can start a request about at once, and end it in time. */
-export function hasRoom(candidate: Candidate, terms: PlaceTerms): boolean {
-  return candidate.running < comfortableSlots(candidate, terms) &&
-    terms.pace.readMs(candidate.waitingTokens) <
-      terms.objectiveMs * WAIT_SHARE;
+export function hasRoom(
+  candidate: Candidate,
+  criteria: PlacementCriteria,
+): boolean {
+  return candidate.running < usableSlots(candidate, criteria) &&
+    criteria.pace.readMs(candidate.waitingTokens) <
+      criteria.objectiveMs * MAX_WAIT_SHARE;
 }
 
 /** How far a stream beside that much reading is from being on time, from 0 for not at all to 1 for late. */
-function harm({ pace, eventGapMs }: PlaceTerms, waitingTokens: number): number {
-  if (!pace.canExceed(eventGapMs)) return 0;
-  const share = pace.pauseMs(waitingTokens) / eventGapMs;
+function estimateLateness(
+  { pace, eventGapMs }: PlacementCriteria,
+  waitingTokens: number,
+): number {
+  if (!pace.canExceedGap(eventGapMs)) return 0;
+  const share = pace.maxGapMs(waitingTokens) / eventGapMs;
   return Math.min(
     1,
-    Math.max(0, share - HARMLESS_SHARE) / (1 - HARMLESS_SHARE),
+    Math.max(0, share - HARMLESS_GAP_SHARE) / (1 - HARMLESS_GAP_SHARE),
   );
 }
 
@@ -125,16 +131,17 @@
 function costMs(
   { running, slots, waitingTokens, preference }: Candidate,
   unreadTokens: number,
-  terms: PlaceTerms,
+  criteria: PlacementCriteria,
 ): number {
-  const { pace } = terms;
+  const { pace } = criteria;
   const waitMs = pace.readMs(waitingTokens);
   const readMs = pace.readMs(unreadTokens) * READ_WEIGHT;
-  const harmMs = HARM_MS * running *
-    (harm(terms, waitingTokens + unreadTokens) - harm(terms, waitingTokens));
-  const overMs = Math.max(0, running - slots) * 10;
-  const companyMs = running * pace.pauseMs(0) * COMPANY_SHARE;
-  return waitMs + readMs + harmMs + overMs + companyMs +
+  const latenessMs = LATE_STREAM_COST_MS * running *
+    (estimateLateness(criteria, waitingTokens + unreadTokens) -
+      estimateLateness(criteria, waitingTokens));
+  const overloadMs = Math.max(0, running - slots) * 10;
+  const concurrencyMs = running * pace.maxGapMs(0) * CONCURRENCY_COST_SHARE;
+  return waitMs + readMs + latenessMs + overloadMs + concurrencyMs +
     preference * PREFERENCE_MS;
 }
 
@@ -150,11 +157,11 @@
 ): C | undefined {
   const hash = hash32(affinity);
   let home: C | undefined;
-  let most = -1;
+  let highest = -1;
   for (const candidate of candidates) {
     const weight = mix32(hash, candidate.hash);
-    if (weight <= most) continue;
-    most = weight;
+    if (weight <= highest) continue;
+    highest = weight;
     home = candidate;
   }
   return home;
@@ -166,27 +173,27 @@
  * leaves its home only when the wait there exceeds what reading it again costs everybody. Doubtful upstreams come last,
  * and are still used if nothing else is there.
  */
-export function rank<C extends Candidate>(
+export function rankCandidates<C extends Candidate>(
   candidates: readonly C[],
   affinity: Affinity | undefined,
-  terms: PlaceTerms,
+  criteria: PlacementCriteria,
 ): C[] {
-  const sound = candidates.filter(({ doubtful }) => !doubtful);
+  const sound = candidates.filter(({ isDoubtful }) => !isDoubtful);
   const home = affinity && homeOf(sound, affinity.id);
-  const homeTokens = affinity?.ownTokens ?? 0;
+  const ownTokens = affinity?.ownTokens ?? 0;
   return candidates
     .map((candidate) => ({
       candidate,
       cost: costMs(
         candidate,
         candidate === home
-          ? Math.min(homeTokens, candidate.unreadTokens)
+          ? Math.min(ownTokens, candidate.unreadTokens)
           : candidate.unreadTokens,
-        terms,
+        criteria,
       ),
     }))
     .sort((a, b) =>
-      Number(a.candidate.doubtful) - Number(b.candidate.doubtful) ||
+      Number(a.candidate.isDoubtful) - Number(b.candidate.isDoubtful) ||
       a.cost - b.cost
     )
     .map(({ candidate }) => candidate);
@@ -196,15 +203,18 @@
  * Orders candidates for a request under which upstreams ended: apart from other suspects, so that the next end tells them
  * apart, then where fewest others would lose their streams.
  */
-export function byHarm<C extends Candidate>(candidates: readonly C[]): C[] {
+export function rankForSuspect<C extends Candidate>(
+  candidates: readonly C[],
+): C[] {
   return [...candidates].sort((a, b) =>
-    Number(a.doubtful) - Number(b.doubtful) || a.suspects - b.suspects ||
+    Number(a.isDoubtful) - Number(b.isDoubtful) ||
+    a.suspectCount - b.suspectCount ||
     a.running - b.running || a.preference - b.preference
   );
 }
 
 /** Shared tokens of a prompt from which fetching them from another engine is worth the call. */
-const LEAST_FETCH_TOKENS = 1_000;
+const MIN_FETCH_TOKENS = 1_000;
 
 /**
  * The engine that a request's engine should copy the prompt's shared parts from: the prompt's home in the region if it
@@ -213,27 +223,27 @@
  * it may have given them up. Each prompt is then read once in the whole system; copying a token takes a tenth of the time
  * of reading it, and holds up nobody's stream. `holdersOf` lists the engines that have read a part, the latest first.
  */
-export function fetchSource<
+export function selectFetchSource<
   C extends Pick<Candidate, "key" | "hash"> & { readonly region: string },
 >(
   target: Pick<C, "key" | "region">,
-  everywhere: readonly C[],
+  engines: readonly C[],
   parts: readonly PromptPart[],
   holdersOf: (partId: string) => readonly string[],
 ): C | undefined {
   const affinity = affinityOf(parts);
   const sharedTokens = parts.slice(0, -1)
     .reduce((sum, { tokens }) => sum + tokens, 0);
-  if (!affinity || sharedTokens < LEAST_FETCH_TOKENS) return undefined;
-  const near = everywhere.filter(({ region }) => region === target.region);
-  const nearHome = homeOf(near, affinity.id);
-  const keys = holdersOf(affinity.id).filter((key) => key !== target.key);
-  if (nearHome && keys.includes(nearHome.key)) return nearHome;
-  for (const key of keys) {
-    const holder = everywhere.find((engine) => engine.key === key);
+  if (!affinity || sharedTokens < MIN_FETCH_TOKENS) return undefined;
+  const inRegion = engines.filter(({ region }) => region === target.region);
+  const regionHome = homeOf(inRegion, affinity.id);
+  const holderKeys = holdersOf(affinity.id).filter((key) => key !== target.key);
+  if (regionHome && holderKeys.includes(regionHome.key)) return regionHome;
+  for (const key of holderKeys) {
+    const holder = engines.find((engine) => engine.key === key);
     if (holder) return holder;
   }
-  if (nearHome && nearHome.key !== target.key) return nearHome;
-  const home = homeOf(everywhere, affinity.id);
+  if (regionHome && regionHome.key !== target.key) return regionHome;
+  const home = homeOf(engines, affinity.id);
   return home?.key === target.key ? undefined : home;
 }
--- a/src/routing/place_load_test.ts
+++ b/src/routing/place_load_test.ts
@@ -5,22 +5,22 @@
   type Candidate,
   EnginePace,
   preferenceOf,
-  rank,
+  rankCandidates,
 } from "./mod.ts";
 
 /** One engine of the load below: reads prompts one after the other and keeps the parts that it read last. */
-class ModelEngine {
-  readonly kept = new Map<string, number>();
+class SimulatedEngine {
+  readonly cached = new Map<string, number>();
   freeAtMs = 0;
   waiting: { untilMs: number; tokens: number }[] = [];
 }
 
 const SHARED_TOKENS = 6_300;
 const OWN_TOKENS = 2_890;
-const KEPT_PROMPTS = 40;
+const CACHED_PROMPTS = 40;
 const READ_PER_MS = 91.8;
 
-const TERMS = {
+const CRITERIA = {
   pace: new EnginePace(),
   objectiveMs: 800,
   eventGapMs: 300,
@@ -28,25 +28,25 @@
 };
 
 /** Plays `perS` long prompts a second over 100 subjects on 6 engines for 30 s; answers with the share that starts in time. */
-function playPrompts(
+function simulatePrompts(
   perS: number,
   choose: (engines: readonly Candidate[], subject: string) => string,
 ): number {
   const random = new Random(7);
   const engines = new Map(
-    Array.from({ length: 6 }, (_, i) => [`e${i}`, new ModelEngine()]),
+    Array.from({ length: 6 }, (_, i) => [`e${i}`, new SimulatedEngine()]),
   );
   let inTime = 0;
-  let asked = 0;
+  let total = 0;
   for (
     let nowMs = 0;
     nowMs < 30_000;
     nowMs += random.exponential(1000 / perS)
   ) {
     const subject = `subject-${random.int(100)}`;
-    const seen = [...engines].map(([key, engine]) => {
+    const candidates = [...engines].map(([key, engine]) => {
       engine.waiting = engine.waiting.filter(({ untilMs }) => untilMs > nowMs);
-      const isWarm = engine.kept.has(subject);
+      const isWarm = engine.cached.has(subject);
       return {
         key,
         hash: hash32(key),
@@ -58,59 +58,60 @@
           0,
         ),
         unreadTokens: OWN_TOKENS + (isWarm ? 0 : SHARED_TOKENS),
-        doubtful: false,
-        suspects: 0,
+        isDoubtful: false,
+        suspectCount: 0,
       };
     });
-    const engine = engines.get(choose(seen, subject))!;
-    const tokens = OWN_TOKENS + (engine.kept.has(subject) ? 0 : SHARED_TOKENS);
-    engine.kept.delete(subject);
-    engine.kept.set(subject, nowMs);
-    if (engine.kept.size > KEPT_PROMPTS) {
-      engine.kept.delete(
-        engine.kept.keys().next().value!,
+    const engine = engines.get(choose(candidates, subject))!;
+    const tokens = OWN_TOKENS +
+      (engine.cached.has(subject) ? 0 : SHARED_TOKENS);
+    engine.cached.delete(subject);
+    engine.cached.set(subject, nowMs);
+    if (engine.cached.size > CACHED_PROMPTS) {
+      engine.cached.delete(
+        engine.cached.keys().next().value!,
       );
     }
     engine.freeAtMs = Math.max(engine.freeAtMs, nowMs) + tokens / READ_PER_MS;
     engine.waiting.push({ untilMs: engine.freeAtMs, tokens });
-    asked++;
+    total++;
     if (engine.freeAtMs - nowMs <= 700) inTime++;
   }
-  return inTime / asked;
+  return inTime / total;
 }
 
 /**
  * The most requests that one engine gets of those that VMs place which know only of their own, all at once; as a multiple
  * of the mean.
  */
-function playStrangers(
+function simulateIsolatedVms(
   preference: (vm: number, engineHash: number) => number,
   requests: number,
   promptTokens: number,
 ): number {
   const keys = Array.from({ length: 19 }, (_, i) => `engine-${i}`);
-  const got = new Map(keys.map((key) => [key, 0]));
+  const sentByEngine = new Map(keys.map((key) => [key, 0]));
   const vms = 22;
   for (let vm = 0; vm < vms; vm++) {
-    const own = new Map<string, number>();
+    const ownByEngine = new Map<string, number>();
     for (let request = 0; request < requests; request++) {
-      const seen = keys.map((key) => ({
+      const candidates = keys.map((key) => ({
         key,
         hash: hash32(key),
         preference: preference(vm, hash32(key)),
         slots: 64,
-        running: own.get(key) ?? 0,
-        waitingTokens: (own.get(key) ?? 0) * promptTokens,
+        running: ownByEngine.get(key) ?? 0,
+        waitingTokens: (ownByEngine.get(key) ?? 0) * promptTokens,
         unreadTokens: promptTokens,
-        doubtful: false,
-        suspects: 0,
+        isDoubtful: false,
+        suspectCount: 0,
       }));
-      const [{ key }] = rank(seen, undefined, TERMS);
-      own.set(key, (own.get(key) ?? 0) + 1);
-      got.set(key, got.get(key)! + 1);
+      const [{ key }] = rankCandidates(candidates, undefined, CRITERIA);
+      ownByEngine.set(key, (ownByEngine.get(key) ?? 0) + 1);
+      sentByEngine.set(key, sentByEngine.get(key)! + 1);
     }
   }
-  return Math.max(...got.values()) / (vms * requests / keys.length);
+  return Math.max(...sentByEngine.values()) / (vms * requests / keys.length);
 }
 
 describe("placing under load", () => {
@@ -121,33 +122,33 @@
       preferenceOf(hash32(`vm-${vm}`), engineHash);
     for (const promptTokens of [826, 9_190]) {
       for (const requests of [1, 3, 8]) {
-        const same = playStrangers(() => 0, requests, promptTokens);
-        const own = playStrangers(perVm, requests, promptTokens);
+        const same = simulateIsolatedVms(() => 0, requests, promptTokens);
+        const own = simulateIsolatedVms(perVm, requests, promptTokens);
         t.log({ promptTokens, requests, same, own });
         t.true(own < same / 1.5);
       }
     }
-    t.true(playStrangers(perVm, 1, 9_190) < 5);
+    t.true(simulateIsolatedVms(perVm, 1, 9_190) < 5);
   });
 
   // The peak of one region: 100 long prompts a second, which six engines can serve if each subject is read in one place,
   // and not if every engine reads every subject.
   it("a peak is served in time that the least loaded engine would not serve", (t) => {
-    const leastLoaded = playPrompts(
+    const leastLoaded = simulatePrompts(
       100,
       (engines) =>
         [...engines].sort((a, b) => a.waitingTokens - b.waitingTokens)[0].key,
     );
-    const placed = playPrompts(
+    const placed = simulatePrompts(
       100,
       (engines, subject) =>
-        rank(
+        rankCandidates(
           engines,
           affinityOf([{ id: subject, tokens: SHARED_TOKENS }, {
             id: "own",
             tokens: OWN_TOKENS,
           }]),
-          TERMS,
+          CRITERIA,
         )[0].key,
     );
     t.log(
@@ -161,16 +162,16 @@
 
   // One subject is asked for by everybody: its home engine alone could not serve it.
   it("one popular prompt does not queue while others idle", (t) => {
-    const placed = playPrompts(
+    const placed = simulatePrompts(
       120,
       (engines) =>
-        rank(
+        rankCandidates(
           engines,
           affinityOf([{ id: "same", tokens: SHARED_TOKENS }, {
             id: "own",
             tokens: OWN_TOKENS,
           }]),
-          TERMS,
+          CRITERIA,
         )[0].key,
     );
     t.true(placed > 0.5, placed.toFixed(3));
--- a/src/routing/reading_load_test.ts
+++ b/src/routing/reading_load_test.ts
@@ -1,6 +1,11 @@
 import { describe, it } from "../base/describe.ts";
 import { hash32, Random } from "../base/mod.ts";
-import { EnginePace, moveTarget, rank, type StepCandidate } from "./mod.ts";
+import {
+  EnginePace,
+  rankCandidates,
+  selectMoveTarget,
+  type StepCandidate,
+} from "./mod.ts";
 
 const ENGINES = 6;
 const SLOTS = 64;
@@ -13,19 +18,19 @@
 const GAP_MS = 600;
 const OBJECTIVE_MS = 800;
 const MOVE_MS = 40;
-const PLAYED_MS = 30_000;
+const SIMULATED_MS = 30_000;
 
 /** A stream of the load below. */
 interface Stream {
   readonly arrivedMs: number;
   /** Prompt tokens still to be read, and those that were. */
-  unread: number;
-  read: number;
+  unreadTokens: number;
+  readTokens: number;
   tokensLeft: number;
   /** Tokens of the event that is being made. */
-  madeOfEvent: number;
+  eventTokens: number;
   lastEventMs: number | undefined;
-  firstMs: number;
+  firstEventMs: number;
   longestGapMs: number;
   /** Until when it is under way to another engine. */
   movingUntilMs: number;
@@ -40,7 +45,10 @@
   constructor(readonly key: string) {}
 
   get waitingTokens(): number {
-    return this.waiting.reduce((sum, { unread }) => sum + unread, 0);
+    return this.waiting.reduce(
+      (sum, { unreadTokens }) => sum + unreadTokens,
+      0,
+    );
   }
 
   candidate(unreadTokens: number): StepCandidate {
@@ -52,10 +60,10 @@
       waitingTokens: this.waitingTokens,
       slots: SLOTS,
       unreadTokens,
-      doubtful: false,
-      suspects: 0,
-      aside: false,
-      paced: true,
+      isDoubtful: false,
+      suspectCount: 0,
+      isAside: false,
+      isWithinColdRate: true,
     };
   }
 
@@ -65,12 +73,12 @@
     let pairs = 0;
     while (toRead > 0 && this.waiting.length > 0) {
       const [first] = this.waiting;
-      const read = Math.min(toRead, first.unread);
-      first.unread -= read;
-      pairs += read * first.read;
-      first.read += read;
+      const read = Math.min(toRead, first.unreadTokens);
+      first.unreadTokens -= read;
+      pairs += read * first.readTokens;
+      first.readTokens += read;
       toRead -= read;
-      if (first.unread > 0) break;
+      if (first.unreadTokens > 0) break;
       this.running.push(this.waiting.shift()!);
     }
     const endMs = nowMs + STEP_MS + (CHUNK_TOKENS - toRead) / READ_PER_MS +
@@ -83,10 +91,10 @@
   #generate(stream: Stream, nowMs: number, pace: EnginePace): void {
     if (stream.movingUntilMs > nowMs) return;
     stream.tokensLeft--;
-    if (++stream.madeOfEvent < TOKENS_PER_EVENT) return;
-    stream.madeOfEvent = 0;
+    if (++stream.eventTokens < TOKENS_PER_EVENT) return;
+    stream.eventTokens = 0;
     if (stream.lastEventMs === undefined) {
-      stream.firstMs = nowMs - stream.arrivedMs;
+      stream.firstEventMs = nowMs - stream.arrivedMs;
     } else {
       const gapMs = nowMs - stream.lastEventMs;
       stream.longestGapMs = Math.max(stream.longestGapMs, gapMs);
@@ -97,7 +105,7 @@
 }
 
 /** Plays short questions with some prompts of 50,000 tokens among them; answers with the share of questions on time. */
-function playQuestions(moves: boolean): number {
+function simulateQuestions(canMove: boolean): number {
   const random = new Random(11);
   const pace = new EnginePace();
   const engines = Array.from(
@@ -110,16 +118,16 @@
   const place = (nowMs: number, tokens: number, out: number) => {
     const stream: Stream = {
       arrivedMs: nowMs,
-      unread: tokens,
-      read: 0,
+      unreadTokens: tokens,
+      readTokens: 0,
       tokensLeft: out,
-      madeOfEvent: 0,
+      eventTokens: 0,
       lastEventMs: undefined,
-      firstMs: Infinity,
+      firstEventMs: Infinity,
       longestGapMs: 0,
       movingUntilMs: 0,
     };
-    const [best] = rank(
+    const [best] = rankCandidates(
       engines.map((engine) => engine.candidate(tokens)),
       undefined,
       {
@@ -135,7 +143,7 @@
   const moveStreams = (engine: SteppedEngine, nowMs: number) => {
     for (const stream of [...engine.running]) {
       if (stream.movingUntilMs > nowMs) continue;
-      const target = moveTarget(
+      const target = selectMoveTarget(
         {
           waitingTokens: engine.waitingTokens,
           eventsLeft: stream.tokensLeft / TOKENS_PER_EVENT,
@@ -153,7 +161,7 @@
       engines.find(({ key }) => key === target.key)!.running.push(stream);
     }
   };
-  for (let nowMs = 0; nowMs < PLAYED_MS; nowMs++) {
+  for (let nowMs = 0; nowMs < SIMULATED_MS; nowMs++) {
     if (nowMs >= nextQuestionMs) {
       questions.push(place(nowMs, 830, 290));
       nextQuestionMs += random.exponential(10);
@@ -163,13 +171,13 @@
       nextLongMs += random.exponential(500);
     }
     for (const engine of engines) {
-      if (moves && nowMs % 25 === 0) moveStreams(engine, nowMs);
+      if (canMove && nowMs % 25 === 0) moveStreams(engine, nowMs);
       engine.step(nowMs, pace);
     }
   }
   const ended = questions.filter(({ tokensLeft }) => tokensLeft <= 0);
-  const onTime = ended.filter(({ firstMs, longestGapMs }) =>
-    firstMs <= OBJECTIVE_MS && longestGapMs <= GAP_MS
+  const onTime = ended.filter(({ firstEventMs, longestGapMs }) =>
+    firstEventMs <= OBJECTIVE_MS && longestGapMs <= GAP_MS
   );
   return onTime.length / ended.length;
 }
@@ -178,10 +186,12 @@
   // A hundred short questions a second on six engines, and two prompts of 50,000 tokens a second beside them. Each of
   // those is read for a second, and the streams of its engine pause for 0.6 s and more an event: those that stay are late.
   it("streams that leave an engine that reads are late half as often as those that stay, or less", (t) => {
-    const stay = playQuestions(false);
-    const leave = playQuestions(true);
-    t.log(`on time: stay ${stay.toFixed(3)}, leave ${leave.toFixed(3)}`);
-    t.true(leave > 0.93);
-    t.true(1 - leave < (1 - stay) / 2);
+    const withoutMoves = simulateQuestions(false);
+    const withMoves = simulateQuestions(true);
+    t.log(
+      `on time: stay ${withoutMoves.toFixed(3)}, leave ${withMoves.toFixed(3)}`,
+    );
+    t.true(withMoves > 0.93);
+    t.true(1 - withMoves < (1 - withoutMoves) / 2);
   });
 });
--- a/src/routing/routing_test.ts
+++ b/src/routing/routing_test.ts
@@ -1,15 +1,15 @@
 import { describe, it } from "../base/describe.ts";
 import {
   canFinish,
+  canRetry,
   chooseService,
-  coldOwner,
-  ColdPace,
+  ColdRateLimiter,
   Fleet,
   GatewayConfig,
-  maySendAgain,
-  nameVms,
-  RepeatBudget,
+  RetryBudget,
   type Route,
+  selectColdOwner,
+  selectVms,
   UpstreamHealth,
   type UpstreamRecord,
 } from "./mod.ts";
@@ -21,7 +21,7 @@
   idleMs: 15_000,
 };
 
-function route(more: Partial<Route> = {}): Route {
+function route(overrides: Partial<Route> = {}): Route {
   return {
     name: "r",
     host: "h.example",
@@ -36,7 +36,7 @@
     mostUpstreams: 2,
     anonymous: false,
     homeRegions: [],
-    ...more,
+    ...overrides,
   };
 }
 
@@ -77,7 +77,7 @@
     // All VMs repeat at once when an upstream fails; what counts is the sum over them in any window.
     it("the sum over all VMs stays within ratio and slack", (t) => {
       const bounds = { ratio: 0.2, slack: 54, windowMs: 10_000 };
-      const vms = Array.from({ length: 7 }, () => new RepeatBudget(bounds));
+      const vms = Array.from({ length: 7 }, () => new RetryBudget(bounds));
       let taken = 0;
       let requests = 0;
       for (let ms = 0; ms < 10_000; ms += 10) {
@@ -91,7 +91,7 @@
     });
 
     it("comes back when the window has passed", (t) => {
-      const budget = new RepeatBudget({ ratio: 0, slack: 4, windowMs: 10_000 });
+      const budget = new RetryBudget({ ratio: 0, slack: 4, windowMs: 10_000 });
       while (budget.tryTake(0, 1));
       t.false(budget.tryTake(9_000, 1));
       t.true(budget.tryTake(11_000, 1));
@@ -102,17 +102,20 @@
     it("one VM owns one, and they are spread", (t) => {
       const vms = ["a", "b", "c"];
       const owners = new Set(
-        Array.from({ length: 30 }, (_, i) => coldOwner(`u${i}`, vms)),
+        Array.from({ length: 30 }, (_, i) => selectColdOwner(`u${i}`, vms)),
       );
       t.is(owners.size, 3);
-      t.is(coldOwner("u1", vms), coldOwner("u1", [...vms].reverse()));
+      t.is(
+        selectColdOwner("u1", vms),
+        selectColdOwner("u1", [...vms].reverse()),
+      );
     });
 
     it("never get more than their rate in any second", (t) => {
-      const pace = new ColdPace();
+      const limiter = new ColdRateLimiter();
       const sentMs: number[] = [];
       for (let ms = 0; ms < 5_000; ms += 3) {
-        if (pace.tryTake(ms, 4.3)) sentMs.push(ms);
+        if (limiter.tryTake(ms, 4.3)) sentMs.push(ms);
       }
       for (const startMs of sentMs) {
         const inSecond = sentMs.filter((ms) =>
@@ -129,13 +132,13 @@
     // An upstream goes dark: connections to it hang. Without the probe's gap each look would send it one more request.
     it("what was lost is set aside, then gets one request at a time until it answers", (t) => {
       const health = new UpstreamHealth();
-      health.note("lost", 0);
+      health.noteOutcome("lost", 0);
       t.true(health.isAside(100));
       t.false(health.isAside(450));
       health.noteSend(450);
       t.true(health.isAside(460));
       t.false(health.isAside(1_000));
-      health.note("answered", 1_000);
+      health.noteOutcome("answered", 1_000);
       health.noteSend(1_000);
       t.false(health.isAside(1_001));
     });
@@ -143,10 +146,10 @@
     it("one that fails often comes after the others, and recovers", (t) => {
       const health = new UpstreamHealth();
       for (let i = 0; i < 20; i++) {
-        health.note(i % 2 ? "failed" : "answered", i);
+        health.noteOutcome(i % 2 ? "failed" : "answered", i);
       }
       t.true(health.isFailing());
-      for (let i = 0; i < 20; i++) health.note("answered", i);
+      for (let i = 0; i < 20; i++) health.noteOutcome("answered", i);
       t.false(health.isFailing());
     });
   });
@@ -163,47 +166,47 @@
       state: "ready",
       coldLeftMs: 0,
     };
-    const open = () =>
+    const createFleet = () =>
       new Fleet((domain) => domain === "hall-a" ? "north" : undefined);
 
     it("lists what is ready, in its region and not evacuated", (t) => {
-      const fleet = open();
+      const fleet = createFleet();
       fleet.put(record, 0);
-      const [known] = fleet.of("s", "north");
+      const [known] = fleet.usableIn("s", "north");
       t.is(known.id, "i-1");
-      t.is(fleet.of("s", "south").length, 0);
+      t.is(fleet.usableIn("s", "south").length, 0);
       fleet.setEvacuated(new Set(["hall-a"]));
-      t.false(fleet.mayUse(known));
-      t.is(fleet.of("s", "north").length, 0);
+      t.false(fleet.canUse(known));
+      t.is(fleet.usableIn("s", "north").length, 0);
       fleet.setEvacuated(new Set());
       fleet.put({ ...record, state: "draining" }, 0);
-      t.false(fleet.mayUse(known));
+      t.false(fleet.canUse(known));
     });
 
     // A request was placed while the upstream ran, waits, and is sent to the address after a restart.
     it("an upstream born again is not the one that was chosen", (t) => {
-      const fleet = open();
+      const fleet = createFleet();
       fleet.put(record, 0);
-      const [known] = fleet.of("s", "north");
+      const [known] = fleet.usableIn("s", "north");
       fleet.put({ ...record, key: "i-1@5" }, 0);
-      t.false(fleet.mayUse(known));
+      t.false(fleet.canUse(known));
     });
 
     it("an unknown failure domain names no upstream", (t) => {
-      const fleet = open();
+      const fleet = createFleet();
       fleet.put({ ...record, failureDomain: "nowhere" }, 0);
-      t.is(fleet.of("s", "north").length, 0);
+      t.is(fleet.usableIn("s", "north").length, 0);
     });
   });
 
   it("what may have run is never sent again unless it may be repeated", (t) => {
     const sends = { sends: 1, mostUpstreams: 3 };
-    t.false(maySendAgain({ ...sends, repeatable: false, mayHaveRun: true }));
-    t.true(maySendAgain({ ...sends, repeatable: false, mayHaveRun: false }));
-    t.true(maySendAgain({ ...sends, repeatable: true, mayHaveRun: true }));
+    t.false(canRetry({ ...sends, isRepeatable: false, mayHaveRun: true }));
+    t.true(canRetry({ ...sends, isRepeatable: false, mayHaveRun: false }));
+    t.true(canRetry({ ...sends, isRepeatable: true, mayHaveRun: true }));
     t.false(
-      maySendAgain({
-        repeatable: true,
+      canRetry({
+        isRepeatable: true,
         mayHaveRun: true,
         sends: 3,
         mostUpstreams: 3,
@@ -218,12 +221,12 @@
       isReady: boolean,
       servesMs = 0,
     ) => ({ ip, region, isReady, servesMs });
-    const named = (...vms: ReturnType<typeof vm>[]) =>
-      nameVms(vms, "north").map(({ ip }) => ip);
+    const selectIps = (...vms: ReturnType<typeof vm>[]) =>
+      selectVms(vms, "north").map(({ ip }) => ip);
 
     it("names ready VMs of the region alone", (t) => {
       t.deepEqual(
-        named(
+        selectIps(
           vm("a", "north", true),
           vm("b", "north", false, 6_000),
           vm("c", "south", true),
@@ -236,7 +239,7 @@
     // another region would carry bound bodies there.
     it("names a VM that still serves before another region's", (t) => {
       t.deepEqual(
-        named(
+        selectIps(
           vm("a", "north", false, 500),
           vm("b", "north", false, 6_000),
           vm("c", "south", true),
@@ -246,29 +249,32 @@
     });
 
     it("names other regions when nobody is left", (t) => {
-      t.deepEqual(named(vm("a", "north", false, 500), vm("c", "south", true)), [
-        "c",
-      ]);
+      t.deepEqual(
+        selectIps(vm("a", "north", false, 500), vm("c", "south", true)),
+        [
+          "c",
+        ],
+      );
     });
   });
 
   it("a leaving VM takes what can end before it does", (t) => {
     // On a busy engine a short stream took over 2.3 s; taken 5 s after the signal it was cut when the process ended.
-    const late = (leftMs: number) => ({ sinceMs: 5_000, leftMs });
-    t.false(canFinish(route(), 52, late(2_290)));
-    t.true(canFinish(route({ kind: "atMostOnce" }), 0, late(2_000)));
-    t.false(canFinish(route(), 900, late(3_000)));
-    t.true(canFinish(route(), 50, late(4_000)));
-    const never = { sinceMs: 0, leftMs: Infinity };
-    t.true(canFinish(route(), 5_000, never));
+    const lateDrain = (leftMs: number) => ({ sinceMs: 5_000, leftMs });
+    t.false(canFinish(route(), 52, lateDrain(2_290)));
+    t.true(canFinish(route({ kind: "atMostOnce" }), 0, lateDrain(2_000)));
+    t.false(canFinish(route(), 900, lateDrain(3_000)));
+    t.true(canFinish(route(), 50, lateDrain(4_000)));
+    const notDraining = { sinceMs: 0, leftMs: Infinity };
+    t.true(canFinish(route(), 5_000, notDraining));
   });
 
   // Callers keep an address for three seconds. A stream of usual length was refused from 1.3 s after the signal on, and
   // again at its second try, since its caller still held only this address.
   it("a leaving VM takes usual streams while callers still come", (t) => {
-    const early = { sinceMs: 2_500, leftMs: 4_800 };
-    t.true(canFinish(route(), 294, early));
+    const earlyDrain = { sinceMs: 2_500, leftMs: 4_800 };
+    t.true(canFinish(route(), 294, earlyDrain));
     t.false(canFinish(route(), 294, { sinceMs: 2_800, leftMs: 4_500 }));
-    t.false(canFinish(route(), 900, early));
+    t.false(canFinish(route(), 900, earlyDrain));
   });
 });
--- a/src/routing/step_test.ts
+++ b/src/routing/step_test.ts
@@ -1,53 +1,53 @@
 import { describe, it } from "../base/describe.ts";
 import { hash32 } from "../base/mod.ts";
 import {
-  endGapMs,
+  computeEndGapMs,
+  computeOfferedCapacity,
   EnginePace,
-  fetchSource,
   homeOf,
   nextStep,
-  regionRoom,
+  selectFetchSource,
   type StepCandidate,
   type StepInput,
 } from "./mod.ts";
 
-function candidate(more: Partial<StepCandidate> = {}): StepCandidate {
+function candidate(overrides: Partial<StepCandidate> = {}): StepCandidate {
   return {
     key: "u1",
-    hash: hash32(more.key ?? "u1"),
+    hash: hash32(overrides.key ?? "u1"),
     preference: 0,
     running: 0,
     waitingTokens: 0,
     slots: 10,
     unreadTokens: 0,
-    doubtful: false,
-    suspects: 0,
-    aside: false,
-    paced: true,
-    ...more,
+    isDoubtful: false,
+    suspectCount: 0,
+    isAside: false,
+    isWithinColdRate: true,
+    ...overrides,
   };
 }
 
-const TERMS = {
+const CRITERIA = {
   pace: new EnginePace(),
   objectiveMs: 800,
   eventGapMs: 300,
-  endGapMs: endGapMs(12_000, 10),
+  endGapMs: computeEndGapMs(12_000, 10),
 };
-const LONG_TERMS = { ...TERMS, endGapMs: endGapMs(12_000, 150) };
+const LONG_CRITERIA = { ...CRITERIA, endGapMs: computeEndGapMs(12_000, 150) };
 
-function step(more: Partial<StepInput<StepCandidate>> = {}) {
+function step(overrides: Partial<StepInput<StepCandidate>> = {}) {
   return nextStep({
     nowMs: 1_000,
     arrivedMs: 1_000,
     deadlineMs: 6_000,
-    terms: TERMS,
+    criteria: CRITERIA,
     candidates: [],
     regions: [],
     affinity: undefined,
     isSuspect: false,
     draw: 0.5,
-    ...more,
+    ...overrides,
   });
 }
 
@@ -93,28 +93,28 @@
         regions: [{ region: "south", free: 0, queue: 0, isScarce: false }],
       }, "refuse noUpstream"],
       ["one set aside is tried if nothing else is left", {
-        candidates: [candidate({ aside: true })],
+        candidates: [candidate({ isAside: true })],
       }, "send u1"],
       ["one set aside comes after other regions", {
-        candidates: [candidate({ aside: true })],
+        candidates: [candidate({ isAside: true })],
         regions: far,
       }, "relay south"],
       ["a cold one beyond its rate is left alone", {
-        candidates: [candidate({ paced: false })],
+        candidates: [candidate({ isWithinColdRate: false })],
         arrivedMs: 500,
       }, "refuse overloaded"],
     ];
-    for (const [title, input, wanted] of cases) {
+    for (const [title, input, expected] of cases) {
       it(title, (t) => {
-        const got = step(input);
-        const text = got.type === "send"
-          ? `send ${got.candidate.key}`
-          : got.type === "relay"
-          ? `relay ${got.region}`
-          : got.type === "refuse"
-          ? `refuse ${got.reason}`
-          : got.type;
-        t.is(text, wanted);
+        const result = step(input);
+        const text = result.type === "send"
+          ? `send ${result.candidate.key}`
+          : result.type === "relay"
+          ? `relay ${result.region}`
+          : result.type === "refuse"
+          ? `refuse ${result.reason}`
+          : result.type;
+        t.is(text, expected);
       });
     }
 
@@ -129,12 +129,12 @@
     });
 
     it("those refused together come back apart", (t) => {
-      const backs = [0, 0.25, 0.5, 0.99].map((draw) => {
+      const delays = [0, 0.25, 0.5, 0.99].map((draw) => {
         const refused = step({ arrivedMs: 500, draw });
         return refused.type === "refuse" ? refused.comeBackMs : 0;
       });
-      t.is(new Set(backs).size, 4);
-      t.true(Math.min(...backs) >= 500 && Math.max(...backs) <= 1_500);
+      t.is(new Set(delays).size, 4);
+      t.true(Math.min(...delays) >= 500 && Math.max(...delays) <= 1_500);
     });
 
     // All engines of the region are evacuated, and the only other home is busy: refusing would lose what can still wait.
@@ -152,26 +152,28 @@
     it("a long answer goes where tokens come faster, a short one stays", (t) => {
       const half = candidate({ running: 60, slots: 128 });
       t.is(
-        step({ candidates: [half], regions: far, terms: LONG_TERMS }).type,
+        step({ candidates: [half], regions: far, criteria: LONG_CRITERIA })
+          .type,
         "relay",
       );
       t.is(
-        step({ candidates: [half], regions: far, terms: TERMS }).type,
+        step({ candidates: [half], regions: far, criteria: CRITERIA }).type,
         "send",
       );
       t.is(
-        step({ candidates: [half], regions: busy, terms: LONG_TERMS }).type,
+        step({ candidates: [half], regions: busy, criteria: LONG_CRITERIA })
+          .type,
         "send",
       );
     });
 
     it("a region lends half of its places, of sound upstreams only", (t) => {
-      const lent = regionRoom([
+      const offered = computeOfferedCapacity([
         candidate({ running: 2 }),
-        candidate({ doubtful: true }),
-        candidate({ aside: true }),
-      ], { ...TERMS, objectiveMs: 1_200 });
-      t.deepEqual(lent, { free: 3, queue: 6 });
+        candidate({ isDoubtful: true }),
+        candidate({ isAside: true }),
+      ], { ...CRITERIA, objectiveMs: 1_200 });
+      t.deepEqual(offered, { free: 3, queue: 6 });
     });
   });
 
@@ -183,42 +185,47 @@
       region: key[0],
     }));
 
-    const nobody = () => [];
+    const noHolders = () => [];
 
     it("goes from the home if it has read them, or from who read them last", (t) => {
-      const near = engines.filter(({ region }) => region === "n");
-      const home = homeOf(near, "book")!;
-      const [target, other] = near.filter((engine) => engine !== home);
-      const held = (...keys: string[]) =>
-        fetchSource(target, engines, parts, () => keys)?.key;
-      t.is(held(other.key, home.key), home.key);
-      t.is(held("s1", other.key), "s1");
-      t.is(held("gone", other.key), other.key);
-      t.is(held(target.key), home.key);
+      const inRegion = engines.filter(({ region }) => region === "n");
+      const home = homeOf(inRegion, "book")!;
+      const [target, other] = inRegion.filter((engine) => engine !== home);
+      const sourceFor = (...keys: string[]) =>
+        selectFetchSource(target, engines, parts, () => keys)?.key;
+      t.is(sourceFor(other.key, home.key), home.key);
+      t.is(sourceFor("s1", other.key), "s1");
+      t.is(sourceFor("gone", other.key), other.key);
+      t.is(sourceFor(target.key), home.key);
     });
 
     it("goes from the home of the region, and to it from the home of all", (t) => {
-      const near = engines.filter(({ region }) => region === "n");
-      const nearHome = homeOf(near, "book")!;
+      const inRegion = engines.filter(({ region }) => region === "n");
+      const regionHome = homeOf(inRegion, "book")!;
       const home = homeOf(engines, "book")!;
-      for (const target of near) {
-        const wanted = target === nearHome
+      for (const target of inRegion) {
+        const expected = target === regionHome
           ? (home === target ? undefined : home)
-          : nearHome;
-        t.is(fetchSource(target, engines, parts, nobody), wanted);
+          : regionHome;
+        t.is(selectFetchSource(target, engines, parts, noHolders), expected);
       }
     });
 
     it("is left out for short parts, and for prompts that share nothing", (t) => {
       t.is(
-        fetchSource(engines[0], engines, [{ id: "a", tokens: 90 }, {
+        selectFetchSource(engines[0], engines, [{ id: "a", tokens: 90 }, {
           id: "b",
           tokens: 5_000,
-        }], nobody),
+        }], noHolders),
         undefined,
       );
       t.is(
-        fetchSource(engines[0], engines, [{ id: "b", tokens: 5_000 }], nobody),
+        selectFetchSource(
+          engines[0],
+          engines,
+          [{ id: "b", tokens: 5_000 }],
+          noHolders,
+        ),
         undefined,
       );
     });
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -44,7 +44,7 @@
 }
 
 /** What is known of an engine's make. */
-export interface EngineShape {
+export interface EngineSpec {
   /** Requests that run side by side. */
   readonly slots: number;
   /** Tokens that running requests and cached prompts share. */
@@ -56,7 +56,7 @@
 }
 
 /** A service that upstreams run. */
-export interface ServiceRow {
+export interface ServiceConfig {
   readonly name: string;
   /** Connections that one upstream takes from all VMs together. */
   readonly mostConnections: number;
@@ -64,7 +64,7 @@
   readonly coldMs: number;
   /** Requests a second that a cold upstream bears, from all VMs together; 0 means no limit. */
   readonly coldPerS: number;
-  readonly engine: EngineShape | undefined;
+  readonly engine: EngineSpec | undefined;
 }
 
 /** What a caller may send, and how long it may take. */
@@ -97,7 +97,7 @@
 }
 
 /** Whether a request on this route may run more than once. */
-export function mayRepeat(route: Route): boolean {
+export function isRepeatable(route: Route): boolean {
   return route.kind === "idempotent" ||
     (route.kind === "stream" && route.resumable);
 }
--- a/src/routing/urgency.ts
+++ b/src/routing/urgency.ts
@@ -5,7 +5,7 @@
  */
 
 /** What an order is decided on. */
-export interface Urgency {
+export interface UrgencyInput {
   /** Time since the request arrived. */
   readonly waitedMs: number;
   /** An answer, or a stream's first event, within this earns its full worth. */
@@ -27,7 +27,7 @@
  * that had time, and no kind gained.
  */
 export function urgencyRank(
-  { waitedMs, objectiveMs, readMs }: Urgency,
+  { waitedMs, objectiveMs, readMs }: UrgencyInput,
 ): number {
   if (waitedMs + readMs > objectiveMs) return LAST_RANK;
   const rank = Math.floor((objectiveMs - waitedMs + readMs) / RANK_MS);
--- a/src/services/away.ts
+++ b/src/services/away.ts
@@ -8,7 +8,7 @@
 import type { Transport } from "../adapters/mod.ts";
 import { type Clock, failure, rendezvous } from "../base/mod.ts";
 import type { SlotAnswer, SlotReport, SlotRequest } from "../decisions/mod.ts";
-import type { Port } from "../kernel/mod.ts";
+import type { TaskPort } from "../kernel/mod.ts";
 import type { MembersMessages, TableMessages, VmInfo } from "./messages.ts";
 
 /** The host frees a slot that was not renewed for this long: the home VM is gone, or the link is. */
@@ -46,8 +46,8 @@
   readonly clock: Clock;
   readonly region: string;
   readonly transport: Transport;
-  readonly members: Port<MembersMessages>;
-  readonly table: Port<TableMessages>;
+  readonly members: TaskPort<MembersMessages>;
+  readonly table: TaskPort<TableMessages>;
 }
 
 /** The home VM's end. */
--- a/src/services/claims.ts
+++ b/src/services/claims.ts
@@ -31,7 +31,12 @@
   rendezvous,
   type Timer,
 } from "../base/mod.ts";
-import { type Handlers, type Kernel, type Port, Task } from "../kernel/mod.ts";
+import {
+  type Handlers,
+  type Kernel,
+  Task,
+  type TaskPort,
+} from "../kernel/mod.ts";
 import { ClaimsDriver, type Request } from "./claims_driver.ts";
 import { ClaimsRouter, type Routed } from "./claims_router.ts";
 import { asRef, WitnessList } from "./claims_witnesses.ts";
@@ -59,7 +64,7 @@
 const CHANGE_TRIES = 12;
 /** Most steps that are tried for at the same time behind their callers' backs. */
 const MOST_BEHIND = 500;
-const CHANGE_BACKOFF = { firstMs: 250, mostMs: 10_000 };
+const CHANGE_BACKOFF = { firstMs: 250, maxMs: 10_000 };
 const LOOKUP_MS = 3000;
 const REPLICATE_MS = 1500;
 /** When a caller may come back whose claim found no owner. */
@@ -76,9 +81,9 @@
   readonly store: KeyValue;
   /** Absent where this VM is the only one. */
   readonly transport?: Transport;
-  readonly members?: Port<MembersMessages>;
+  readonly members?: TaskPort<MembersMessages>;
   /** Says each workspace's home; without it every workspace is at home here. */
-  readonly table?: Port<TableMessages>;
+  readonly table?: TaskPort<TableMessages>;
   readonly limits?: Partial<ShardLimits>;
   /** Writes a second that the claims of all regions may take together. */
   readonly writesPerS?: number;
--- a/src/services/directory.ts
+++ b/src/services/directory.ts
@@ -17,8 +17,8 @@
   type Handlers,
   type Kernel,
   type Log,
-  type Port,
   Task,
+  type TaskPort,
 } from "../kernel/mod.ts";
 import type {
   DirectoryAnswer,
@@ -51,7 +51,7 @@
 
 /** At most one publication in this time, by one VM of the region: the platform's stores limit the rate of all. */
 const PUBLISH_PERIOD_MS = 1000;
-const PUBLISH_BACKOFF = { firstMs: 2000, mostMs: 60_000 };
+const PUBLISH_BACKOFF = { firstMs: 2000, maxMs: 60_000 };
 
 /** Its name is `directory`; needs `members` and `table`. */
 export class DirectoryService extends Task<DirectoryMessages> {
@@ -64,8 +64,8 @@
   readonly #queue = new PublicationQueue();
   #clock!: Clock;
   #log!: Log;
-  #members!: Port<MembersMessages>;
-  #table!: Port<TableMessages>;
+  #members!: TaskPort<MembersMessages>;
+  #table!: TaskPort<TableMessages>;
   #timer: Timer | undefined;
   #publishing = false;
   #wasPublisher = false;
--- a/src/services/lead_server.ts
+++ b/src/services/lead_server.ts
@@ -8,10 +8,10 @@
 import type { PoolInfo } from "../agreement/mod.ts";
 import { type Clock, hash32 } from "../base/mod.ts";
 import type {
-  FarRegion,
   HeldSlot,
   LoadReport,
   PoolDigest,
+  RemoteRegion,
   SlotRequest,
 } from "../decisions/mod.ts";
 import type {
@@ -160,9 +160,11 @@
     this.#step(poolKey, led.observe(load, this.#context.clock.nowMs()));
   }
 
-  setFar(far: (info: PoolInfo) => readonly FarRegion[]): void {
+  setFar(far: (info: PoolInfo) => readonly RemoteRegion[]): void {
     const nowMs = this.#context.clock.nowMs();
-    for (const [info, led] of this.#pools()) led.pool.setFar(far(info), nowMs);
+    for (const [info, led] of this.#pools()) {
+      led.pool.setRemoteRegions(far(info), nowMs);
+    }
   }
 
   tick(): void {
--- a/src/services/slots.ts
+++ b/src/services/slots.ts
@@ -10,18 +10,23 @@
   type Clock,
   failure,
   hash32,
-  PauseWatch,
+  PauseDetector,
   Random,
   type Timer,
 } from "../base/mod.ts";
 import type {
-  FarRegion,
   HeldSlot,
+  RemoteRegion,
   SlotAnswer,
   SlotRequest,
 } from "../decisions/mod.ts";
 import type { PoolInfo } from "../agreement/mod.ts";
-import { type Handlers, type Kernel, type Port, Task } from "../kernel/mod.ts";
+import {
+  type Handlers,
+  type Kernel,
+  Task,
+  type TaskPort,
+} from "../kernel/mod.ts";
 import { AwayClient, AwayHost } from "./away.ts";
 import { LeadClient, RENEW_MS } from "./lead_client.ts";
 import { LoadPoller, type LoadSource } from "./lead_load.ts";
@@ -83,8 +88,8 @@
   readonly #view: LeadView;
   readonly #timers: Timer[] = [];
   #clock!: Clock;
-  #table!: Port<TableMessages>;
-  #members: Port<MembersMessages> | undefined;
+  #table!: TaskPort<TableMessages>;
+  #members: TaskPort<MembersMessages> | undefined;
   #server!: LeadServer;
   #router!: LeadRouter;
   #client!: LeadClient;
@@ -93,7 +98,7 @@
   #host: AwayHost | undefined;
   /** Attempts that wait for the table they were accepted on. */
   readonly #arriving = new Set<string>();
-  #pause!: PauseWatch;
+  #pause!: PauseDetector;
   #looking: Promise<void> | undefined;
   #lookAgain: Promise<void> | undefined;
   readonly #published = new Map<string, { text: string; atMs: number }>();
@@ -112,7 +117,7 @@
     }
     this.#wire(kernel);
     await this.#follow();
-    this.#pause = new PauseWatch(this.#clock);
+    this.#pause = new PauseDetector(this.#clock);
     this.#every(TICK_MS, () => this.#tick());
     this.#every(FOLLOW_MS, () => void this.#follow());
     this.#every(RENEW_MS, () => {
@@ -181,7 +186,7 @@
   }
 
   #tick(): void {
-    if (this.#pause.takePause()) this.#server.restart();
+    if (this.#pause.consumePause()) this.#server.restart();
     this.#server.tick();
   }
 
@@ -324,10 +329,10 @@
   #far(
     info: PoolInfo,
     topics: ReadonlyMap<string, readonly TopicValue[]>,
-  ): FarRegion[] {
+  ): RemoteRegion[] {
     const links = this.#view.table?.region(info.region)?.linkMs ?? {};
     const freshMs = this.#clock.nowMs() - STALE_DIGEST_MS;
-    const far: FarRegion[] = [];
+    const far: RemoteRegion[] = [];
     for (const [region, values] of topics) {
       if (region === info.region) continue;
       const digests = values.filter((value) =>
@@ -344,7 +349,7 @@
 /** A region's pool that takes requests in and starts them soonest; one that takes none in if all are so. */
 function bestPool(
   values: readonly TopicValue[],
-): Pick<FarRegion, "predictedWaitMs" | "takesIn" | "seenAtMs"> | undefined {
+): Pick<RemoteRegion, "predictedWaitMs" | "takesIn" | "seenAtMs"> | undefined {
   const pools = values.map(({ body, seenAtMs }) => {
     const { predictedWaitMs, takesIn } = body as LoadTopic;
     return { predictedWaitMs, takesIn, seenAtMs };
--- a/src/services/suspects.ts
+++ b/src/services/suspects.ts
@@ -10,22 +10,22 @@
   SuspectStore,
   type Transport,
 } from "../adapters/mod.ts";
-import { type Clock, LateWatch, type Timer } from "../base/mod.ts";
+import { type Clock, LagDetector, type Timer } from "../base/mod.ts";
 import {
   type Handlers,
   type Kernel,
   type Log,
-  type Port,
   Task,
+  type TaskPort,
 } from "../kernel/mod.ts";
 import {
-  decodeEnds,
-  encodeEnds,
-  type EndNews,
-  mayBeCause,
+  canBeCause,
+  type CrashRow,
+  decodeCrashes,
+  encodeCrashes,
   type SuspectEvent,
-  SuspectKeeper,
-  SuspectLinks,
+  SuspectPublisher,
+  SuspectTracker,
 } from "../suspects/mod.ts";
 import type { MembersMessages, SuspectsMessages } from "./messages.ts";
 
@@ -52,15 +52,15 @@
   readonly name = "suspects";
   readonly #options: SuspectsOptions;
   readonly #store: SuspectStore;
-  #keeper!: SuspectKeeper;
+  #keeper!: SuspectTracker;
   #clock!: Clock;
   #log!: Log;
-  #lateWatch!: LateWatch;
+  #lateWatch!: LagDetector;
   #timer: Timer | undefined;
   #open = true;
 
   protected readonly handlers: Handlers<SuspectsMessages> = {
-    judge: ({ digest, hasLeave }) => this.#keeper.judge(digest, hasLeave),
+    judge: ({ digest, hasLeave }) => this.#keeper.decide(digest, hasLeave),
     lost: (loss) => this.#lost(loss),
     served: ({ digest }) => this.#keeper.clear(digest),
   };
@@ -81,19 +81,19 @@
     const { clock } = kernel;
     this.#clock = clock;
     this.#log = kernel.log;
-    this.#lateWatch = new LateWatch(clock);
-    this.#keeper = new SuspectKeeper(
+    this.#lateWatch = new LagDetector(clock);
+    this.#keeper = new SuspectTracker(
       new Links(this.#options, kernel.get("members"), kernel.log),
       this.#store,
       () => clock.monoMs(),
     );
     this.#options.transport.handle(ENDS_METHOD, (params) => {
-      const told = decodeEnds(params);
-      if (told) this.#keeper.adopt(told.rows);
+      const told = decodeCrashes(params);
+      if (told) this.#keeper.merge(told.rows);
     });
     this.#timer = clock.every(
       TELL_AGAIN_MS,
-      () => this.#keeper.tellAgain(false),
+      () => this.#keeper.republish(false),
     );
     void this.#readStore();
     return Promise.resolve();
@@ -124,32 +124,32 @@
       this.#clock,
     );
     this.#log.warn("upstream lost", { upstream: upstreamId, reach, wasLate });
-    const isCause = mayBeCause(beganAgoMs === undefined ? {} : { beganAgoMs });
+    const isCause = canBeCause(beganAgoMs === undefined ? {} : { beganAgoMs });
     // A process that is late may find an upstream back that had ended. Taken for an end, the next answer clears it; taken
     // for a broken link, a request that ends whatever runs it would go on and on.
     const hasEnded = reach === "refused" || (reach === "open" && wasLate);
     if (!hasEnded || !isCause) return;
     const sinceLostMs = this.#clock.monoMs() - lostMs;
-    this.#keeper.noteEnd(digest, upstreamId, sentAgoMs + sinceLostMs);
+    this.#keeper.noteCrash(digest, upstreamId, sentAgoMs + sinceLostMs);
   }
 
   async #readStore(): Promise<void> {
     while (this.#open) {
-      if (await this.#keeper.readRecords()) return;
+      if (await this.#keeper.loadRecords()) return;
       await this.#clock.sleep(LIST_AGAIN_MS);
     }
   }
 }
 
 /** This VM's ways to the others and the log. */
-class Links extends SuspectLinks {
+class Links extends SuspectPublisher {
   readonly #options: SuspectsOptions;
-  readonly #members: Port<MembersMessages>;
+  readonly #members: TaskPort<MembersMessages>;
   readonly #log: Log;
 
   constructor(
     options: SuspectsOptions,
-    members: Port<MembersMessages>,
+    members: TaskPort<MembersMessages>,
     log: Log,
   ) {
     super();
@@ -158,21 +158,21 @@
     this.#log = log;
   }
 
-  tell(rows: readonly EndNews[]): void {
+  publish(rows: readonly CrashRow[]): void {
     void this.#tellAll(rows);
   }
 
-  note({ type, ...fields }: SuspectEvent): void {
+  noteEvent({ type, ...fields }: SuspectEvent): void {
     this.#log.warn(`suspect ${type}`, fields);
   }
 
   /** A few VMs a region: each tells all. */
-  async #tellAll(rows: readonly EndNews[]): Promise<void> {
+  async #tellAll(rows: readonly CrashRow[]): Promise<void> {
     const { vmId, region, transport } = this.#options;
     const near = await this.#members.ask("region", undefined);
     const far = await this.#members.ask("others", undefined);
     const vms = [...near, ...[...far.values()].flat()];
-    for (const told of encodeEnds(region, rows)) {
+    for (const told of encodeCrashes(region, rows)) {
       for (const vm of vms) {
         if (vm.id !== vmId) {
           transport.notify(vm.peerAddress, ENDS_METHOD, told);
--- a/src/services/table_editor.ts
+++ b/src/services/table_editor.ts
@@ -61,7 +61,7 @@
 }
 
 /** Waits between tries while the store refuses, or other editors keep winning. */
-const RETRY = { firstMs: 20, mostMs: 1000 };
+const RETRY = { firstMs: 20, maxMs: 1000 };
 /** A snapshot is due after this many edits; a cold start reads at most a few more records than these. */
 const SNAPSHOT_EVERY = 512;
 /** A snapshot whose writer died is tried again by whoever makes one of the next edits divisible by this. */
--- a/src/services/table_fleet.ts
+++ b/src/services/table_fleet.ts
@@ -5,7 +5,7 @@
  */
 
 import { watchersOf } from "../agreement/mod.ts";
-import type { Kernel, Port } from "../kernel/mod.ts";
+import type { Kernel, TaskPort } from "../kernel/mod.ts";
 import type { MembersMessages, VmInfo } from "./messages.ts";
 
 /** A view of the fleet; empty in a daemon without a membership service. */
@@ -69,7 +69,7 @@
     return ahead.length > 0 ? ahead : far;
   }
 
-  get #members(): Port<MembersMessages> | undefined {
+  get #members(): TaskPort<MembersMessages> | undefined {
     return this.#kernel.has("members")
       ? this.#kernel.get<MembersMessages>("members")
       : undefined;
--- a/src/services/table_sync.ts
+++ b/src/services/table_sync.ts
@@ -14,7 +14,7 @@
 import type { StoreHead, TableStore } from "./table_store.ts";
 
 /** After an outage the watchers of all regions come back with jitter; see {@link backoffMs}. */
-const STORE_BACKOFF = { firstMs: 250, mostMs: 1500 };
+const STORE_BACKOFF = { firstMs: 250, maxMs: 1500 };
 /**
  * A VM without a table that is not a watcher reads the store at this period only: a fleet that starts at once gets its
  * table from the watchers, and does not bring the store down by reading it whole from every VM.
--- a/src/suspects/end_book.ts
+++ b/src/suspects/end_book.ts
@@ -5,7 +5,7 @@
  */
 
 /** How a request stands, and so what is done with it. */
-export type Standing =
+export type SuspectStatus =
   /** Nothing is known against it. */
   | "clear"
   /** Upstreams ended as it began to run: it runs where an end harms least, apart from other suspects. */
@@ -19,7 +19,7 @@
  * An end, as VMs tell each other: a union of such rows is the same in whatever order and however often they come. A row
  * with `isCleared` voids the end, since the request ran elsewhere without one.
  */
-export type EndNews = readonly [
+export type CrashRow = readonly [
   digest: string,
   upstreamKey: string,
   agoMs: number,
@@ -27,31 +27,31 @@
 ];
 
 /** Ends that other causes may bring about; one more run tells. */
-export const ENDS_BEFORE_TRIAL = 3;
+export const CRASHES_BEFORE_TRIAL = 3;
 /** Ends with which a request is rejected. */
-export const ENDS_TO_REJECT = 4;
+export const CRASHES_TO_REJECT = 4;
 /** An end counts this long; operators have replaced a program that crashes by then. */
-const COUNTS_MS = 30 * 60_000;
+const CRASH_TTL_MS = 30 * 60_000;
 /** Entries, some 300 bytes each: a megabyte. */
-const MOST_ENTRIES = 4_096;
+const MAX_ENTRIES = 4_096;
 /** Dropped together when there are more, so that a flood does not sort all of them each time. */
-const DROPPED_TOGETHER = 256;
+const EVICTION_BATCH = 256;
 /** Upstreams an entry names; what is beyond changes nothing. */
-const MOST_UPSTREAMS = 16;
+const MAX_UPSTREAMS_PER_REQUEST = 16;
 
 /** Rows that are told again each time: those of one message. */
-const MOST_TOLD_AGAIN = 20;
+const MAX_RESENT_ROWS = 20;
 
-interface End {
+interface Crash {
   readonly atMs: number;
   isCleared: boolean;
 }
 
-type Ends = Map<string, End>;
+type Crashes = Map<string, Crash>;
 
 /** See the module. Times are of the monotonic clock of this VM. */
-export class EndBook {
-  readonly #entries = new Map<string, Ends>();
+export class CrashHistory {
+  readonly #entries = new Map<string, Crashes>();
   #hasSuspects = false;
 
   /** Whether any request is suspected; else none needs to be hashed. Ends that no longer count are seen by a sweep. */
@@ -67,104 +67,108 @@
    * Notes that an upstream ended as the request, sent there at `sentMs`, began to run. Returns what is new for others. An
    * upstream may be back before its entry names its new start: an end of before the send is another one.
    */
-  noteEnd(
+  noteCrash(
     digest: string,
     upstreamKey: string,
     sentMs: number,
     nowMs: number,
-  ): EndNews[] {
-    const ends = this.#entries.get(digest);
-    let name = upstreamKey;
-    for (let again = 2; (ends?.get(name)?.atMs ?? Infinity) < sentMs; again++) {
-      name = `${upstreamKey}/${again}`;
+  ): CrashRow[] {
+    const crashes = this.#entries.get(digest);
+    let crashName = upstreamKey;
+    for (
+      let occurrence = 2;
+      (crashes?.get(crashName)?.atMs ?? Infinity) < sentMs;
+      occurrence++
+    ) {
+      crashName = `${upstreamKey}/${occurrence}`;
     }
-    return this.adopt([[digest, name, 0, false]], nowMs);
+    return this.merge([[digest, crashName, 0, false]], nowMs);
   }
 
   /** The request ran without ending its upstream: nothing so far speaks against it. Returns what is new for others. */
-  clear(digest: string, nowMs: number): EndNews[] {
-    const ends = this.#entries.get(digest) ?? new Map<string, End>();
-    const rows = [...ends].filter(([, { isCleared }]) => !isCleared)
-      .map(([key, { atMs }]): EndNews => [digest, key, nowMs - atMs, true]);
-    return this.adopt(rows, nowMs);
+  clear(digest: string, nowMs: number): CrashRow[] {
+    const crashes = this.#entries.get(digest) ?? new Map<string, Crash>();
+    const rows = [...crashes].filter(([, { isCleared }]) => !isCleared)
+      .map(([key, { atMs }]): CrashRow => [digest, key, nowMs - atMs, true]);
+    return this.merge(rows, nowMs);
   }
 
   /** Takes in what another VM told. Returns the rows that were new. */
-  adopt(rows: readonly EndNews[], nowMs: number): EndNews[] {
-    const isNew = rows.filter((row) => this.#take(row, nowMs));
-    if (this.#entries.size > MOST_ENTRIES) this.#dropLeast(nowMs);
-    if (isNew.length > 0) this.#lookForSuspects(nowMs);
-    return isNew;
+  merge(rows: readonly CrashRow[], nowMs: number): CrashRow[] {
+    const newRows = rows.filter((row) => this.#mergeRow(row, nowMs));
+    if (this.#entries.size > MAX_ENTRIES) this.#evict(nowMs);
+    if (newRows.length > 0) this.#updateHasSuspects(nowMs);
+    return newRows;
   }
 
   /** Ends that count against a request. */
-  ends(digest: string, nowMs: number): number {
-    const ends = this.#entries.get(digest);
-    return ends ? count(ends, nowMs) : 0;
+  crashCount(digest: string, nowMs: number): number {
+    const crashes = this.#entries.get(digest);
+    return crashes ? countActive(crashes, nowMs) : 0;
   }
 
   /** Upstreams that ended under a request. */
-  upstreams(digest: string): string[] {
+  crashedUpstreams(digest: string): string[] {
     return [...this.#entries.get(digest) ?? []]
       .filter(([, { isCleared }]) => !isCleared).map(([key]) => key);
   }
 
-  standing(digest: string, nowMs: number): Standing {
-    const ends = this.ends(digest, nowMs);
-    if (ends >= ENDS_TO_REJECT) return "rejected";
-    if (ends >= ENDS_BEFORE_TRIAL) return "onTrial";
-    return ends > 0 ? "suspected" : "clear";
+  statusOf(digest: string, nowMs: number): SuspectStatus {
+    const crashes = this.crashCount(digest, nowMs);
+    if (crashes >= CRASHES_TO_REJECT) return "rejected";
+    if (crashes >= CRASHES_BEFORE_TRIAL) return "onTrial";
+    return crashes > 0 ? "suspected" : "clear";
   }
 
   /** Time until a rejected request may run again, as enough of its ends no longer count. */
   rejectedForMs(digest: string, nowMs: number): number {
     const latestFirst = [...this.#entries.get(digest)?.values() ?? []]
-      .filter((end) => counts(end, nowMs)).map(({ atMs }) => atMs)
+      .filter((crash) => isActive(crash, nowMs)).map(({ atMs }) => atMs)
       .sort((a, b) => b - a);
-    const lastToGo = latestFirst.at(ENDS_TO_REJECT - 1);
-    return lastToGo === undefined ? 0 : lastToGo + COUNTS_MS - nowMs;
+    const lastToExpire = latestFirst.at(CRASHES_TO_REJECT - 1);
+    return lastToExpire === undefined ? 0 : lastToExpire + CRASH_TTL_MS - nowMs;
   }
 
   /** What is told again and again: rows of the requests with most ends, of those with more than one. */
-  worst(nowMs: number): EndNews[] {
+  worstRows(nowMs: number): CrashRow[] {
     return [...this.#entries]
-      .filter(([, ends]) => count(ends, nowMs) > 1)
-      .sort(([, a], [, b]) => count(b, nowMs) - count(a, nowMs))
-      .flatMap(([digest, ends]) =>
-        [...ends].map(([key, { atMs, isCleared }]): EndNews => [
+      .filter(([, crashes]) => countActive(crashes, nowMs) > 1)
+      .sort(([, a], [, b]) => countActive(b, nowMs) - countActive(a, nowMs))
+      .flatMap(([digest, crashes]) =>
+        [...crashes].map(([key, { atMs, isCleared }]): CrashRow => [
           digest,
           key,
           Math.round(nowMs - atMs),
           isCleared,
         ])
-      ).slice(0, MOST_TOLD_AGAIN);
+      ).slice(0, MAX_RESENT_ROWS);
   }
 
   /** Drops entries of which nothing counts any more. */
   sweep(nowMs: number): void {
-    for (const [digest, ends] of this.#entries) {
-      const isOver = [...ends.values()]
-        .every(({ atMs }) => nowMs - atMs >= COUNTS_MS);
-      if (isOver) this.#entries.delete(digest);
+    for (const [digest, crashes] of this.#entries) {
+      const isExpired = [...crashes.values()]
+        .every(({ atMs }) => nowMs - atMs >= CRASH_TTL_MS);
+      if (isExpired) this.#entries.delete(digest);
     }
-    this.#lookForSuspects(nowMs);
+    this.#updateHasSuspects(nowMs);
   }
 
-  #lookForSuspects(nowMs: number): void {
+  #updateHasSuspects(nowMs: number): void {
     this.#hasSuspects = false;
-    for (const ends of this.#entries.values()) {
-      if (count(ends, nowMs) === 0) continue;
+    for (const crashes of this.#entries.values()) {
+      if (countActive(crashes, nowMs) === 0) continue;
       this.#hasSuspects = true;
       return;
     }
   }
 
   dump(nowMs: number): unknown {
-    return [...this.#entries].map(([request, ends]) => ({
+    return [...this.#entries].map(([request, crashes]) => ({
       request,
-      standing: this.standing(request, nowMs),
+      standing: this.statusOf(request, nowMs),
       ends: Object.fromEntries(
-        [...ends].map(([key, { atMs, isCleared }]) => [
+        [...crashes].map(([key, { atMs, isCleared }]) => [
           key,
           { agoMs: Math.round(nowMs - atMs), isCleared },
         ]),
@@ -172,14 +176,14 @@
     }));
   }
 
-  #take([digest, key, agoMs, isCleared]: EndNews, nowMs: number): boolean {
-    if (agoMs >= COUNTS_MS) return false;
-    let ends = this.#entries.get(digest);
-    if (!ends) this.#entries.set(digest, ends = new Map());
-    const known = ends.get(key);
+  #mergeRow([digest, key, agoMs, isCleared]: CrashRow, nowMs: number): boolean {
+    if (agoMs >= CRASH_TTL_MS) return false;
+    let crashes = this.#entries.get(digest);
+    if (!crashes) this.#entries.set(digest, crashes = new Map());
+    const known = crashes.get(key);
     if (!known) {
-      if (ends.size >= MOST_UPSTREAMS) return false;
-      ends.set(key, { atMs: nowMs - agoMs, isCleared });
+      if (crashes.size >= MAX_UPSTREAMS_PER_REQUEST) return false;
+      crashes.set(key, { atMs: nowMs - agoMs, isCleared });
       return true;
     }
     if (known.isCleared || !isCleared) return false;
@@ -188,24 +192,24 @@
   }
 
   /** A flood of requests with an end each goes before one with several. */
-  #dropLeast(nowMs: number): void {
-    const least = [...this.#entries].map(([digest, ends]) => ({
+  #evict(nowMs: number): void {
+    const entries = [...this.#entries].map(([digest, crashes]) => ({
       digest,
-      count: count(ends, nowMs),
-      lastMs: Math.max(...[...ends.values()].map(({ atMs }) => atMs)),
+      count: countActive(crashes, nowMs),
+      lastMs: Math.max(...[...crashes.values()].map(({ atMs }) => atMs)),
     })).sort((a, b) => a.count - b.count || a.lastMs - b.lastMs);
-    for (const { digest } of least.slice(0, DROPPED_TOGETHER)) {
+    for (const { digest } of entries.slice(0, EVICTION_BATCH)) {
       this.#entries.delete(digest);
     }
   }
 }
 
-function counts({ atMs, isCleared }: End, nowMs: number): boolean {
-  return !isCleared && nowMs - atMs < COUNTS_MS;
+function isActive({ atMs, isCleared }: Crash, nowMs: number): boolean {
+  return !isCleared && nowMs - atMs < CRASH_TTL_MS;
 }
 
-function count(ends: Ends, nowMs: number): number {
+function countActive(crashes: Crashes, nowMs: number): number {
   let sum = 0;
-  for (const end of ends.values()) if (counts(end, nowMs)) sum++;
+  for (const crash of crashes.values()) if (isActive(crash, nowMs)) sum++;
   return sum;
 }
--- a/src/suspects/evidence.ts
+++ b/src/suspects/evidence.ts
@@ -5,7 +5,7 @@
  */
 
 /** A request that crashes its upstream does so as it begins to run; a crash later than this has another cause. */
-const BEGIN_MS = 500;
+const MAX_CRASH_DELAY_MS = 500;
 
 /** How long a request had been at its upstream when the connection broke. */
 export interface BrokenRun {
@@ -17,11 +17,11 @@
  * Whether the request itself can be the cause, should the upstream have ended. Of a hundred streams that break together
  * most have run for long, and are cleared by this alone.
  */
-export function mayBeCause({ beganAgoMs }: BrokenRun): boolean {
-  return beganAgoMs === undefined || beganAgoMs <= BEGIN_MS;
+export function canBeCause({ beganAgoMs }: BrokenRun): boolean {
+  return beganAgoMs === undefined || beganAgoMs <= MAX_CRASH_DELAY_MS;
 }
 
 /** Whether a request that has run for so long can be told innocent before its end. */
 export function hasSurvived(beganAgoMs: number): boolean {
-  return beganAgoMs > BEGIN_MS;
+  return beganAgoMs > MAX_CRASH_DELAY_MS;
 }
--- a/src/suspects/keeper.ts
+++ b/src/suspects/keeper.ts
@@ -5,16 +5,16 @@
  */
 
 import {
-  EndBook,
-  type EndNews,
-  ENDS_BEFORE_TRIAL,
-  type Standing,
+  CRASHES_BEFORE_TRIAL,
+  CrashHistory,
+  type CrashRow,
+  type SuspectStatus,
 } from "./end_book.ts";
 
 /** What this VM itself saw is told again for so long, should those who were told be cut off or change. */
-const OWN_MS = 10_000;
+const OWN_RESEND_MS = 10_000;
 /** When to come back while the request runs elsewhere for the last time: the run shows within it what it does. */
-const TRIAL_RETURN_MS = 2_000;
+const TRIAL_RETRY_AFTER_MS = 2_000;
 
 /** A suspect as it stands in the store. */
 export interface StoredSuspect {
@@ -30,7 +30,7 @@
     readonly request: string;
     readonly upstream: string;
     readonly ends: number;
-    readonly standing: Standing;
+    readonly standing: SuspectStatus;
   }
   | {
     readonly type: "cleared";
@@ -64,68 +64,71 @@
   /** Writes a suspect down, so that it outlives a restart of all VMs. Resolves to whether it stands there. */
   abstract put(suspect: StoredSuspect): Promise<boolean>;
   /** Takes the leave to run a suspect once more, which one VM has at a time; `false` also if the store is away. */
-  abstract takeTrial(digest: string): Promise<boolean>;
+  abstract acquireTrial(digest: string): Promise<boolean>;
   /** Strikes a suspect and its trial out. */
-  abstract strike(digest: string): Promise<void>;
+  abstract delete(digest: string): Promise<void>;
 }
 
-/** A {@link SuspectKeeper}'s ways to the other VMs and to the log. */
-export abstract class SuspectLinks {
+/** A {@link SuspectTracker}'s ways to the other VMs and to the log. */
+export abstract class SuspectPublisher {
   /** Tells rows to the VMs that have to know. What is lost is told again. */
-  abstract tell(rows: readonly EndNews[]): void;
-  abstract note(event: SuspectEvent): void;
+  abstract publish(rows: readonly CrashRow[]): void;
+  abstract noteEvent(event: SuspectEvent): void;
 }
 
 /** See the module. */
-export class SuspectKeeper {
-  readonly #links: SuspectLinks;
+export class SuspectTracker {
+  readonly #publisher: SuspectPublisher;
   readonly #records: SuspectRecords;
   readonly #nowMs: () => number;
-  readonly #book = new EndBook();
-  #own: { readonly rows: readonly EndNews[]; readonly seenMs: number }[] = [];
+  readonly #history = new CrashHistory();
+  #ownCrashes: {
+    readonly rows: readonly CrashRow[];
+    readonly seenMs: number;
+  }[] = [];
 
   /** `nowMs` is the monotonic clock. */
   constructor(
-    links: SuspectLinks,
+    publisher: SuspectPublisher,
     records: SuspectRecords,
     nowMs: () => number,
   ) {
-    this.#links = links;
+    this.#publisher = publisher;
     this.#records = records;
     this.#nowMs = nowMs;
   }
 
   /** Whether any request is suspected; else none needs to be looked at. */
   get hasSuspects(): boolean {
-    return this.#book.hasSuspects;
+    return this.#history.hasSuspects;
   }
 
-  standing(digest: string): Standing {
-    return this.#book.standing(digest, this.#nowMs());
+  statusOf(digest: string): SuspectStatus {
+    return this.#history.statusOf(digest, this.#nowMs());
   }
 
   /** The upstreams that ended under a request. */
-  ends(digest: string): readonly string[] {
-    return this.#book.upstreams(digest);
+  crashedUpstreams(digest: string): readonly string[] {
+    return this.#history.crashedUpstreams(digest);
   }
 
   dump(): unknown {
-    return this.#book.dump(this.#nowMs());
+    return this.#history.dump(this.#nowMs());
   }
 
   /** Whether a request may run now. `hasLeave` if it was given the leave for its trial already. */
-  async judge(digest: string, hasLeave: boolean): Promise<SuspectVerdict> {
-    const standing = this.standing(digest);
-    if (standing === "rejected") return this.#rejection(digest);
+  async decide(digest: string, hasLeave: boolean): Promise<SuspectVerdict> {
+    const standing = this.statusOf(digest);
+    if (standing === "rejected") return this.#reject(digest);
     if (standing !== "onTrial" || hasLeave) return { type: "runs", hasLeave };
-    const isTaken = await this.#records.takeTrial(digest);
-    this.#links.note({ type: "trial", request: digest, isTaken });
+    const isTaken = await this.#records.acquireTrial(digest);
+    this.#publisher.noteEvent({ type: "trial", request: digest, isTaken });
     // Its last run may have ended elsewhere meanwhile.
-    if (this.standing(digest) === "rejected") return this.#rejection(digest);
+    if (this.statusOf(digest) === "rejected") return this.#reject(digest);
     return isTaken ? { type: "runs", hasLeave: true } : {
       type: "refused",
       code: "onTrialElsewhere",
-      comeBackMs: TRIAL_RETURN_MS,
+      comeBackMs: TRIAL_RETRY_AFTER_MS,
     };
   }
 
@@ -133,81 +136,87 @@
    * Notes that an upstream ended as a request, which had been there for `sentAgoMs`, began to run, and tells the others.
    * Returns the name of the end, for who handed the request over.
    */
-  noteEnd(digest: string, upstreamKey: string, sentAgoMs: number): string {
+  noteCrash(digest: string, upstreamKey: string, sentAgoMs: number): string {
     const nowMs = this.#nowMs();
     const sentMs = nowMs - sentAgoMs;
-    const rows = this.#book.noteEnd(digest, upstreamKey, sentMs, nowMs);
+    const rows = this.#history.noteCrash(digest, upstreamKey, sentMs, nowMs);
     if (rows.length === 0) return upstreamKey;
     const [[, upstream]] = rows;
-    const ends = this.#book.ends(digest, nowMs);
-    const standing = this.standing(digest);
-    this.#links.note({
+    const crashCount = this.#history.crashCount(digest, nowMs);
+    const standing = this.statusOf(digest);
+    this.#publisher.noteEvent({
       type: "ended",
       request: digest,
       upstream,
-      ends,
+      ends: crashCount,
       standing,
     });
-    this.#tellOwn(rows, nowMs);
-    if (ends >= ENDS_BEFORE_TRIAL) void this.#writeDown(digest);
+    this.#publishOwn(rows, nowMs);
+    if (crashCount >= CRASHES_BEFORE_TRIAL) void this.#storeSuspect(digest);
     return upstream;
   }
 
   /** The VM that a request was handed to says that an upstream ended under it there; that VM tells the others. */
-  noteEndElsewhere(digest: string, ended: string): void {
-    this.#book.adopt([[digest, ended, 0, false]], this.#nowMs());
+  noteRemoteCrash(digest: string, crashName: string): void {
+    this.#history.merge([[digest, crashName, 0, false]], this.#nowMs());
   }
 
   /** A request ran and ended nothing; of no effect unless it was suspected. */
   clear(digest: string): void {
     const nowMs = this.#nowMs();
-    const ends = this.#book.ends(digest, nowMs);
-    if (ends === 0) return;
-    const rows = this.#book.clear(digest, nowMs);
-    this.#links.note({ type: "cleared", request: digest, ends });
-    this.#tellOwn(rows, nowMs);
-    if (ends >= ENDS_BEFORE_TRIAL) void this.#records.strike(digest);
+    const crashCount = this.#history.crashCount(digest, nowMs);
+    if (crashCount === 0) return;
+    const rows = this.#history.clear(digest, nowMs);
+    this.#publisher.noteEvent({
+      type: "cleared",
+      request: digest,
+      ends: crashCount,
+    });
+    this.#publishOwn(rows, nowMs);
+    if (crashCount >= CRASHES_BEFORE_TRIAL) void this.#records.delete(digest);
   }
 
   /** Takes in what another VM told. Returns what was new here. */
-  adopt(rows: readonly EndNews[]): EndNews[] {
-    return this.#book.adopt(rows, this.#nowMs());
+  merge(rows: readonly CrashRow[]): CrashRow[] {
+    return this.#history.merge(rows, this.#nowMs());
   }
 
   /** Takes in what all VMs knew before they were started again. Resolves to whether the store told. */
-  async readRecords(): Promise<boolean> {
+  async loadRecords(): Promise<boolean> {
     const stored = await this.#records.list();
     const rows = stored?.flatMap(({ digest, upstreams }) =>
-      upstreams.map((upstream): EndNews => [digest, upstream, 0, false])
+      upstreams.map((upstream): CrashRow => [digest, upstream, 0, false])
     );
-    this.adopt(rows ?? []);
+    this.merge(rows ?? []);
     return stored !== undefined;
   }
 
   /** To be called every second or two: what was told may be lost. `speaksForRegion` tells what all VMs saw, else its own. */
-  tellAgain(speaksForRegion: boolean): void {
+  republish(shouldSendAll: boolean): void {
     const nowMs = this.#nowMs();
-    this.#book.sweep(nowMs);
-    this.#own = this.#own.filter(({ seenMs }) => nowMs - seenMs < OWN_MS);
-    const rows = speaksForRegion
-      ? this.#book.worst(nowMs)
-      : this.#own.flatMap(({ rows }) => rows);
-    if (rows.length > 0) this.#links.tell(rows);
+    this.#history.sweep(nowMs);
+    this.#ownCrashes = this.#ownCrashes.filter(({ seenMs }) =>
+      nowMs - seenMs < OWN_RESEND_MS
+    );
+    const rows = shouldSendAll
+      ? this.#history.worstRows(nowMs)
+      : this.#ownCrashes.flatMap(({ rows }) => rows);
+    if (rows.length > 0) this.#publisher.publish(rows);
   }
 
-  #tellOwn(rows: readonly EndNews[], nowMs: number): void {
-    this.#own.push({ rows, seenMs: nowMs });
-    this.#links.tell(rows);
+  #publishOwn(rows: readonly CrashRow[], nowMs: number): void {
+    this.#ownCrashes.push({ rows, seenMs: nowMs });
+    this.#publisher.publish(rows);
   }
 
-  #rejection(digest: string): SuspectVerdict {
-    const comeBackMs = this.#book.rejectedForMs(digest, this.#nowMs());
+  #reject(digest: string): SuspectVerdict {
+    const comeBackMs = this.#history.rejectedForMs(digest, this.#nowMs());
     return { type: "refused", code: "endsUpstreams", comeBackMs };
   }
 
-  async #writeDown(digest: string): Promise<void> {
-    const upstreams = this.#book.upstreams(digest);
+  async #storeSuspect(digest: string): Promise<void> {
+    const upstreams = this.#history.crashedUpstreams(digest);
     if (await this.#records.put({ digest, upstreams })) return;
-    this.#links.note({ type: "notStored", request: digest });
+    this.#publisher.noteEvent({ type: "notStored", request: digest });
   }
 }
--- a/src/suspects/news.ts
+++ b/src/suspects/news.ts
@@ -4,46 +4,48 @@
  * @module
  */
 
-import type { EndNews } from "./end_book.ts";
+import type { CrashRow } from "./end_book.ts";
 
 /** A message between VMs. */
-export interface ToldEnds {
+export interface CrashMessage {
   /** Region of the VM that tells. */
   readonly region: string;
-  readonly rows: readonly EndNews[];
+  readonly rows: readonly CrashRow[];
 }
 
 /** Rows of one message, about a kilobyte. */
-export const MOST_ROWS = 20;
+export const MAX_ROWS = 20;
 /** Digests and keys of upstreams are shorter; a longer text is not ours. */
-const MOST_TEXT = 200;
+const MAX_TEXT_LENGTH = 200;
 
-function isText(value: unknown): value is string {
-  return typeof value === "string" && value.length <= MOST_TEXT;
+function isShortText(value: unknown): value is string {
+  return typeof value === "string" && value.length <= MAX_TEXT_LENGTH;
 }
 
-function isRow(value: unknown): value is EndNews {
+function isRow(value: unknown): value is CrashRow {
   if (!Array.isArray(value) || value.length !== 4) return false;
   const [digest, key, agoMs, isCleared] = value;
-  return isText(digest) && isText(key) && Number.isFinite(agoMs) &&
+  return isShortText(digest) && isShortText(key) && Number.isFinite(agoMs) &&
     agoMs >= 0 && typeof isCleared === "boolean";
 }
 
 /** Parts rows into messages. */
-export function encodeEnds(
+export function encodeCrashes(
   region: string,
-  rows: readonly EndNews[],
-): ToldEnds[] {
-  const messages: ToldEnds[] = [];
-  for (let at = 0; at < rows.length; at += MOST_ROWS) {
-    messages.push({ region, rows: rows.slice(at, at + MOST_ROWS) });
+  rows: readonly CrashRow[],
+): CrashMessage[] {
+  const messages: CrashMessage[] = [];
+  for (let start = 0; start < rows.length; start += MAX_ROWS) {
+    messages.push({ region, rows: rows.slice(start, start + MAX_ROWS) });
   }
   return messages;
 }
 
 /** Reads a message; `undefined` if it is none. */
-export function decodeEnds(params: unknown): ToldEnds | undefined {
-  const told = params as Partial<ToldEnds> | null;
-  if (!isText(told?.region) || !Array.isArray(told.rows)) return undefined;
-  return { region: told.region, rows: told.rows.filter(isRow) };
+export function decodeCrashes(params: unknown): CrashMessage | undefined {
+  const message = params as Partial<CrashMessage> | null;
+  if (!isShortText(message?.region) || !Array.isArray(message.rows)) {
+    return undefined;
+  }
+  return { region: message.region, rows: message.rows.filter(isRow) };
 }
--- a/src/workspaces/caller.ts
+++ b/src/workspaces/caller.ts
@@ -34,7 +34,7 @@
   | { readonly type: "homeless"; readonly workspace: string };
 
 /** Regions that both sides allow; `undefined` if they share none. An empty list allows all. */
-function sharedHomes(
+function intersectRegions(
   ofRoute: readonly string[],
   ofWorkspace: readonly string[],
 ): readonly string[] | undefined {
@@ -48,18 +48,18 @@
  * Finds out who calls. A key that nobody holds is refused here, before the body is read or an upstream is looked for: a
  * request that must be refused anyway would take a place from one that must not.
  */
-export function callerOf(
+export function identifyCaller(
   workspaces: Workspaces,
   route: CalledRoute,
   keyDigest: string | undefined,
 ): Caller {
   const workspace = keyDigest === undefined
     ? undefined
-    : workspaces.holderOf(keyDigest);
-  if (workspaces.areRequired && !route.anonymous && !workspace) {
+    : workspaces.findByKeyDigest(keyDigest);
+  if (workspaces.isKeyRequired && !route.anonymous && !workspace) {
     return { type: "unknown" };
   }
-  const homeRegions = sharedHomes(
+  const homeRegions = intersectRegions(
     route.homeRegions,
     workspace?.homeRegions ?? [],
   );
@@ -73,7 +73,7 @@
 }
 
 /** What a request uses of a limit; `tokens` is 0 if it names none. */
-export function quotaUnits(
+export function countQuotaUnits(
   { unit, plainTokens }: QuotaLimit,
   tokens: number,
 ): number {
--- a/src/workspaces/caller_test.ts
+++ b/src/workspaces/caller_test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from "../base/describe.ts";
 import {
   type CalledRoute,
-  callerOf,
-  quotaUnits,
+  countQuotaUnits,
+  identifyCaller,
   type WorkspaceRow,
   Workspaces,
 } from "./mod.ts";
@@ -25,28 +25,31 @@
   it("is known by any key of its workspace", (t) => {
     const workspaces = new Workspaces([row()]);
     for (const digest of ["digest-1", "digest-2"]) {
-      const caller = callerOf(workspaces, ROUTE, digest);
+      const caller = identifyCaller(workspaces, ROUTE, digest);
       t.is(caller.type === "known" && caller.workspace?.name, "clinic");
     }
   });
 
   it("is unknown without a key, and with one that nobody holds", (t) => {
     const workspaces = new Workspaces([row()]);
-    t.is(callerOf(workspaces, ROUTE, undefined).type, "unknown");
-    t.is(callerOf(workspaces, ROUTE, "digest-3").type, "unknown");
-    t.is(callerOf(new Workspaces([]), ROUTE, "digest-1").type, "unknown");
+    t.is(identifyCaller(workspaces, ROUTE, undefined).type, "unknown");
+    t.is(identifyCaller(workspaces, ROUTE, "digest-3").type, "unknown");
+    t.is(identifyCaller(new Workspaces([]), ROUTE, "digest-1").type, "unknown");
   });
 
   it("needs no key on an anonymous route, and where there are no workspaces", (t) => {
     const open = { ...ROUTE, anonymous: true };
-    t.is(callerOf(new Workspaces([row()]), open, undefined).type, "known");
+    t.is(
+      identifyCaller(new Workspaces([row()]), open, undefined).type,
+      "known",
+    );
     const none = new Workspaces(undefined);
-    t.is(callerOf(none, ROUTE, undefined).type, "known");
+    t.is(identifyCaller(none, ROUTE, undefined).type, "known");
   });
 
   it("is served by its workspace's priority before the route's", (t) => {
     const priorityOf = (priority: number | undefined) => {
-      const caller = callerOf(
+      const caller = identifyCaller(
         new Workspaces([row({ priority })]),
         ROUTE,
         "digest-1",
@@ -59,7 +62,7 @@
 
   it("is bound to the regions that route and workspace share", (t) => {
     const homes = (ofRoute: string[], ofWorkspace: string[]) => {
-      const caller = callerOf(
+      const caller = identifyCaller(
         new Workspaces([row({ homeRegions: ofWorkspace })]),
         { ...ROUTE, homeRegions: ofRoute },
         "digest-1",
@@ -83,7 +86,7 @@
           ),
         );
         digests.forEach((digest, index) =>
-          t.is(workspaces.holderOf(digest)?.name, `w${index}`)
+          t.is(workspaces.findByKeyDigest(digest)?.name, `w${index}`)
         );
       }),
     );
@@ -99,11 +102,11 @@
   } as const;
 
   it("is its tokens, or what a plain one counts as", (t) => {
-    t.is(quotaUnits(TOKENS, 9_240), 9_240);
-    t.is(quotaUnits(TOKENS, 0), 200);
+    t.is(countQuotaUnits(TOKENS, 9_240), 9_240);
+    t.is(countQuotaUnits(TOKENS, 0), 200);
   });
 
   it("is one where requests are counted", (t) => {
-    t.is(quotaUnits({ ...TOKENS, unit: "requests" }, 9_240), 1);
+    t.is(countQuotaUnits({ ...TOKENS, unit: "requests" }, 9_240), 1);
   });
 });
--- a/src/workspaces/workspaces.ts
+++ b/src/workspaces/workspaces.ts
@@ -34,13 +34,13 @@
 /** See the module. A look-up costs the same with ten workspaces and with ten thousand. */
 export class Workspaces {
   /** Whether callers need a key at all, on routes that ask for one. */
-  readonly areRequired: boolean;
+  readonly isKeyRequired: boolean;
   readonly #byName = new Map<string, WorkspaceRow>();
   readonly #byKeyDigest = new Map<string, WorkspaceRow>();
 
   /** `undefined` for a configuration without workspaces, which asks nobody for a key. */
   constructor(rows: readonly WorkspaceRow[] | undefined) {
-    this.areRequired = rows !== undefined;
+    this.isKeyRequired = rows !== undefined;
     for (const row of rows ?? []) {
       this.#byName.set(row.name, row);
       for (const digest of row.keyDigests) this.#byKeyDigest.set(digest, row);
@@ -56,7 +56,7 @@
   }
 
   /** The workspace that holds the key with this digest. */
-  holderOf(keyDigest: string): WorkspaceRow | undefined {
+  findByKeyDigest(keyDigest: string): WorkspaceRow | undefined {
     return this.#byKeyDigest.get(keyDigest);
   }
 }
--- a/test/claims_region.ts
+++ b/test/claims_region.ts
@@ -13,7 +13,7 @@
 } from "../src/adapters/mod.ts";
 import type { ShardLimits } from "../src/agreement/mod.ts";
 import { ManualClock } from "../src/base/mod.ts";
-import { Kernel, openLog, type Port } from "../src/kernel/mod.ts";
+import { Kernel, openLog, type TaskPort } from "../src/kernel/mod.ts";
 import {
   ClaimsService,
   type MembersMessages,
@@ -183,15 +183,15 @@
     throw new Error(`no owner in ${region}`);
   }
 
-  #tablePort(): Port<TableMessages> {
+  #tablePort(): TaskPort<TableMessages> {
     const workspace = (id: string) => {
       const home = this.homes.get(id);
       return home === undefined ? undefined : { home };
     };
-    return { ask: () => ({ workspace }) } as unknown as Port<TableMessages>;
+    return { ask: () => ({ workspace }) } as unknown as TaskPort<TableMessages>;
   }
 
-  #membersOf(me: VmInfo): Port<MembersMessages> {
+  #membersOf(me: VmInfo): TaskPort<MembersMessages> {
     const seen = () =>
       [...this.#vms.values()].map((vm) => vm.info).filter((vm) =>
         vm.id === me.id || this.reachable(me.id, vm.id)
@@ -209,6 +209,6 @@
         ]),
       );
     };
-    return { ask } as unknown as Port<MembersMessages>;
+    return { ask } as unknown as TaskPort<MembersMessages>;
   }
 }
--- a/test/fuzz_claims_vms.ts
+++ b/test/fuzz_claims_vms.ts
@@ -46,7 +46,7 @@
   dispatchMs: 5000,
   rankDelayMs: 100,
   segmentBytes: 900,
-  backoff: { firstMs: 50, mostMs: 400 },
+  backoff: { firstMs: 50, maxMs: 400 },
 };
 const keys = shardKeys("r", 0);
 /** Time from one tick of the machines to the next. */
--- a/test/log_flood.ts
+++ b/test/log_flood.ts
@@ -4,13 +4,13 @@
  * @module
  */
 
-import { LineLog, standardOutput } from "../src/gateway/mod.ts";
+import { LineLog, openStandardOutput } from "../src/gateway/mod.ts";
 
 const LINES = 20_000;
 /** Lines of one made-up second: below what a second may write, so that only the reader limits them. */
 const LINES_PER_S = 200;
 
-const sink = standardOutput();
+const sink = openStandardOutput();
 let nowMs = 0;
 const log = new LineLog(sink, { vm: "vm-1" }, () => nowMs);
 for (let i = 0; i < LINES; i++) {
