--- a/src/base/mod.ts
+++ b/src/base/mod.ts
@@ -9,5 +9,5 @@
 export * from "./random.ts";
 export * from "./hash.ts";
 export * from "./backoff.ts";
-export * from "./late_watch.ts";
-export * from "./pause_watch.ts";
+export * from "./lag_detector.ts";
+export * from "./pause_detector.ts";
--- a/src/decisions/parking.ts
+++ b/src/decisions/affinity_queue.ts
@@ -5,7 +5,7 @@
  */
 
 import TinyQueue from "tinyqueue";
-import type { QueueEntry } from "./lane_entry.ts";
+import type { QueueEntry } from "./queue_entry.ts";
 
 interface DeferredEntry {
   readonly entry: QueueEntry;
--- a/src/decisions/dispatcher.ts
+++ b/src/decisions/dispatcher.ts
@@ -6,9 +6,9 @@
 
 import type { ServiceRow, UpstreamRow } from "../agreement/mod.ts";
 import type { Random } from "../base/mod.ts";
-import { type Assignment, Scheduler } from "./chooser.ts";
+import { type Assignment, Scheduler } from "./scheduler.ts";
 import { Fleet } from "./fleet.ts";
-import type { QueueEntry } from "./lane_entry.ts";
+import type { QueueEntry } from "./queue_entry.ts";
 import { Lanes } from "./lanes.ts";
 import type { PlacementView } from "./placement.ts";
 import {
@@ -17,15 +17,15 @@
   type PoolOutput,
   SLOT_TTL_MS,
 } from "./pool_messages.ts";
-import { Autoscaler } from "./release.ts";
-import { GrantedSlots } from "./slot_book.ts";
+import { Autoscaler } from "./autoscaler.ts";
+import { GrantedSlots } from "./granted_slots.ts";
 import type { SlotReport } from "./slots.ts";
 import {
   computeOverdueAtMs,
   type HeldAttempt,
   type Upstream,
 } from "./upstream.ts";
-import { WaitForecaster } from "./waits.ts";
+import { WaitForecaster } from "./wait_forecaster.ts";
 import { workTokens } from "./work.ts";
 
 /** Upstreams that may have got room since the last step. */
--- a/src/decisions/lanes.ts
+++ b/src/decisions/lanes.ts
@@ -6,8 +6,8 @@
 
 import TinyQueue from "tinyqueue";
 import { FairQueue, type Ticket } from "./fair_queue.ts";
-import { type LaneName, LANES, type QueueEntry } from "./lane_entry.ts";
-import { AffinityQueue } from "./parking.ts";
+import { type LaneName, LANES, type QueueEntry } from "./queue_entry.ts";
+import { AffinityQueue } from "./affinity_queue.ts";
 import type { SlotRequest } from "./slots.ts";
 
 /**
--- a/src/decisions/limits.ts
+++ b/src/decisions/limits.ts
@@ -9,7 +9,7 @@
 
 import type { Table, WorkspaceRow } from "../agreement/mod.ts";
 import { type Failure, failure } from "../base/mod.ts";
-import { TokenBucket } from "./bucket.ts";
+import { TokenBucket } from "./token_bucket.ts";
 import {
   computeHomeWeights,
   computeLimitPart,
--- a/src/decisions/parts_test.ts
+++ b/src/decisions/parts_test.ts
@@ -1,15 +1,15 @@
 import fc from "fast-check";
 import { Table, type TableRow, tableRow } from "../agreement/mod.ts";
 import { describe, it } from "../base/describe.ts";
-import { WaitCorrection } from "./admission.ts";
+import { WaitCorrection } from "./wait_model.ts";
 import { FairQueue } from "./fair_queue.ts";
 import { Health } from "./health.ts";
 import { computeHomeWeights, computeLimitPart } from "./limit_parts.ts";
 import { Limiter } from "./limits.ts";
 import { mayRetry, RetryBudget } from "./retry.ts";
 import { chooseRegion, ShiftCounts, type ShiftView } from "./shift.ts";
-import { RecentUsage } from "./usage.ts";
-import { CachedPrefixes } from "./warm.ts";
+import { RecentUsage } from "./recent_usage.ts";
+import { CachedPrefixes } from "./cached_prefixes.ts";
 
 function tableOf(...rows: object[]): Table {
   const parsed = rows.map((row) => tableRow.parse(row));
--- a/src/decisions/pool.ts
+++ b/src/decisions/pool.ts
@@ -6,9 +6,9 @@
 
 import type { ServiceRow, Table, UpstreamRow } from "../agreement/mod.ts";
 import { Random } from "../base/mod.ts";
-import { AdmissionControl, type AdmissionResult } from "./gate.ts";
+import { AdmissionControl, type AdmissionResult } from "./admission_control.ts";
 import { type ChangedUpstreams, Dispatcher } from "./dispatcher.ts";
-import { RegionRouter } from "./exchange.ts";
+import { RegionRouter } from "./region_router.ts";
 import {
   type HeldSlot,
   type LoadReport,
--- a/src/decisions/retry.ts
+++ b/src/decisions/retry.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Ran } from "../base/mod.ts";
-import { TokenBucket } from "./bucket.ts";
+import { TokenBucket } from "./token_bucket.ts";
 
 /**
  * Retries per first attempt. When an upstream dies, a retry saves its requests; when all are overloaded, retries are
--- a/src/decisions/chooser.ts
+++ b/src/decisions/scheduler.ts
@@ -6,8 +6,8 @@
 
 import type { Random } from "../base/mod.ts";
 import type { Fleet } from "./fleet.ts";
-import { PrefixIndex } from "./holders.ts";
-import type { QueueEntry } from "./lane_entry.ts";
+import { PrefixIndex } from "./prefix_index.ts";
+import type { QueueEntry } from "./queue_entry.ts";
 import type { Lanes } from "./lanes.ts";
 import {
   type Candidate,
@@ -17,7 +17,7 @@
   tryPlaceAt,
 } from "./placement.ts";
 import type { Upstream } from "./upstream.ts";
-import { RecentUsage } from "./usage.ts";
+import { RecentUsage } from "./recent_usage.ts";
 
 /**
  * A new lead takes load reports at their word and fills half of each upstream for this long. Its predecessor's slots are
--- a/src/decisions/upstream.ts
+++ b/src/decisions/upstream.ts
@@ -7,9 +7,9 @@
 import TinyQueue from "tinyqueue";
 import type { UpstreamRow } from "../agreement/mod.ts";
 import { Health } from "./health.ts";
-import type { LaneName } from "./lane_entry.ts";
+import type { LaneName } from "./queue_entry.ts";
 import type { RequestCost } from "./limits.ts";
-import { CachedPrefixes } from "./warm.ts";
+import { CachedPrefixes } from "./cached_prefixes.ts";
 import { prefillMs } from "./work.ts";
 
 /** Time to a first token that no prompt is too short for: a queued pass of the engine and the network. */
--- a/src/decisions/waits.ts
+++ b/src/decisions/wait_forecaster.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-import { DrainRate, WaitCorrection } from "./admission.ts";
-import { type LaneName, LANES, type QueueEntry } from "./lane_entry.ts";
+import { DrainRate, WaitCorrection } from "./wait_model.ts";
+import { type LaneName, LANES, type QueueEntry } from "./queue_entry.ts";
 import type { Lanes } from "./lanes.ts";
 
 /** A forecast wait, and the same before it is corrected. */
--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -18,7 +18,7 @@
   type CallInput,
   REFUSAL_CODES,
 } from "./call_input.ts";
-import { CallPlacement } from "./call_places.ts";
+import { CallPlacement } from "./call_placement.ts";
 import { CallRecord } from "./call_record.ts";
 import { CallSends, type SendState } from "./call_sends.ts";
 import { CallSuspicion } from "./call_suspicion.ts";
@@ -29,7 +29,7 @@
   createForwarder,
   EventForwarder,
   type ForwardResult,
-} from "./pass_on.ts";
+} from "./body_forwarder.ts";
 import type { Reply } from "./reply.ts";
 import { RelaySend } from "./relay_send.ts";
 import type { Answered, Send, Unanswered } from "./send.ts";
--- a/src/gateway/call_places.ts
+++ b/src/gateway/call_placement.ts
@@ -17,8 +17,8 @@
 import type { CallInput } from "./call_input.ts";
 import type { CallRecord } from "./call_record.ts";
 import type { GatewayContext } from "./context.ts";
-import { isHomeRegion, type PlacementRequest } from "./place_here.ts";
-import type { PlacedStep } from "./placing.ts";
+import { isHomeRegion, type PlacementRequest } from "./local_placement.ts";
+import type { PlacedStep } from "./placer.ts";
 import type { CountedBy } from "./quotas.ts";
 import type { LinkedCandidate } from "./upstream_link.ts";
 
--- a/src/gateway/call_sends.ts
+++ b/src/gateway/call_sends.ts
@@ -12,7 +12,7 @@
   type Step,
 } from "../routing/mod.ts";
 import type { CallInput } from "./call_input.ts";
-import type { CallPlacement } from "./call_places.ts";
+import type { CallPlacement } from "./call_placement.ts";
 import type { CallRecord } from "./call_record.ts";
 import type { GatewayContext } from "./context.ts";
 import { RelaySend } from "./relay_send.ts";
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -7,17 +7,17 @@
 import { type Clock, Random } from "../base/mod.ts";
 import type { Log } from "../kernel/mod.ts";
 import { RetryBudget, type RetryBudgetLimits } from "../routing/mod.ts";
-import type { StoreView } from "./beliefs.ts";
+import type { StoreView } from "./store_view.ts";
 import { BodyMemory } from "./body.ts";
 import type { LossProber } from "./losses.ts";
 import type { Members } from "./members.ts";
-import type { Placer } from "./placing.ts";
+import type { Placer } from "./placer.ts";
 import type { Quotas } from "./quotas.ts";
 import type { Relays } from "./relays.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 import type { GatewaySettings } from "./settings.ts";
 import type { Suspects } from "./suspects.ts";
-import { StartQueue } from "./turns.ts";
+import { StartQueue } from "./start_queue.ts";
 import type { Upstreams } from "./upstreams.ts";
 
 /** Share of a VM's memory that bodies may take; the process itself needs about a third. */
--- a/src/gateway/stop.ts
+++ b/src/gateway/drain.ts
@@ -5,7 +5,7 @@
  */
 
 import type { GatewayContext } from "./context.ts";
-import type { HttpListeners } from "./front.ts";
+import type { HttpListeners } from "./http_listeners.ts";
 
 /** Callers use a directory's answer for up to three times its one second, and may open connections until then. */
 const MIN_DRAIN_MS = 4_000;
--- a/src/gateway/members.ts
+++ b/src/gateway/members.ts
@@ -37,8 +37,8 @@
 } from "../region/mod.ts";
 import type { DirectoryVm, HeldPart } from "../routing/mod.ts";
 import type { Datagrams } from "./datagrams.ts";
-import { PendingLoadNote } from "./due_note.ts";
-import { VmRegistration } from "./own_entry.ts";
+import { PendingLoadNote } from "./pending_load_note.ts";
+import { VmRegistration } from "./vm_registration.ts";
 
 /** Options of {@link Members}. */
 export interface MemberOptions {
--- a/src/gateway/peer_rpc.ts
+++ b/src/gateway/peer_rpc.ts
@@ -20,10 +20,10 @@
   Task,
   type TaskPort,
 } from "../kernel/mod.ts";
-import type { NewsTopic, StoreView, StoreViewMessages } from "./beliefs.ts";
+import type { NewsTopic, StoreView, StoreViewMessages } from "./store_view.ts";
 import type { NewsSource } from "../region/mod.ts";
 import type { News } from "./replica.ts";
-import type { PeerRpcHandler } from "./front.ts";
+import type { PeerRpcHandler } from "./http_listeners.ts";
 import type { Members } from "./members.ts";
 import type { Relays } from "./relays.ts";
 
--- a/src/gateway/place_wire.ts
+++ b/src/gateway/placement_wire.ts
@@ -8,7 +8,7 @@
 import type { GatewayConfig } from "../routing/mod.ts";
 import type { QuotaUse } from "../quota/mod.ts";
 import { decodeUse } from "./quota_wire.ts";
-import type { PlacementRequest } from "./place_here.ts";
+import type { PlacementRequest } from "./local_placement.ts";
 import type { Grant } from "./upstream_link.ts";
 
 /** A question; see {@link PlacementRequest} for the fields that it shares with it. */
--- a/src/gateway/placing.ts
+++ b/src/gateway/placer.ts
@@ -17,7 +17,7 @@
   Task,
 } from "../kernel/mod.ts";
 import type { Step } from "../routing/mod.ts";
-import type { StoreView } from "./beliefs.ts";
+import type { StoreView } from "./store_view.ts";
 import type { Datagrams } from "./datagrams.ts";
 import type { Members } from "./members.ts";
 import { waitForNextPoll } from "./next_poll.ts";
@@ -27,7 +27,7 @@
   placeLocally,
   type PlacementContext,
   type PlacementRequest,
-} from "./place_here.ts";
+} from "./local_placement.ts";
 import {
   decodePlacementAnswer,
   decodeQuery,
@@ -35,7 +35,7 @@
   type PlacementQuery,
   type PlacementVerdict,
   toPlacementRequest,
-} from "./place_wire.ts";
+} from "./placement_wire.ts";
 import type { CountedBy, Quotas } from "./quotas.ts";
 import type { Relays } from "./relays.ts";
 import type { LinkedCandidate } from "./upstream_link.ts";
--- a/src/gateway/placing_test.ts
+++ b/src/gateway/placer_test.ts
@@ -3,8 +3,8 @@
 import type { Kernel } from "../kernel/mod.ts";
 import type { DatagramHandler } from "./datagrams.ts";
 import { GatewayMetrics } from "./metrics.ts";
-import type { PlacementRequest } from "./place_here.ts";
-import { Placer, type PlacerOptions } from "./placing.ts";
+import type { PlacementRequest } from "./local_placement.ts";
+import { Placer, type PlacerOptions } from "./placer.ts";
 
 /** Longer than a VM waits for its lead. */
 const BLOCKED_MS = 120;
--- a/src/gateway/quotas.ts
+++ b/src/gateway/quotas.ts
@@ -22,7 +22,7 @@
   RegionQuota,
   type Shares,
 } from "../quota/mod.ts";
-import type { StoreView } from "./beliefs.ts";
+import type { StoreView } from "./store_view.ts";
 import type { Datagrams } from "./datagrams.ts";
 import type { Members } from "./members.ts";
 import {
--- a/src/gateway/relays.ts
+++ b/src/gateway/relays.ts
@@ -13,7 +13,7 @@
 } from "../kernel/mod.ts";
 import type { RemoteRegion } from "../region/mod.ts";
 import type { OfferedCapacity, RegionCapacity } from "../routing/mod.ts";
-import { KeepAliveAgent } from "./connections.ts";
+import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
 /** Idle time of links between VMs; the listener keeps them longer. */
 const IDLE_MS = 20_000;
--- a/src/gateway/turns_test.ts
+++ b/src/gateway/start_queue_test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from "../base/describe.ts";
 import { systemClock } from "../base/mod.ts";
-import { StartQueue } from "./turns.ts";
+import { StartQueue } from "./start_queue.ts";
 
 describe("turns", () => {
   it("begin one request in each turn, in the order in which they came", async (t) => {
--- a/src/gateway/suspects.ts
+++ b/src/gateway/suspects.ts
@@ -24,8 +24,8 @@
   SuspectTracker,
 } from "../suspects/mod.ts";
 import type { Datagrams } from "./datagrams.ts";
-import { CrashNotifier } from "./end_teller.ts";
-import { RestartWatch } from "./late_signs.ts";
+import { CrashNotifier } from "./crash_notifier.ts";
+import { RestartWatch } from "./restart_watch.ts";
 import type { Loss, LossProber } from "./losses.ts";
 import type { Members } from "./members.ts";
 import type { GatewayMetrics } from "./metrics.ts";
--- a/src/gateway/upstream_link.ts
+++ b/src/gateway/upstream_link.ts
@@ -13,7 +13,7 @@
   type StepCandidate,
   UpstreamHealth,
 } from "../routing/mod.ts";
-import { KeepAliveAgent } from "./connections.ts";
+import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
 /**
  * An upstream that owes answers and sends nothing for this long has gone dark or hangs: engines at work send events
--- a/src/quota/own_part.ts
+++ b/src/quota/local_quota.ts
@@ -11,7 +11,7 @@
   type QuotaSlack,
   type QuotaUse,
   SPARE_SLACK_SHARE,
-} from "./counts.ts";
+} from "./part_usage.ts";
 
 /** A VM that starts doesn't know what it has used before; half of a burst serves its first callers. */
 const INITIAL_LEVEL = 0.5;
--- a/src/quota/mod.ts
+++ b/src/quota/mod.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-export * from "./counts.ts";
+export * from "./part_usage.ts";
 export * from "./moving_shares.ts";
-export * from "./own_part.ts";
+export * from "./local_quota.ts";
 export * from "./region_quota.ts";
 export * from "./shares.ts";
--- a/src/quota/moving_shares.ts
+++ b/src/quota/moving_shares.ts
@@ -15,7 +15,7 @@
   STANDBY_VALID_MS,
   type StandbyRow,
 } from "./shares.ts";
-import { RoundRobin } from "./turns.ts";
+import { RoundRobin } from "./round_robin.ts";
 
 /** Counters are whole numbers, so that no share is lost by rounding. */
 const MILLION = 1_000_000;
--- a/src/quota/counts.ts
+++ b/src/quota/part_usage.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { TokenBucket } from "../decisions/bucket.ts";
+import { TokenBucket } from "../decisions/token_bucket.ts";
 import type { QuotaLimit } from "../workspaces/mod.ts";
 
 /** What a request uses of its workspace's limit. */
--- a/src/quota/region_quota.ts
+++ b/src/quota/region_quota.ts
@@ -11,8 +11,8 @@
   type QuotaUse,
   SPARE_SLACK_SHARE,
   USED_EXCESS_SHARE,
-} from "./counts.ts";
-import { RoundRobin } from "./turns.ts";
+} from "./part_usage.ts";
+import { RoundRobin } from "./round_robin.ts";
 import { type Shares, STANDBY_VALID_MS, type StandbyRow } from "./shares.ts";
 
 /** Rows of one standby message, some four kilobytes; with more called workspaces they take turns. */
--- a/src/quota/turns_test.ts
+++ b/src/quota/round_robin_test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from "../base/describe.ts";
-import { RoundRobin } from "./turns.ts";
+import { RoundRobin } from "./round_robin.ts";
 
 describe("turns", () => {
   const nameOf = (item: string) => item;
--- a/src/quota/shares_sim_test.ts
+++ b/src/quota/shares_sim_test.ts
@@ -1,6 +1,6 @@
 import { Random } from "../base/mod.ts";
 import { describe, it } from "../base/describe.ts";
-import { TokenBucket } from "../decisions/bucket.ts";
+import { TokenBucket } from "../decisions/token_bucket.ts";
 import type { QuotaLimit } from "../workspaces/mod.ts";
 import {
   EqualShares,
--- a/src/region/known_vms.ts
+++ b/src/region/known_vms.ts
@@ -5,7 +5,7 @@
  */
 
 import type { DirectoryVm } from "../routing/mod.ts";
-import { RemoteRegions } from "./far_regions.ts";
+import { RemoteRegions } from "./remote_regions.ts";
 import type {
   LeadRecord,
   NamedList,
@@ -15,7 +15,7 @@
   Roster,
   VmState,
 } from "./messages.ts";
-import { LEAD_COUNT, orderLeads, STANDBY_COUNT } from "./order.ts";
+import { LEAD_COUNT, orderLeads, STANDBY_COUNT } from "./lead_order.ts";
 import { toVmRecord, type VmRecord } from "./record.ts";
 
 /** Silence after which a VM is gone: four reports in a row, since datagrams are lost one in forty on the worst links. */
--- a/src/region/mod.ts
+++ b/src/region/mod.ts
@@ -4,10 +4,10 @@
  * @module
  */
 
-export * from "./far_regions.ts";
+export * from "./remote_regions.ts";
 export * from "./known_vms.ts";
-export * from "./load_book.ts";
+export * from "./load_tracker.ts";
 export * from "./messages.ts";
-export * from "./order.ts";
+export * from "./lead_order.ts";
 export * from "./record.ts";
 export * from "./view.ts";
--- a/src/region/view.ts
+++ b/src/region/view.ts
@@ -24,8 +24,8 @@
   LEAD_COUNT,
   MAX_ALL_LEAD_VMS,
   orderLeads,
-} from "./order.ts";
-import { digestEveryMs, reportEveryMs, rosterEveryMs } from "./pace.ts";
+} from "./lead_order.ts";
+import { digestEveryMs, reportEveryMs, rosterEveryMs } from "./intervals.ts";
 import { toVmRecord, type VmRecord } from "./record.ts";
 
 /** A change is told at once, but no two rosters are closer than this. */
--- a/src/routing/mod.ts
+++ b/src/routing/mod.ts
@@ -5,12 +5,12 @@
  */
 
 export * from "./config.ts";
-export * from "./budget.ts";
+export * from "./retry_budget.ts";
 export * from "./cold.ts";
 export * from "./directory.ts";
 export * from "./engine_pace.ts";
 export * from "./fleet.ts";
-export * from "./leaving.ts";
+export * from "./drain.ts";
 export * from "./move.ts";
 export * from "./part_holders.ts";
 export * from "./place.ts";
--- a/src/suspects/news.ts
+++ b/src/suspects/crash_messages.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { CrashRow } from "./end_book.ts";
+import type { CrashRow } from "./crash_history.ts";
 
 /** A message between VMs. */
 export interface CrashMessage {
--- a/src/suspects/mod.ts
+++ b/src/suspects/mod.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-export * from "./end_book.ts";
-export * from "./evidence.ts";
+export * from "./crash_history.ts";
+export * from "./crash_cause.ts";
 export * from "./identity.ts";
-export * from "./keeper.ts";
-export * from "./news.ts";
+export * from "./suspect_tracker.ts";
+export * from "./crash_messages.ts";
--- a/src/suspects/keeper.ts
+++ b/src/suspects/suspect_tracker.ts
@@ -9,7 +9,7 @@
   CrashHistory,
   type CrashRow,
   type SuspectStatus,
-} from "./end_book.ts";
+} from "./crash_history.ts";
 
 /** What this VM itself saw is told again for so long, should those who were told be cut off or change. */
 const OWN_RESEND_MS = 10_000;
