--- a/src/suspects/suspects_sim_test.ts
+++ b/src/suspects/suspects_sim_test.ts
@@ -177,7 +177,7 @@
       if (request.isCrashing) continue;
       this.outcome.broken++;
       if (request.retries >= MAX_RETRIES) continue;
-      const retry = { ...request, returns: request.retries + 1 };
+      const retry = { ...request, retries: request.retries + 1 };
       this.#schedule(
         nowMs + RETRY_DELAY_MS,
         (atMs) => this.#arrive(retry, atMs),
