--- a/src/suspects/crash_history.ts
+++ b/src/suspects/crash_history.ts
@@ -1,23 +1,29 @@
 /**
- * Under which requests upstreams ended, as far as all VMs told.
+ * Records under which requests upstreams crashed, as far as all VMs reported it.
  *
  * @module
  */
 
-/** How a request stands, and so what is done with it. */
+/** Status of a request, which decides how it is handled. */
 export type SuspectStatus =
-  /** Nothing is known against it. */
+  /** No crash counts against the request. */
   | "clear"
-  /** Upstreams ended as it began to run: it runs where an end harms least, apart from other suspects. */
+  /**
+   * Upstreams crashed as the request began to run. It runs where a crash does the least harm, apart from other
+   * suspects.
+   */
   | "suspected"
-  /** Chance explains no more ends: it runs once more, with the store's leave, and is cleared or rejected by that. */
+  /**
+   * Chance does not explain any further crash. The request runs once more, with the store's permission, and is cleared
+   * or rejected by the result.
+   */
   | "onTrial"
-  /** It is not run. */
+  /** The request is not run. */
   | "rejected";
 
 /**
- * An end, as VMs tell each other: a union of such rows is the same in whatever order and however often they come. A row
- * with `isCleared` voids the end, since the request ran elsewhere without one.
+ * A crash, as VMs report it to each other. The union of such rows is the same in whatever order and however often they
+ * arrive. A row with `isCleared` voids the crash, since the request ran elsewhere without one.
  */
 export type CrashRow = readonly [
   digest: string,
@@ -26,20 +32,20 @@
   isCleared: boolean,
 ];
 
-/** Ends that other causes may bring about; one more run tells. */
+/** Number of crashes that other causes may explain. One more run shows whether the request is the cause. */
 export const CRASHES_BEFORE_TRIAL = 3;
-/** Ends with which a request is rejected. */
+/** Number of crashes with which a request is rejected. */
 export const CRASHES_TO_REJECT = 4;
-/** An end counts this long; operators have replaced a program that crashes by then. */
+/** How long a crash counts. By then operators have replaced a program that crashes. */
 const CRASH_TTL_MS = 30 * 60_000;
-/** Entries, some 300 bytes each: a megabyte. */
+/** Maximum number of entries. An entry has some 300 bytes, so all of them take a megabyte. */
 const MAX_ENTRIES = 4_096;
-/** Dropped together when there are more, so that a flood does not sort all of them each time. */
+/** Number of entries that are evicted at once, so that a flood of entries does not sort all of them each time. */
 const EVICTION_BATCH = 256;
-/** Upstreams an entry names; what is beyond changes nothing. */
+/** Maximum number of upstreams in an entry. Further ones would change nothing. */
 const MAX_UPSTREAMS_PER_REQUEST = 16;
 
-/** Rows that are told again each time: those of one message. */
+/** Maximum number of rows that are sent again each time: those of one message. */
 const MAX_RESENT_ROWS = 20;
 
 interface Crash {
@@ -49,12 +55,15 @@
 
 type Crashes = Map<string, Crash>;
 
-/** See the module. Times are of the monotonic clock of this VM. */
+/** Records the crashes of upstreams for each request. Times are on the monotonic clock of this VM. */
 export class CrashHistory {
   readonly #entries = new Map<string, Crashes>();
   #hasSuspects = false;
 
-  /** Whether any request is suspected; else none needs to be hashed. Ends that no longer count are seen by a sweep. */
+  /**
+   * Whether any request is suspected; if not, no request needs to be hashed. Crashes that expire take effect here at
+   * the next sweep.
+   */
   get hasSuspects(): boolean {
     return this.#hasSuspects;
   }
@@ -64,8 +73,9 @@
   }
 
   /**
-   * Notes that an upstream ended as the request, sent there at `sentMs`, began to run. Returns what is new for others. An
-   * upstream may be back before its entry names its new start: an end of before the send is another one.
+   * Notes that an upstream crashed as the request, sent there at `sentMs`, began to run. Returns the rows that are new
+   * to other VMs. An upstream may be back before its entry has the key of its new start, so a crash from before the
+   * send is a different one and the new crash gets another name.
    */
   noteCrash(
     digest: string,
@@ -85,7 +95,10 @@
     return this.merge([[digest, crashName, 0, false]], nowMs);
   }
 
-  /** The request ran without ending its upstream: nothing so far speaks against it. Returns what is new for others. */
+  /**
+   * Clears the request, which ran without crashing its upstream: none of its crashes so far counts against it. Returns
+   * the rows that are new to other VMs.
+   */
   clear(digest: string, nowMs: number): CrashRow[] {
     const crashes = this.#entries.get(digest) ?? new Map<string, Crash>();
     const rows = [...crashes].filter(([, { isCleared }]) => !isCleared)
@@ -93,7 +106,7 @@
     return this.merge(rows, nowMs);
   }
 
-  /** Takes in what another VM told. Returns the rows that were new. */
+  /** Merges rows from another VM. Returns the rows that were new. */
   merge(rows: readonly CrashRow[], nowMs: number): CrashRow[] {
     const newRows = rows.filter((row) => this.#mergeRow(row, nowMs));
     if (this.#entries.size > MAX_ENTRIES) this.#evict(nowMs);
@@ -101,13 +114,13 @@
     return newRows;
   }
 
-  /** Ends that count against a request. */
+  /** Number of crashes that count against a request. */
   crashCount(digest: string, nowMs: number): number {
     const crashes = this.#entries.get(digest);
     return crashes ? countActive(crashes, nowMs) : 0;
   }
 
-  /** Upstreams that ended under a request. */
+  /** Upstreams that crashed under a request. */
   crashedUpstreams(digest: string): string[] {
     return [...this.#entries.get(digest) ?? []]
       .filter(([, { isCleared }]) => !isCleared).map(([key]) => key);
@@ -120,7 +133,7 @@
     return crashes > 0 ? "suspected" : "clear";
   }
 
-  /** Time until a rejected request may run again, as enough of its ends no longer count. */
+  /** Time until a rejected request may run again, when enough of its crashes have expired. */
   rejectedForMs(digest: string, nowMs: number): number {
     const latestFirst = [...this.#entries.get(digest)?.values() ?? []]
       .filter((crash) => isActive(crash, nowMs)).map(({ atMs }) => atMs)
@@ -129,7 +142,10 @@
     return lastToExpire === undefined ? 0 : lastToExpire + CRASH_TTL_MS - nowMs;
   }
 
-  /** What is told again and again: rows of the requests with most ends, of those with more than one. */
+  /**
+   * Returns the rows that are sent again each time: those of the requests with the most crashes, among the requests
+   * with more than one.
+   */
   worstRows(nowMs: number): CrashRow[] {
     return [...this.#entries]
       .filter(([, crashes]) => countActive(crashes, nowMs) > 1)
@@ -144,7 +160,7 @@
       ).slice(0, MAX_RESENT_ROWS);
   }
 
-  /** Drops entries of which nothing counts any more. */
+  /** Removes entries in which all crashes have expired. */
   sweep(nowMs: number): void {
     for (const [digest, crashes] of this.#entries) {
       const isExpired = [...crashes.values()]
@@ -191,7 +207,10 @@
     return true;
   }
 
-  /** A flood of requests with an end each goes before one with several. */
+  /**
+   * Evicts the entries with the fewest crashes, so that a flood of requests with one crash each goes before a request
+   * with several.
+   */
   #evict(nowMs: number): void {
     const entries = [...this.#entries].map(([digest, crashes]) => ({
       digest,
--- a/src/suspects/crash_history_test.ts
+++ b/src/suspects/crash_history_test.ts
@@ -4,10 +4,10 @@
 import { CrashHistory, type CrashRow } from "./mod.ts";
 
 const HOUR_MS = 3_600_000;
-/** What fits into a datagram that is not parted on its way, beside its frame. */
+/** Size that fits into a datagram without fragmentation, besides the message's frame. */
 const MAX_MESSAGE_BYTES = 1_300;
 
-/** A book in which a request has ended some upstreams. */
+/** Returns a history in which a request has crashed some upstreams. */
 function historyOf(crashes: number, nowMs = 1_000): CrashHistory {
   const history = new CrashHistory();
   for (let at = 0; at < crashes; at++) {
@@ -17,8 +17,8 @@
 }
 
 describe("suspects", () => {
-  describe("the book of ends", () => {
-    it("puts a request on trial at the third end and rejects it at the fourth", (t) => {
+  describe("the crash history", () => {
+    it("puts a request on trial at the third crash and rejects it at the fourth", (t) => {
       const statuses = [0, 1, 2, 3, 4].map((crashes) =>
         historyOf(crashes).statusOf("r", 1_000)
       );
@@ -31,26 +31,26 @@
       ]);
     });
 
-    it("counts an end once that two VMs saw", (t) => {
+    it("counts a crash once that two VMs observed", (t) => {
       const history = historyOf(1);
       t.deepEqual(history.merge([["r", "u0", 90, false]], 1_050), []);
       t.is(history.crashCount("r", 1_050), 1);
     });
 
-    it("counts an upstream twice that ended, came back and ended again", (t) => {
+    it("counts each crash of an upstream that comes back and crashes again", (t) => {
       const history = historyOf(1, 1_000);
       history.noteCrash("r", "u0", 1_200, 1_300);
       history.noteCrash("r", "u0", 1_500, 1_600);
       t.is(history.crashCount("r", 1_600), 3);
     });
 
-    it("counts it once if the request was sent there before the first end was known", (t) => {
+    it("counts one crash if the request was sent there before the first crash was known", (t) => {
       const history = historyOf(1, 1_000);
       history.noteCrash("r", "u0", 950, 1_010);
       t.is(history.crashCount("r", 1_010), 1);
     });
 
-    it("clears a request that ran, whatever is told of those ends later", (t) => {
+    it("clears a request that ran, whatever is reported of those crashes later", (t) => {
       const history = historyOf(3);
       history.clear("r", 1_100);
       history.merge([["r", "u1", 100, false]], 1_200);
@@ -69,21 +69,21 @@
       t.false(history.hasSuspects);
     });
 
-    it("counts ends anew after it was cleared", (t) => {
+    it("counts new crashes after the request was cleared", (t) => {
       const history = historyOf(3);
       history.clear("r", 1_100);
       history.noteCrash("r", "u9", 1_200, 1_300);
       t.is(history.crashCount("r", 1_300), 1);
     });
 
-    it("lets a rejected request run again when it says so", (t) => {
+    it("lets a rejected request run again after the time that it returns", (t) => {
       const history = historyOf(4);
       const againMs = 1_000 + history.rejectedForMs("r", 1_000);
       t.is(history.statusOf("r", againMs - 1), "rejected");
       t.not(history.statusOf("r", againMs), "rejected");
     });
 
-    it("forgets, and takes no end that others forgot", (t) => {
+    it("drops expired crashes, and accepts none that others dropped", (t) => {
       const history = historyOf(4);
       history.sweep(1_000 + HOUR_MS);
       t.is(history.size, 0);
@@ -91,7 +91,7 @@
       t.is(history.size, 0);
     });
 
-    it("keeps a request with several ends through a flood of others", (t) => {
+    it("keeps a request with several crashes through a flood of others", (t) => {
       const history = historyOf(4);
       for (let at = 0; at < 50_000; at++) {
         history.noteCrash(`flood${at}`, "u", 2_000, 2_000);
@@ -100,7 +100,7 @@
       t.true(history.size <= 4_096, `${history.size} entries`);
     });
 
-    it("tells a bounded message, those with most ends first", (t) => {
+    it("sends a bounded message, with the requests with most crashes first", (t) => {
       const history = new CrashHistory();
       const digest = (at: number) => at.toString(16).padStart(16, "0");
       for (let at = 0; at < 100; at++) {
@@ -125,7 +125,7 @@
   fc.boolean(),
 );
 
-test("suspects > the book of ends > agrees on every VM, in whatever order and however often rows come", (t) => {
+test("suspects > the crash history > agrees on every VM, in whatever order and however often rows arrive", (t) => {
   fc.assert(
     fc.property(
       fc.array(row, { maxLength: 30 }),
--- a/src/suspects/crash_messages.ts
+++ b/src/suspects/crash_messages.ts
@@ -1,21 +1,21 @@
 /**
- * How ends are told between VMs.
+ * Encodes and decodes the messages in which VMs report crashes to each other.
  *
  * @module
  */
 
 import type { CrashRow } from "./crash_history.ts";
 
-/** A message between VMs. */
+/** A message in which a VM reports crashes to another. */
 export interface CrashMessage {
-  /** Region of the VM that tells. */
+  /** Region of the VM that sends the message. */
   readonly region: string;
   readonly rows: readonly CrashRow[];
 }
 
-/** Rows of one message, about a kilobyte. */
+/** Maximum number of rows in one message, which is about a kilobyte. */
 export const MAX_ROWS = 20;
-/** Digests and keys of upstreams are shorter; a longer text is not ours. */
+/** Digests and keys of upstreams are shorter; a longer text comes from another program. */
 const MAX_TEXT_LENGTH = 200;
 
 function isShortText(value: unknown): value is string {
@@ -29,7 +29,7 @@
     agoMs >= 0 && typeof isCleared === "boolean";
 }
 
-/** Parts rows into messages. */
+/** Splits rows into messages. */
 export function encodeCrashes(
   region: string,
   rows: readonly CrashRow[],
@@ -41,7 +41,7 @@
   return messages;
 }
 
-/** Reads a message; `undefined` if it is none. */
+/** Decodes a message; `undefined` if `params` is not one. */
 export function decodeCrashes(params: unknown): CrashMessage | undefined {
   const message = params as Partial<CrashMessage> | null;
   if (!isShortText(message?.region) || !Array.isArray(message.rows)) {
--- a/src/suspects/mod.ts
+++ b/src/suspects/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Requests under which upstreams ended: who is suspected, and what is done with them. Free of I/O.
+ * Decides, without I/O, which requests are suspected of crashing upstreams and whether they may run.
  *
  * @module
  */
--- a/src/suspects/suspect_tracker.ts
+++ b/src/suspects/suspect_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM knows of suspects, whom it tells, and whether a request may run.
+ * Tracks suspects on a VM, reports crashes to other VMs, and decides whether a request may run.
  *
  * @module
  */
@@ -11,19 +11,24 @@
   type SuspectStatus,
 } from "./crash_history.ts";
 
-/** What this VM itself saw is told again for so long, should those who were told be cut off or change. */
+/**
+ * How long this VM resends the crashes that it observed itself, in case the VMs that got them are cut off or replaced.
+ */
 const OWN_RESEND_MS = 10_000;
-/** When to come back while the request runs elsewhere for the last time: the run shows within it what it does. */
+/**
+ * When callers should retry while the request runs elsewhere for the last time. Within this time that run shows whether
+ * it crashes its upstream.
+ */
 const TRIAL_RETRY_AFTER_MS = 2_000;
 
-/** A suspect as it stands in the store. */
+/** A suspect as it is stored. */
 export interface StoredSuspect {
   readonly digest: string;
-  /** The upstreams that ended under it, as rows of the book name them. */
+  /** The upstreams that crashed under the request, as the rows of the history name them. */
   readonly upstreams: readonly string[];
 }
 
-/** What became of a suspect, for logs and metrics. */
+/** An event of a suspect, for logs and metrics. */
 export type SuspectEvent =
   | {
     readonly type: "ended";
@@ -48,7 +53,7 @@
 export type SuspectVerdict =
   | {
     readonly type: "runs";
-    /** Whether it runs with the leave that a trial needs. */
+    /** Whether the request runs with the permission that a trial needs. */
     readonly hasLeave: boolean;
   }
   | {
@@ -57,26 +62,29 @@
     readonly comeBackMs: number;
   };
 
-/** What the store holds of suspects; nothing is tried again here. */
+/** The suspects in the store. Failed operations are not retried here. */
 export abstract class SuspectRecords {
-  /** All that stand there; `undefined` if the store did not say. */
+  /** Lists all suspects in the store; `undefined` if the store did not answer. */
   abstract list(): Promise<readonly StoredSuspect[] | undefined>;
-  /** Writes a suspect down, so that it outlives a restart of all VMs. Resolves to whether it stands there. */
+  /** Stores a suspect, so that it survives a restart of all VMs. Resolves to whether it is stored. */
   abstract put(suspect: StoredSuspect): Promise<boolean>;
-  /** Takes the leave to run a suspect once more, which one VM has at a time; `false` also if the store is away. */
+  /**
+   * Acquires the permission to run a suspect once more, which one VM has at a time. Resolves to `false` also if the
+   * store is unavailable.
+   */
   abstract acquireTrial(digest: string): Promise<boolean>;
-  /** Strikes a suspect and its trial out. */
+  /** Deletes a suspect and its trial. */
   abstract delete(digest: string): Promise<void>;
 }
 
-/** A {@link SuspectTracker}'s ways to the other VMs and to the log. */
+/** Sends the rows of a {@link SuspectTracker} to other VMs, and its events to logs and metrics. */
 export abstract class SuspectPublisher {
-  /** Tells rows to the VMs that have to know. What is lost is told again. */
+  /** Sends rows to the VMs that need them. Lost rows are sent again. */
   abstract publish(rows: readonly CrashRow[]): void;
   abstract noteEvent(event: SuspectEvent): void;
 }
 
-/** See the module. */
+/** Tracks the suspects on one VM and decides whether a request may run. */
 export class SuspectTracker {
   readonly #publisher: SuspectPublisher;
   readonly #records: SuspectRecords;
@@ -98,7 +106,7 @@
     this.#nowMs = nowMs;
   }
 
-  /** Whether any request is suspected; else none needs to be looked at. */
+  /** Whether any request is suspected; if not, no request needs to be checked. */
   get hasSuspects(): boolean {
     return this.#history.hasSuspects;
   }
@@ -107,7 +115,7 @@
     return this.#history.statusOf(digest, this.#nowMs());
   }
 
-  /** The upstreams that ended under a request. */
+  /** The upstreams that crashed under a request. */
   crashedUpstreams(digest: string): readonly string[] {
     return this.#history.crashedUpstreams(digest);
   }
@@ -116,14 +124,14 @@
     return this.#history.dump(this.#nowMs());
   }
 
-  /** Whether a request may run now. `hasLeave` if it was given the leave for its trial already. */
+  /** Decides whether a request may run now. `hasLeave` is true if it already has the permission for its trial. */
   async decide(digest: string, hasLeave: boolean): Promise<SuspectVerdict> {
     const standing = this.statusOf(digest);
     if (standing === "rejected") return this.#reject(digest);
     if (standing !== "onTrial" || hasLeave) return { type: "runs", hasLeave };
     const isTaken = await this.#records.acquireTrial(digest);
     this.#publisher.noteEvent({ type: "trial", request: digest, isTaken });
-    // Its last run may have ended elsewhere meanwhile.
+    // Its last run may have crashed an upstream elsewhere meanwhile.
     if (this.statusOf(digest) === "rejected") return this.#reject(digest);
     return isTaken ? { type: "runs", hasLeave: true } : {
       type: "refused",
@@ -133,8 +141,8 @@
   }
 
   /**
-   * Notes that an upstream ended as a request, which had been there for `sentAgoMs`, began to run, and tells the others.
-   * Returns the name of the end, for who handed the request over.
+   * Notes that an upstream crashed as a request, sent there `sentAgoMs` ago, began to run, and reports it to other VMs.
+   * Returns the name of the crash, for the VM that relayed the request.
    */
   noteCrash(digest: string, upstreamKey: string, sentAgoMs: number): string {
     const nowMs = this.#nowMs();
@@ -156,12 +164,15 @@
     return upstream;
   }
 
-  /** The VM that a request was handed to says that an upstream ended under it there; that VM tells the others. */
+  /**
+   * Notes a crash under a request that was relayed, as the VM that it was relayed to reports it. That VM also informs
+   * the others.
+   */
   noteRemoteCrash(digest: string, crashName: string): void {
     this.#history.merge([[digest, crashName, 0, false]], this.#nowMs());
   }
 
-  /** A request ran and ended nothing; of no effect unless it was suspected. */
+  /** Clears a request that ran without a crash. It has no effect unless the request was suspected. */
   clear(digest: string): void {
     const nowMs = this.#nowMs();
     const crashCount = this.#history.crashCount(digest, nowMs);
@@ -176,12 +187,12 @@
     if (crashCount >= CRASHES_BEFORE_TRIAL) void this.#records.delete(digest);
   }
 
-  /** Takes in what another VM told. Returns what was new here. */
+  /** Merges rows from another VM. Returns the rows that were new here. */
   merge(rows: readonly CrashRow[]): CrashRow[] {
     return this.#history.merge(rows, this.#nowMs());
   }
 
-  /** Takes in what all VMs knew before they were started again. Resolves to whether the store told. */
+  /** Loads what all VMs knew before they were restarted. Resolves to whether the store answered. */
   async loadRecords(): Promise<boolean> {
     const stored = await this.#records.list();
     const rows = stored?.flatMap(({ digest, upstreams }) =>
@@ -191,7 +202,10 @@
     return stored !== undefined;
   }
 
-  /** To be called every second or two: what was told may be lost. `speaksForRegion` tells what all VMs saw, else its own. */
+  /**
+   * Sends rows again, because earlier messages may be lost; it is to be called every second or two. With
+   * `shouldSendAll` it sends the rows of all VMs, and otherwise those of this VM alone.
+   */
   republish(shouldSendAll: boolean): void {
     const nowMs = this.#nowMs();
     this.#history.sweep(nowMs);
--- a/src/suspects/suspects_sim_test.ts
+++ b/src/suspects/suspects_sim_test.ts
@@ -8,34 +8,37 @@
 const ENGINES = 13;
 const VMS = 7;
 const SLOTS = 128;
-/** How long an engine that ended is away. */
+/** How long a crashed engine is down. */
 const DOWN_MS = 9_000;
-/** What a VM saw is known to all after this long. */
+/** Time after which all VMs know what one VM observed. */
 const GOSSIP_MS = 250;
-/** When a caller whose stream broke comes again, and how often. */
+/** Time after which a caller whose stream broke retries, and how often it does. */
 const RETRY_DELAY_MS = 400;
 const MAX_RETRIES = 6;
-/** Streams that begin each second, and prompts that they share: each prompt has one engine that has read it. */
+/**
+ * Streams that start per second, and the number of prompts that they share. Each prompt has one engine that has read
+ * it.
+ */
 const STREAMS_PER_S = 80;
 const PROMPTS = 4;
 const STREAM_MS = 5_000;
-/** The guilty request crashes its engine so long after its begin, and comes so often. */
+/** Time after its start at which the crashing request crashes its engine, and how often the request comes. */
 const CRASH_MS = 80;
 const CRASHING_INTERVAL_MS = 700;
 const CRASHING_FROM_MS = 5_000;
 const CRASHING_ATTEMPTS = 40;
-/** Upstreams that one request may end: three, and three more while the VMs tell each other. */
+/** Upstreams that one request may crash: three, and three more while the VMs inform each other. */
 const MAX_CRASHES = 6;
 const SEEDS = 10;
 
-/** A way to tell who is guilty. */
+/** A strategy to find the request that crashes engines. */
 interface Strategy {
   readonly name: string;
-  /** Counts only those that had just begun, or every request that ran there. */
+  /** Counts only requests that had just begun to run, instead of every request that ran there. */
   readonly countsOnlyStarting: boolean;
-  /** Places suspects apart, where an end harms least. */
+  /** Places suspects apart, where a crash does the least harm. */
   readonly isolatesSuspects: boolean;
-  /** Lets a request run once more after three ends, and rejects it at the fourth. */
+  /** Lets a request run once more after three crashes, and rejects it at the fourth. */
   readonly hasTrial: boolean;
 }
 
@@ -88,15 +91,15 @@
 }
 
 interface Outcome {
-  /** Engines that the guilty request ended. */
+  /** Engines that the crashing request crashed. */
   crashCount: number;
   /** Good requests that were refused. */
   refused: number;
-  /** Streams of others that broke. */
+  /** Streams of other requests that broke. */
   broken: number;
 }
 
-/** A region of engines before some VMs, with one request that ends whatever runs it. */
+/** Simulates a region of engines behind some VMs, with one request that crashes every engine that runs it. */
 class Simulation {
   readonly outcome: Outcome = { crashCount: 0, refused: 0, broken: 0 };
   readonly #strategy: Strategy;
@@ -217,7 +220,7 @@
     return true;
   }
 
-  /** Streams go to the engine that has read their prompt; suspects apart if the way says so. */
+  /** Places streams on the engine that has read their prompt, and suspects apart if the strategy says so. */
   #place(
     prompt: number,
     isSuspect: boolean,
@@ -252,18 +255,18 @@
 }
 
 describe("suspects", () => {
-  describe("simulated beside streams that share their prompts", () => {
-    it("end at most six engines, and no good request is refused", (t) => {
+  describe("simulated with streams that share their prompts", () => {
+    it("crash at most six engines, and no good request is refused", (t) => {
       for (const strategy of STRATEGIES) {
         const outcomes = Array.from(
           { length: SEEDS },
           (_, seed) => new Simulation(strategy, seed + 1).run(),
         );
-        const crashes = outcomes.map(({ crashCount: ends }) => ends);
+        const crashes = outcomes.map(({ crashCount: count }) => count);
         const refused = outcomes.map(({ refused }) => refused);
         const broken = outcomes.map(({ broken }) => broken);
         t.log(
-          `${strategy.name}: ends ${Math.min(...crashes)} to ${
+          `${strategy.name}: crashes ${Math.min(...crashes)} to ${
             Math.max(...crashes)
           }, good refused ${Math.min(...refused)} to ${
             Math.max(...refused)
