--- a/src/routing/cold.ts
+++ b/src/routing/cold.ts
@@ -1,5 +1,5 @@
 /**
- * The rate at which a cold upstream may be sent requests.
+ * Limits the rate of requests to cold upstreams.
  *
  * @module
  */
@@ -7,8 +7,9 @@
 import { rendezvous } from "../base/mod.ts";
 
 /**
- * Which VM alone may send to a cold upstream. A cold upstream crashes well above a rate that holds for all VMs
- * together; one owner keeps it without a message. While VMs disagree on who is there, two may send.
+ * Selects the only VM that may send to a cold upstream. A cold upstream crashes when it gets requests well above its
+ * rate limit, which applies to all VMs together. With one owner the limit holds without messages between VMs. While VMs
+ * disagree on which VMs are alive, two may send.
  */
 export function selectColdOwner(
   upstreamKey: string,
@@ -18,17 +19,21 @@
 }
 
 /**
- * Share of the rate that one owner uses. Two owners, while VMs disagree or one follows the other, may send 0.75 of the
- * rate and one more each in any second: 1.5 of the rate and two, within the bound of half as much again and three. Two
- * owners of 4.27 a second at the whole rate send ten in a second where 9.4 are allowed.
+ * Share of the rate limit that one owner uses. While VMs disagree, or when one owner follows another, two owners may
+ * each send 0.75 of the limit and one request more in any second. Together that is 1.5 times the limit and two more,
+ * which stays within the allowed 1.5 times the limit and three more. If each owner used a limit of 4.27 per second in
+ * full, two would send ten requests in a second where 9.4 are allowed.
  */
 const OWNER_RATE_SHARE = 0.75;
 
-/** Sends to one cold upstream, spread evenly: no two closer than the gap of the owner's share of the rate. */
+/**
+ * Rate limiter for one cold upstream. It spaces requests evenly, by the interval that the owner's share of the rate
+ * gives.
+ */
 export class ColdRateLimiter {
   #nextAtMs = -Infinity;
 
-  /** Whether a request may be sent now; if so it is counted. `perS` of 0 sets no limit. */
+  /** Returns whether a request may be sent now, and counts it if so. A `ratePerS` of 0 means no limit. */
   tryTake(nowMs: number, ratePerS: number): boolean {
     if (ratePerS <= 0) return true;
     if (nowMs < this.#nextAtMs) return false;
--- a/src/routing/cold_test.ts
+++ b/src/routing/cold_test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from "../base/describe.ts";
 import { ColdRateLimiter } from "./mod.ts";
 
-/** Most sends in any second of ten, by owners that all try every millisecond. */
+/** Returns the most sends in any second of ten, by owners that all try every millisecond. */
 function maxSendsPerSecond(owners: number, perS: number): number {
   const sentMs: number[] = [];
   const limiters = Array.from({ length: owners }, () => new ColdRateLimiter());
@@ -18,11 +18,11 @@
 }
 
 describe("routing", () => {
-  // A failure domain comes back cold while VMs disagree on who is there: two of them take themselves for the owner of an
-  // upstream's rate, and it gets the requests of both. Half as many again as the rate, and three, is what it bears.
+  // A failure domain comes back cold while VMs disagree on which VMs are alive. Two VMs consider themselves the owner
+  // of an upstream, which then gets the requests of both. It can handle 1.5 times its rate and three requests more.
   describe("a cold upstream", () => {
     for (const perS of [1, 2.8, 4.27, 6, 10, 40]) {
-      it(`of ${perS} a second bears two owners at once`, (t) => {
+      it(`with a rate of ${perS} per second withstands two owners at once`, (t) => {
         t.true(maxSendsPerSecond(2, perS) <= perS * 1.5 + 3);
       });
     }
--- a/src/routing/config.ts
+++ b/src/routing/config.ts
@@ -1,5 +1,5 @@
 /**
- * One version of the operators' configuration. It never changes; a newer version is another object.
+ * One version of the operators' configuration. It is immutable; a newer version is a new object.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 
 const HASH_RANGE = 0x1_0000_0000;
 
-/** What all routes to a service ask for together. */
+/** Time limits of a service, combined over all routes that send to it. */
 export type ServiceBounds = Pick<
   Route,
   "objectiveMs" | "eventGapMs" | "timeoutMs"
 >;
 
-/** Of a service that no route sends to. */
+/** Time limits of a service that no route sends to. */
 const DEFAULT_BOUNDS = { objectiveMs: 1_000, eventGapMs: 0, timeoutMs: 10_000 };
 
-/** See the module. */
+/** One version of the operators' configuration, with lookups of routes and services. */
 export class GatewayConfig {
   readonly version: number;
   readonly limits: CallerLimits;
   readonly routes: readonly Route[];
   readonly workspaces: Workspaces;
   readonly #byHost = new Map<string, Route[]>();
-  /** Regions that some routes to a service are bound to. */
+  /** For each service, the regions that some of its routes are bound to. */
   readonly #homeRegions = new Map<string, Set<string>>();
   readonly #bounds = new Map<string, ServiceBounds>();
   readonly #services = new Map<string, ServiceConfig>();
@@ -72,7 +72,7 @@
     });
   }
 
-  /** The route with the longest prefix of the path; `target` may carry a query. */
+  /** Returns the host's route with the longest matching path prefix. `target` may include a query, which is ignored. */
   match(host: string, target: string): Route | undefined {
     const path = target.split("?", 1)[0];
     return this.#byHost.get(host)?.find(({ pathPrefix }) =>
@@ -85,7 +85,7 @@
     return this.#homeRegions.get(service)?.has(region) ?? false;
   }
 
-  /** The shortest objective and pause, and the longest time, of the routes to a service. */
+  /** Returns the shortest objective, the shortest event gap and the longest timeout of the routes to a service. */
   boundsOf(service: string): ServiceBounds {
     return this.#bounds.get(service) ?? DEFAULT_BOUNDS;
   }
@@ -99,7 +99,10 @@
   }
 }
 
-/** Which service of a route serves an attempt: by the targets' weights, the same for an attempt on every VM. */
+/**
+ * Chooses the service of a route that serves an attempt, by the targets' weights. Every VM makes the same choice for an
+ * attempt, since it hashes the attempt's id.
+ */
 export function chooseService(route: Route, attemptId: string): string {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
   let point = hash32(attemptId) / HASH_RANGE * total;
--- a/src/routing/directory.ts
+++ b/src/routing/directory.ts
@@ -1,26 +1,29 @@
 /**
- * Which VMs callers are told to use.
+ * Selects the VMs that callers are told to use.
  *
  * @module
  */
 
-/** A VM as the directory sees it. */
+/** A VM that the directory can list. */
 export interface DirectoryVm {
   readonly ip: string;
   readonly region: string;
-  /** Whether it takes requests and is not being stopped. */
+  /** Whether the VM accepts requests and is not draining. */
   readonly isReady: boolean;
-  /** While it is being stopped: how long it still serves; else 0. */
+  /** How long a draining VM still serves requests; 0 if it is not draining. */
   readonly servesMs: number;
 }
 
-/** Callers keep an answer for a second, some for three; a request that they send then must still end. */
+/**
+ * Callers cache an answer of the directory for one second, some for three. A request that they send at the end of that
+ * time must still be able to finish.
+ */
 const MIN_SERVES_MS = 3_000;
 
 /**
- * The VMs that callers of a region should use: those of the region, since bodies bound to a home may not pass through
- * others. While all of them are being stopped in turn, the one that serves longest is named before another region's; those
- * come only when nobody of the region is there.
+ * Selects the VMs that callers of a region should use. These are VMs of the same region, since bodies that are bound to
+ * a home region may not pass through others. While all VMs of the region are draining, one after another, the VM that
+ * serves longest is listed before VMs of other regions. Those are listed only if the region has no VM left.
  */
 export function selectVms<V extends DirectoryVm>(
   vms: readonly V[],
--- a/src/routing/drain.ts
+++ b/src/routing/drain.ts
@@ -1,41 +1,44 @@
 /**
- * What a VM that is being stopped still takes on.
+ * Decides which requests a draining VM still accepts.
  *
  * @module
  */
 
 import type { Route } from "./types.ts";
 
-/** Twice what the slowest one in a hundred of plain calls takes while its service is well. */
+/** Twice the 99th percentile of the duration of plain calls to a healthy service. */
 const PLAIN_CALL_MS = 1_500;
-/** A short stream on an engine at its peak: the slowest one in a hundred takes two to four seconds there. */
+/**
+ * Time to a stream's first event on an engine at peak load. The 99th percentile of a short stream there is two to four
+ * seconds.
+ */
 const PEAK_FIRST_EVENT_MS = 2_500;
-/** Time of an output token on an engine at its peak, where reading prompts takes half of the time. */
+/** Time per output token on an engine at peak load, where reading prompts takes half of the time. */
 const PEAK_TOKEN_MS = 12;
 
 /**
- * Time after the signal in which a request may be taken that is cut off if the guess was wrong: the users' rules excuse
- * a cut if the request was sent up to 3 s after the signal and its upstream was at work in the last sixth of the stop's
- * time. The rest is for the way and for clocks that differ.
+ * Time after the stop signal in which a request is accepted by its usual duration; it is cut off if that estimate is
+ * wrong. The users' rules excuse a cut-off if the request was sent up to 3 s after the signal and its upstream was at
+ * work in the last sixth of the drain time. The difference to 3 s allows for network delay and clock skew.
  */
 const EARLY_DRAIN_MS = 2_700;
-/** What a stream takes at most on an engine that is not at its peak. */
+/** Longest times of a stream on an engine that is not at peak load. */
 const USUAL_FIRST_EVENT_MS = 750;
 const USUAL_TOKEN_MS = 6;
 
-/** Where in its stop a VM is. */
+/** Progress of a VM's drain. */
 export interface DrainTimes {
-  /** Since the signal to stop. */
+  /** Time since the stop signal. */
   readonly sinceMs: number;
-  /** Until the process ends; `Infinity` if it is not being stopped. */
+  /** Time until the process ends; `Infinity` if the VM is not draining. */
   readonly leftMs: number;
 }
 
 /**
- * Whether a request that arrives while the VM is being stopped can end before the process does. What cannot is refused
- * at once, not run: cut off in the middle it would be lost, and an at-most-once call could not even be repeated. Early in
- * the stop the usual time decides and not the longest: callers still hold this VM's address for seconds, and refusing
- * every stream then would turn many away where VMs are stopped in turn.
+ * Whether a request that arrives while the VM is draining can finish before the process ends. A request that cannot is
+ * refused at once and not run: if it were cut off it would be lost, and an at-most-once call could not even be retried.
+ * Early in the drain the usual duration decides and not the longest, because callers still use this VM's address for
+ * seconds. Refusing every stream then would turn many requests away while VMs are stopped one after another.
  */
 export function canFinish(
   route: Route,
--- a/src/routing/engine_pace.ts
+++ b/src/routing/engine_pace.ts
@@ -1,69 +1,85 @@
 /**
- * How fast the engines of a service read and generate, learned from the streams that pass through.
+ * Estimates how fast the engines of a service read prompts and generate tokens, from the streams that pass through.
  *
- * An engine reads prompts in chunks between the steps of what it generates, so its streams pause while it reads. Three
- * figures describe that for placing: the rate of reading, the gap between two events of a stream while nothing is read,
- * and the gap while reading goes on without a break. Engines differ tenfold in each, and the same ones change with
- * their load, so no figure is written down here but the ones to start from.
+ * An engine reads (prefills) prompts in chunks between its generation steps, so its streams pause while it reads.
+ * Placement uses three estimates: the rate of reading, the gap between two events of a stream while the engine reads
+ * nothing, and the gap while it reads without a break. Engines differ tenfold in each of these, and the same engines
+ * change with their load, so the code fixes only initial values.
  *
  * @module
  */
 
-/** Figures to start from, between those of small and large engines; a dozen streams replace them. */
+/** Initial estimates, between those of small and large engines. A dozen streams replace them. */
 const INITIAL_READ_PER_MS = 60;
 const INITIAL_QUIET_GAP_MS = 30;
 const INITIAL_BUSY_GAP_MS = 300;
 const INITIAL_PROMPT_TOKENS = 4_000;
-/** Requests beside which the first gap above is taken to have been seen. */
+/** Number of running requests at which the initial quiet gap is assumed to have been observed. */
 const INITIAL_RUNNING = 20;
-/** What one more running request adds to a gap, to start from, and how many samples' spread it takes to change it. */
+/**
+ * Initial estimate of the gap that one more running request adds, and its weight. The weight is the variance of the
+ * running requests at which observations count as much as the initial value.
+ */
 const INITIAL_GROWTH_MS = 0.5;
 const GROWTH_PRIOR_WEIGHT = 100;
 const MIN_GROWTH_MS = 0.05;
-/** Weight of one sample: the last twenty or so decide, a second or two of one VM's streams. */
+/**
+ * Weight of one sample in the moving averages. The last twenty samples or so determine an average, which one VM's
+ * streams deliver in a second or two.
+ */
 const SAMPLE_WEIGHT = 0.05;
-/** The busy gap is followed at this quantile: a stream is late by its longest pause, not by its usual one. */
+/** The busy gap is estimated at this quantile, because a stream is late by its longest gap and not by its usual one. */
 const BUSY_QUANTILE = 0.95;
-/** Prompts below this many tokens start too fast to tell the rate: a step of the batch takes as long. */
+/** Prompts with fewer tokens start too fast to show the rate of reading: a step of the batch takes as long. */
 const MIN_RATE_SAMPLE_TOKENS = 4_000;
-/** The busy gap swings by some tenth about its quantile; an allowed pause must be exceeded by more. */
+/** The estimated busy gap varies by about a tenth around its quantile; it has to exceed an allowed gap by more. */
 const EXCESS_FACTOR = 1.15;
-/** Reading for this long goes on through several steps of each stream beside it, so that its pauses show what it does. */
+/**
+ * Reading that takes this long spans several steps of each stream on the engine, so that the gaps of the streams show
+ * its effect.
+ */
 const MIN_BUSY_READ_MS = 250;
-/** A gap of this length says that the engine stopped, not how fast it is. */
+/** A longer gap shows that the engine has stopped, and not how fast it is. */
 const MAX_GAP_MS = 2_000;
 
-/** See the module. One for each service and VM. */
+/** Estimates the speed of a service's engines. Each VM has one instance per service. */
 export class EnginePace {
   #readPerMs = INITIAL_READ_PER_MS;
   #quietGapMs = INITIAL_QUIET_GAP_MS;
   #busyGapMs = INITIAL_BUSY_GAP_MS;
   #meanPromptTokens = INITIAL_PROMPT_TOKENS;
-  /** Mean, spread and common spread of the requests beside which quiet gaps were seen. */
+  /** Mean and variance of the number of running requests at quiet gaps, and its covariance with the gaps. */
   #meanRunning = INITIAL_RUNNING;
   #runningVariance = 0;
   #covarianceMs = 0;
 
-  /** Prompt tokens that a usual request makes an engine read. */
+  /** Average number of prompt tokens that a request makes an engine read. */
   get meanPromptTokens(): number {
     return Math.max(1, this.#meanPromptTokens);
   }
 
-  /** Notes a request that is sent. */
+  /** Notes the prompt tokens of a request that is sent. */
   noteSend(promptTokens: number): void {
     this.#meanPromptTokens += SAMPLE_WEIGHT *
       (promptTokens - this.#meanPromptTokens);
   }
 
-  /** Notes a first event `ms` after the send; until then the engine read `tokens`, of this prompt and those before it. */
+  /**
+   * Notes that a stream's first event came `ms` after the send. In that time the engine read `tokens`, of this prompt
+   * and of those before it.
+   */
   noteFirstEvent(tokens: number, ms: number): void {
     if (tokens < MIN_RATE_SAMPLE_TOKENS || ms <= 0) return;
-    // The median is followed by steps: a cold, lost or lying engine, however far off, moves it no more than a sound one.
+    // Fixed steps track the median. A cold, lost or misreporting engine moves it no further than a healthy one, however
+    // far off its sample is.
     if (tokens / ms > this.#readPerMs) this.#readPerMs *= 1 + SAMPLE_WEIGHT;
     else this.#readPerMs /= 1 + SAMPLE_WEIGHT;
   }
 
-  /** Notes a gap between two events of a stream that ran beside `waitingTokens` of prompts and `running` requests. */
+  /**
+   * Notes a gap between two events of a stream, while `waitingTokens` of prompts waited and `running` requests ran on
+   * its engine.
+   */
   noteGap(waitingTokens: number, running: number, ms: number): void {
     if (ms > MAX_GAP_MS || ms <= 0) return;
     if (waitingTokens === 0) {
@@ -75,20 +91,20 @@
     this.#busyGapMs *= 1 + SAMPLE_WEIGHT * step;
   }
 
-  /** Time that reading this many tokens takes. */
+  /** Estimated time that an engine needs to read this many tokens. */
   readMs(tokens: number): number {
     return tokens / this.#readPerMs;
   }
 
   /**
-   * Whether a stream that may pause for `gapMs` can come to pause longer at all. Where an engine that reads without a
-   * break keeps within it, reading does no harm, and nothing need be done against it.
+   * Whether the gaps of a stream can exceed `gapMs` at all. If an engine that reads without a break keeps within it,
+   * reading does no harm and nothing has to be done about it.
    */
   canExceedGap(gapMs: number): boolean {
     return gapMs > 0 && this.#busyGapMs > gapMs * EXCESS_FACTOR;
   }
 
-  /** The longest gap between two events of a stream that runs beside `waitingTokens` of prompts. */
+  /** Estimated longest gap between two events of a stream while `waitingTokens` of prompts wait at its engine. */
   maxGapMs(waitingTokens: number): number {
     return Math.max(
       this.#quietGapMs,
@@ -99,13 +115,16 @@
     );
   }
 
-  /** Requests side by side at which an event takes `gapMs` while nothing is read, by the line through what was seen. */
+  /**
+   * Estimated number of running requests at which the gap between events is `gapMs` while nothing is read. It lies on
+   * the regression line through the observed gaps.
+   */
   runningAtGap(gapMs: number): number {
     return this.#meanRunning +
       (gapMs - this.#quietGapMs) / this.#gapPerRequestMs();
   }
 
-  /** Gap that one more running request adds. */
+  /** Estimated gap that one more running request adds. */
   #gapPerRequestMs(): number {
     const growthMs =
       (this.#covarianceMs + GROWTH_PRIOR_WEIGHT * INITIAL_GROWTH_MS) /
--- a/src/routing/engine_pace_test.ts
+++ b/src/routing/engine_pace_test.ts
@@ -2,7 +2,10 @@
 import { Random } from "../base/mod.ts";
 import { EnginePace } from "./mod.ts";
 
-/** An engine's make: prompt tokens read in a ms, gaps of a stream beside no reading and beside uninterrupted reading. */
+/**
+ * A kind of engine: prompt tokens read per ms, and the gaps of a stream while the engine reads nothing and while it
+ * reads without a break.
+ */
 interface EngineModel {
   readonly readPerMs: number;
   readonly quietGapMs: number;
@@ -16,7 +19,7 @@
   { readPerMs: 600, quietGapMs: 8, busyGapMs: 60 },
 ];
 
-/** Shows streams of one make, each time off by up to a fifth. */
+/** Feeds samples of streams on one kind of engine, each with noise of up to a fifth. */
 function feedStreams(
   pace: EnginePace,
   model: EngineModel,
@@ -34,7 +37,7 @@
 describe("routing", () => {
   describe("engine pace", () => {
     for (const model of MODELS) {
-      it(`is learned of engines that read ${model.readPerMs} tokens a ms`, (t) => {
+      it(`is learned for engines that read ${model.readPerMs} tokens per ms`, (t) => {
         const pace = new EnginePace();
         feedStreams(pace, model, 1_000);
         const readMs = 12_000 / model.readPerMs;
@@ -53,8 +56,9 @@
       t.true(pace.maxGapMs(1e6) > 900);
     });
 
-    // One engine hangs, another says at once that it has read a prompt that it kept: neither tells the service's pace.
-    it("does not believe an engine that stops or lies", (t) => {
+    // One engine hangs, and another reports at once that it has read a prompt that it had cached. Neither shows the
+    // speed of the service's engines.
+    it("ignores samples of an engine that stops or misreports", (t) => {
       const pace = new EnginePace();
       feedStreams(pace, MODELS[1], 200);
       const before = pace.maxGapMs(20_000);
@@ -66,7 +70,7 @@
       t.true(Math.abs(pace.maxGapMs(20_000) / before - 1) < 0.01);
     });
 
-    it("tells beside how many requests an event takes a time", (t) => {
+    it("estimates the number of running requests at which events have a given gap", (t) => {
       const pace = new EnginePace();
       const random = new Random(3);
       for (let i = 0; i < 400; i++) {
@@ -79,7 +83,7 @@
       );
     });
 
-    it("predicts a pause that grows with what is read, up to that of an engine that reads on and on", (t) => {
+    it("predicts a gap that grows with the tokens to read, up to the gap of an engine that reads without a break", (t) => {
       const pace = new EnginePace();
       feedStreams(pace, MODELS[1], 200);
       const pauses = [0, 4_000, 12_000, 24_000, 100_000].map((tokens) =>
--- a/src/routing/fleet.ts
+++ b/src/routing/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams that are known, by service.
+ * The known upstreams, by service.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { hash32 } from "../base/mod.ts";
 import type { UpstreamRecord } from "./types.ts";
 
-/** How long an upstream stays cold, as a point in time. */
+/** An upstream's registration, with its region and the time until which it is cold. */
 export interface KnownUpstream extends UpstreamRecord {
   /** Hash of the key. */
   readonly hash: number;
@@ -15,7 +15,7 @@
   readonly coldUntilMs: number;
 }
 
-/** Whether an upstream's entry says anything else than the one before, its cold time aside. */
+/** Whether an upstream's new entry differs from the previous one, apart from its cold time. */
 export function hasChanged(
   before: UpstreamRecord,
   after: UpstreamRecord,
@@ -26,7 +26,10 @@
     before.slots !== after.slots || before.state !== after.state;
 }
 
-/** See the module. Holds the entries as they were last read; {@link Fleet.usableIn} lists what may be sent to. */
+/**
+ * Holds the upstreams' entries as they were last read. {@link Fleet.usableIn} lists the upstreams that may be sent
+ * requests.
+ */
 export class Fleet {
   readonly #byId = new Map<string, KnownUpstream>();
   #byService = new Map<string, KnownUpstream[]>();
@@ -37,7 +40,7 @@
     this.#regionOf = regionOf;
   }
 
-  /** Takes in an entry; what names an unknown failure domain is not used. Returns what stood there before. */
+  /** Stores an entry. An upstream with an unknown failure domain is not used. Returns the previous entry. */
   put(record: UpstreamRecord, nowMs: number): KnownUpstream | undefined {
     const before = this.#byId.get(record.id);
     const region = this.#regionOf(record.failureDomain);
@@ -52,7 +55,7 @@
     return before;
   }
 
-  /** Forgets an upstream. Returns what stood there before. */
+  /** Removes an upstream. Returns its previous entry. */
   delete(id: string): KnownUpstream | undefined {
     const before = this.#byId.get(id);
     this.#byId.delete(id);
@@ -60,7 +63,7 @@
     return before;
   }
 
-  /** The failure domains that get nothing until they are taken back. */
+  /** Sets the failure domains that get no requests until their evacuation ends. */
   setEvacuated(failureDomains: ReadonlySet<string>): void {
     this.#evacuated = failureDomains;
   }
@@ -73,12 +76,15 @@
     return this.#byId.get(id);
   }
 
-  /** The upstreams of a service in a region that may be sent requests now: neither leaving nor evacuated. */
+  /**
+   * Lists the upstreams of a service in a region that may be sent requests now: those that are neither draining nor
+   * evacuated.
+   */
   usableIn(service: string, region: string): KnownUpstream[] {
     return this.usableInRegions(service, (name) => name === region);
   }
 
-  /** The upstreams of a service in some regions that may be sent requests now. */
+  /** Lists the upstreams of a service that may be sent requests now, in all allowed regions. */
   usableInRegions(
     service: string,
     isAllowed: (region: string) => boolean,
@@ -88,7 +94,7 @@
     );
   }
 
-  /** Whether an upstream is still the one that is known, and may be sent requests. */
+  /** Whether an upstream is still registered with the same key and may be sent requests. */
   canUse(upstream: KnownUpstream): boolean {
     return this.#byId.get(upstream.id)?.key === upstream.key &&
       this.#byId.get(upstream.id)?.state === "ready" &&
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -1,43 +1,52 @@
 /**
- * Which upstreams to leave alone for a while, judged by what became of requests.
+ * Decides, by the outcomes of requests, which upstreams get no requests for a while.
  *
  * @module
  */
 
-/** What became of one send, as it tells on the upstream. */
+/** Outcome of one send, as far as it concerns the upstream. */
 export type SendOutcome =
-  /** It answered, whatever the status. */
+  /** The upstream answered without an error of its own. */
   | "answered"
-  /** It failed with its own error. */
+  /** The upstream answered with an error of its own. */
   | "failed"
-  /** It said that it had no room. */
+  /** The upstream reported that it had no capacity. */
   | "shed"
-  /** The connection could not be made or broke. */
+  /** The connection could not be made, or it broke. */
   | "lost"
-  /** Another upstream has its address: it is gone for good. */
+  /** Another upstream has its address, so this one is gone for good. */
   | "replaced";
 
-/** First time set aside after a lost connection; a restart takes about this long, and a probe is one request. */
+/**
+ * How long an upstream is set aside after its first lost connection. A restart takes about this long, and a probe costs
+ * a single request.
+ */
 const LOST_ASIDE_MS = 400;
-/** Longest time set aside: an entry lapses after about four seconds, so what is back by then must be tried. */
+/**
+ * Longest time that an upstream is set aside. Its entry expires after about four seconds, so an upstream that is back
+ * by then must be tried.
+ */
 const MAX_ASIDE_MS = 2_000;
-/** An upstream that was replaced never comes back; its entry lapses within this time. */
+/** An upstream that was replaced never comes back. Its entry expires within this time. */
 const REPLACED_ASIDE_MS = 5_000;
-/** After a refusal for want of room, others are tried first for as long as a few requests take to finish. */
+/** After an upstream sheds a request, other upstreams are tried first for as long as a few requests take to finish. */
 const SHED_ASIDE_MS = 100;
-/** Time between single requests to an upstream that has answered nothing since it was set aside. */
+/** Interval between single requests (probes) to an upstream that has answered nothing since it was set aside. */
 const PROBE_INTERVAL_MS = 500;
-/** Weight of one outcome in the share of failures: the last ten or so decide. */
+/** Weight of one outcome in the moving share of failures. The last ten outcomes or so determine the share. */
 const FAILURE_WEIGHT = 0.1;
-/** Above this share of failures an upstream is used only after the others. Plain services fail up to 0.14 when well. */
+/**
+ * Above this share of failures an upstream is used only after the others. The share of healthy plain services goes up
+ * to 0.14.
+ */
 const FAILING_SHARE = 0.3;
 
-/** What one VM has seen of one upstream. */
+/** Health of one upstream, as observed by one VM. */
 export class UpstreamHealth {
   #asideUntilMs = -Infinity;
   #asideMs = LOST_ASIDE_MS;
   #failureShare = 0;
-  /** Whether it has answered nothing since it was last set aside. */
+  /** Whether the upstream has answered nothing since it was last set aside. */
   #isProbing = false;
   #lastSentMs = -Infinity;
 
@@ -65,13 +74,13 @@
     this.#failureShare += FAILURE_WEIGHT * (failed - this.#failureShare);
   }
 
-  /** Whether it is set aside now. What comes back gets one request at a time until it has answered one. */
+  /** Whether the upstream is set aside now. After that time it gets one request at a time until it has answered one. */
   isAside(nowMs: number): boolean {
     return nowMs < this.#asideUntilMs ||
       (this.#isProbing && nowMs - this.#lastSentMs < PROBE_INTERVAL_MS);
   }
 
-  /** Whether it fails so often that others come first. */
+  /** Whether the upstream fails so often that others are preferred. */
   isFailing(): boolean {
     return this.#failureShare > FAILING_SHARE;
   }
--- a/src/routing/mod.ts
+++ b/src/routing/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Decisions on a request at the gateway: its route, where it runs, when it is sent again. Free of I/O.
+ * Decides, without I/O, how the gateway handles a request: its route, the upstream that serves it, and whether it is
+ * retried.
  *
  * @module
  */
--- a/src/routing/move.ts
+++ b/src/routing/move.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a stream that runs goes on at another engine.
+ * Decides whether a running stream moves to another engine.
  *
  * @module
  */
@@ -7,26 +7,29 @@
 import type { EnginePace } from "./engine_pace.ts";
 import type { StepCandidate } from "./step.ts";
 
-/** A stream that runs. */
+/** A running stream. */
 export interface RunningStream {
-  /** Prompt tokens that wait at its engine. */
+  /** Prompt tokens that wait at the stream's engine. */
   readonly waitingTokens: number;
-  /** Events still to come, as far as the request says. */
+  /** Number of events still to come, as far as the request says. */
   readonly eventsLeft: number;
-  /** The longest pause between events that is on time; 0 if none is asked for. */
+  /** The longest allowed gap between events; 0 means no limit. */
   readonly eventGapMs: number;
 }
 
-/** Fewer events than this are over before a move has paid. */
+/** A stream with fewer events left ends before a move pays off. */
 const MIN_EVENTS_LEFT = 4;
-/** Share of the allowed pause above which a stream is better off elsewhere; the move itself takes part of the rest. */
+/**
+ * A stream is better served elsewhere if its gap reaches this share of the allowed gap. The move itself takes part of
+ * the rest.
+ */
 const MIN_MOVE_GAP_SHARE = 0.5;
-/** Share of the allowed pause below which an engine is calm enough to take a stream. */
+/** An engine takes a stream from another one only if its own gap is below this share of the allowed gap. */
 const MAX_TARGET_GAP_SHARE = 0.3;
-/** Share of its slots up to which an engine takes streams of others. */
+/** An engine takes streams from others only up to this share of its slots. */
 const MAX_TARGET_SLOT_SHARE = 0.75;
 
-/** Whether a stream's next event may come late where it runs, and enough is left of it to leave. */
+/** Whether a stream's next event may come late at its engine, and enough of the stream is left for a move. */
 export function shouldMove(
   { waitingTokens, eventsLeft, eventGapMs }: RunningStream,
   pace: EnginePace,
@@ -36,10 +39,11 @@
 }
 
 /**
- * The engine that a stream should go on at; `undefined` to stay. Made for long prompts that arrive where streams run:
- * an engine that reads without a break makes each event of each of its streams wait, and all of them end late. The
- * memory of a run is copied in some ten ms, so the stream pauses less than it would beside one long prompt. `draw` in
- * [0, 1) spreads the streams over the calmer half of the engines.
+ * Selects the engine that a stream should move to; `undefined` means that it stays. The reason for a move is a long
+ * prompt that arrives at an engine with running streams: while the engine reads it without a break, each event of each
+ * stream waits, and all of the streams end late. The memory of a running request is copied in some ten ms, so a move
+ * delays the stream less than one long prompt does. `draw` in [0, 1) spreads the streams over the less loaded half of
+ * the engines.
  */
 export function selectMoveTarget<C extends StepCandidate>(
   stream: RunningStream,
@@ -58,6 +62,6 @@
     a.running + pace.maxGapMs(a.waitingTokens) -
     b.running - pace.maxGapMs(b.waitingTokens)
   );
-  // All streams of an engine leave it at once, and VMs do not know yet where the others' go.
+  // All streams of an engine move at once, and VMs do not know yet where the streams of other VMs go.
   return targets[Math.floor(draw * Math.ceil(targets.length / 2))];
 }
--- a/src/routing/move_load_test.ts
+++ b/src/routing/move_load_test.ts
@@ -11,7 +11,7 @@
 const SLOTS = 64;
 const READ_PER_MS = 62;
 const CHUNK_TOKENS = 4_096;
-/** Each token is read against all before it: ms for a million pairs. */
+/** Reading time in ms for a million pairs of tokens. Each token is read against all tokens before it. */
 const MS_PER_M_PAIRS = 0.37;
 const STEP_MS = 4;
 const TOKENS_PER_EVENT = 8;
@@ -20,23 +20,25 @@
 const MOVE_MS = 40;
 const SIMULATED_MS = 30_000;
 
-/** A stream of the load below. */
+/** A simulated stream. */
 interface Stream {
   readonly arrivedMs: number;
-  /** Prompt tokens still to be read, and those that were. */
+  /** Prompt tokens that are still to be read, and those that were read. */
   unreadTokens: number;
   readTokens: number;
   tokensLeft: number;
-  /** Tokens of the event that is being made. */
+  /** Tokens of the event that is being generated. */
   eventTokens: number;
   lastEventMs: number | undefined;
   firstEventMs: number;
   longestGapMs: number;
-  /** Until when it is under way to another engine. */
+  /** Time until which the stream is moving to another engine. */
   movingUntilMs: number;
 }
 
-/** Reads the prompts that wait, one after the other, a chunk in each step of what runs. */
+/**
+ * A simulated engine. It reads the prompts that wait, one after another, a chunk in each step of the running streams.
+ */
 class SteppedEngine {
   nextStepMs = 0;
   waiting: Stream[] = [];
@@ -104,7 +106,7 @@
   }
 }
 
-/** Plays short questions with some prompts of 50,000 tokens among them; answers with the share of questions on time. */
+/** Simulates short questions with some prompts of 50,000 tokens among them. Returns the share of questions on time. */
 function simulateQuestions(canMove: boolean): number {
   const random = new Random(11);
   const pace = new EnginePace();
@@ -183,9 +185,10 @@
 }
 
 describe("routing under load", () => {
-  // A hundred short questions a second on six engines, and two prompts of 50,000 tokens a second beside them. Each of
-  // those is read for a second, and the streams of its engine pause for 0.6 s and more an event: those that stay are late.
-  it("streams that leave an engine that reads are late half as often as those that stay, or less", (t) => {
+  // Six engines get a hundred short questions and two prompts of 50,000 tokens per second. Reading such a prompt takes
+  // a second, in which the streams of its engine have gaps of 0.6 s and more between events. Streams that stay there
+  // are late.
+  it("streams that leave an engine that reads a long prompt are late at most half as often as streams that stay", (t) => {
     const withoutMoves = simulateQuestions(false);
     const withMoves = simulateQuestions(true);
     t.log(
--- a/src/routing/move_test.ts
+++ b/src/routing/move_test.ts
@@ -28,9 +28,10 @@
 const slowStream = { waitingTokens: 60_000, eventsLeft: 30, eventGapMs: 600 };
 
 describe("routing", () => {
-  // A prompt of 60,000 tokens is read for a second. Every stream beside it pauses longer than is allowed, all along.
-  describe("move of a stream", () => {
-    it("leaves an engine that reads a long prompt for one that does not", (t) => {
+  // Reading a prompt of 60,000 tokens takes a second. During that time every stream beside it has gaps that are longer
+  // than allowed.
+  describe("moving a stream", () => {
+    it("goes from an engine that reads a long prompt to one that does not", (t) => {
       t.is(
         selectMoveTarget(slowStream, [engine("calm")], pace, 0)?.key,
         "calm",
@@ -38,15 +39,17 @@
     });
 
     const stayCases: [string, Partial<typeof slowStream>, StepCandidate[]][] = [
-      ["nothing is read", { waitingTokens: 0 }, [engine("calm")]],
-      ["a short prompt is read", { waitingTokens: 2_000 }, [engine("calm")]],
-      ["it is about to end", { eventsLeft: 2 }, [engine("calm")]],
-      ["no pause is asked for", { eventGapMs: 0 }, [engine("calm")]],
-      ["the others read as well", {}, [
+      ["the engine reads nothing", { waitingTokens: 0 }, [engine("calm")]],
+      ["the engine reads a short prompt", { waitingTokens: 2_000 }, [
+        engine("calm"),
+      ]],
+      ["the stream is about to end", { eventsLeft: 2 }, [engine("calm")]],
+      ["gaps are not limited", { eventGapMs: 0 }, [engine("calm")]],
+      ["the other engines read as well", {}, [
         engine("busy", { waitingTokens: 60_000 }),
       ]],
-      ["the others are full", {}, [engine("full", { running: 60 })]],
-      ["the others fail or are cold", {}, [
+      ["the other engines are full", {}, [engine("full", { running: 60 })]],
+      ["the other engines fail or are cold", {}, [
         engine("failing", { isDoubtful: true }),
         engine("lost", { isAside: true }),
         engine("cold", { isWithinColdRate: false }),
@@ -61,16 +64,17 @@
       });
     }
 
-    // These engines read on and on and their streams still keep within the pause: a move would only cost.
-    it("does not happen at engines whose streams never pause too long", (t) => {
+    // These engines read without a break and their streams still keep within the allowed gap, so a move would only cost
+    // time.
+    it("does not happen at engines whose streams never exceed the allowed gap", (t) => {
       const fastPace = new EnginePace();
       for (let i = 0; i < 500; i++) fastPace.noteGap(500_000, 20, 290);
       const stream = { ...slowStream, eventGapMs: 300 };
       t.is(selectMoveTarget(stream, [engine("calm")], fastPace, 0), undefined);
     });
 
-    // Forty streams leave one engine in the same moment; no count shows yet where the first of them went.
-    it("spreads the streams of one engine over the calmer half of the others", (t) => {
+    // Forty streams leave one engine at the same moment. No load report shows yet where the first of them went.
+    it("spreads the streams of one engine over the less loaded half of the others", (t) => {
       const others = [3, 5, 8, 30, 40].map((running) =>
         engine(`e${running}`, { running })
       );
--- a/src/routing/part_holders.ts
+++ b/src/routing/part_holders.ts
@@ -1,32 +1,36 @@
 /**
- * Which engines hold which shared parts of prompts, from what was sent where.
+ * Tracks which engines have cached which shared parts of prompts, by what was sent to them.
  *
  * @module
  */
 
 import type { PromptPart } from "./types.ts";
 
-/** How long a part is taken for kept: engines turn their cache over in ten seconds or more at their peak. */
+/**
+ * How long a part is assumed to stay cached. At peak load, engines replace their whole cache in ten seconds or more.
+ */
 const PART_TTL_MS = 10_000;
-/** Parts remembered; a VM of the largest sites sees some hundred in ten seconds. */
+/** Maximum number of parts tracked. A VM of the largest sites sees some hundred in ten seconds. */
 const MAX_PARTS = 4_096;
-/** Parts told to another VM at once; a heartbeat stays within one datagram. */
+/** Maximum number of parts reported to another VM at once, so that a heartbeat fits into one datagram. */
 const MAX_OWN_READS = 16;
-/** The same for what a region tells another: a digest brings what many VMs read in half a second. */
+/** The same for reports to another region: a digest covers what many VMs read in half a second. */
 const MAX_REGION_READS = 24;
 
-/** A part that an engine has read, as one VM tells another. A pair, since heartbeats carry several. */
+/**
+ * A part that an engine has read, as reported between VMs. A pair keeps it short, since a heartbeat carries several.
+ */
 export type HeldPart = readonly [partId: string, upstreamKey: string];
 
 /** An engine that was sent a part. */
 interface Holder {
   readonly upstreamKey: string;
   readonly sentMonoMs: number;
-  /** Whether it has read the part, so that others can copy it. */
+  /** Whether the engine has read the part, so that other engines can copy it. */
   readonly isRead: boolean;
 }
 
-/** A part that was read. */
+/** A part that an engine has read, with the time. */
 interface PartRead {
   readonly held: HeldPart;
   readonly readMonoMs: number;
@@ -50,16 +54,16 @@
     .map(({ held }) => held);
 }
 
-/** See the module. Holds what this VM sent and what others told. */
+/** Tracks the engines that hold shared parts of prompts, from this VM's sends and from the reports of other VMs. */
 export class PartHolders {
-  /** By part, the engines that were sent it, the latest last. Parts in the order of their last use. */
+  /** For each part, the engines that were sent it, latest last. The parts are in the order of their last use. */
   readonly #holdersByPart = new Map<string, Holder[]>();
-  /** What engines read for this VM, the latest last. */
+  /** Parts that engines read for this VM, latest last. */
   readonly #ownReads: PartRead[] = [];
-  /** The same for all VMs of the region, as far as they told. */
+  /** The same for all VMs of the region, as far as they reported it. */
   readonly #regionReads: PartRead[] = [];
 
-  /** Notes that an engine is sent a prompt with these parts, which others share. */
+  /** Notes that an engine is sent a prompt with these parts, which other requests share. */
   noteSent(
     shared: readonly PromptPart[],
     upstreamKey: string,
@@ -89,7 +93,7 @@
     pushBounded(this.#regionReads, read, MAX_REGION_READS);
   }
 
-  /** Notes that an engine has read a part, as another VM told, of this region or another. */
+  /** Notes that an engine has read a part, as another VM of this region or of a remote one reported. */
   noteRemoteRead(held: HeldPart, isSameRegion: boolean, nowMs: number): void {
     const [partId, upstreamKey] = held;
     this.#putHolder(partId, { upstreamKey, sentMonoMs: nowMs, isRead: true });
@@ -102,19 +106,20 @@
     }
   }
 
-  /** What engines read for this VM in the last `ms`, to be told to others. */
+  /** Returns what engines read for this VM in the last `ms`, to be reported to other VMs. */
   ownReadsWithin(ms: number, nowMs: number): HeldPart[] {
     return readsWithin(this.#ownReads, ms, nowMs);
   }
 
-  /** What engines of the region read in the last `ms`, to be told to other regions. */
+  /** Returns what engines of the region read in the last `ms`, to be reported to other regions. */
   regionReadsWithin(ms: number, nowMs: number): HeldPart[] {
     return readsWithin(this.#regionReads, ms, nowMs);
   }
 
   /**
-   * Tells of each engine how many tokens at the start of a prompt it holds, or will have read when a request that is
-   * sent now comes to its turn. A part is kept with all before it. Made once for a prompt and asked for each engine.
+   * Returns a function that gives, for an engine, the number of tokens at the start of a prompt that the engine has
+   * cached, or will have read when it starts a request that is sent now. A part is cached with all parts before it. The
+   * function is created once per prompt and called for each engine.
    */
   cachedPrefixTokens(
     shared: readonly PromptPart[],
@@ -131,7 +136,7 @@
     return (upstreamKey) => tokensByEngine.get(upstreamKey) ?? 0;
   }
 
-  /** The engines that a part can be copied from, the latest first. */
+  /** Lists the engines that a part can be copied from, latest first. */
   sourcesOf(partId: string, nowMs: number): string[] {
     return this.#currentHolders(partId, nowMs)
       .filter(({ isRead }) => isRead)
@@ -142,7 +147,7 @@
   #putHolder(partId: string, holder: Holder): void {
     const others = this.#currentHolders(partId, holder.sentMonoMs)
       .filter(({ upstreamKey }) => upstreamKey !== holder.upstreamKey);
-    // A part that is used again moves to the end, so that the oldest come first.
+    // A part that is used again moves to the end, so that the least recently used part comes first.
     this.#holdersByPart.delete(partId);
     this.#holdersByPart.set(partId, [...others, holder]);
     if (this.#holdersByPart.size <= MAX_PARTS) return;
--- a/src/routing/part_holders_test.ts
+++ b/src/routing/part_holders_test.ts
@@ -15,7 +15,7 @@
       t.deepEqual(holders.sourcesOf("book", 200), ["b", "a"]);
     });
 
-    // An engine that still reads has nothing to copy from: whoever copies from it reads the part again.
+    // An engine that is still reading a part has nothing to copy. An engine that copies from it reads the part again.
     it("are not the engines that were only sent them", (t) => {
       const holders = new PartHolders();
       holders.noteSent(SHARED_PARTS, "a", 0);
@@ -27,7 +27,7 @@
       t.deepEqual(holders.sourcesOf("book", 400), ["a"]);
     });
 
-    it("hold a part with all before it, and no other that begins like it", (t) => {
+    it("hold a part with all parts before it, but not the parts after it", (t) => {
       const holders = new PartHolders();
       holders.noteRemoteRead(["book", "b"], true, 0);
       holders.noteRemoteRead(["all", "c"], true, 0);
@@ -35,14 +35,14 @@
       t.is(holders.cachedPrefixTokens(SHARED_PARTS, 0)("c"), 500);
     });
 
-    it("are forgotten after the time in which caches turn over", (t) => {
+    it("are forgotten after the time in which engines replace their cache", (t) => {
       const holders = new PartHolders();
       holders.noteRead(SHARED_PARTS, "a", 0);
       t.deepEqual(holders.sourcesOf("book", 20_000), []);
     });
 
-    // What others told is not told on: it would go round for ever.
-    it("are told to others once, for what was read for this VM", (t) => {
+    // Reports of other VMs are not passed on, because they would circulate forever.
+    it("are reported to other VMs once, for parts that were read for this VM", (t) => {
       const holders = new PartHolders();
       holders.noteRead(SHARED_PARTS, "a", 0);
       holders.noteRemoteRead(["other", "b"], true, 0);
@@ -50,7 +50,7 @@
       t.deepEqual(holders.ownReadsWithin(100, 150), []);
     });
 
-    it("are bounded in number, in memory and in a message", (t) => {
+    it("are bounded in number, both in memory and in a message", (t) => {
       const holders = new PartHolders();
       for (let i = 0; i < 10_000; i++) {
         holders.noteRead([{ id: `part${i}`, tokens: 10 }], "a", i / 1_000);
--- a/src/routing/place.ts
+++ b/src/routing/place.ts
@@ -1,5 +1,5 @@
 /**
- * Which upstream serves a request.
+ * Ranks the upstreams that can serve a request, and selects engines to copy prompt parts from.
  *
  * @module
  */
@@ -8,77 +8,88 @@
 import type { EnginePace } from "./engine_pace.ts";
 import type { PromptPart } from "./types.ts";
 
-/** An upstream as placing sees it. */
+/** An upstream that a request may be placed on. */
 export interface Candidate {
   readonly key: string;
   /** Hash of the key. */
   readonly hash: number;
-  /** Which of equal upstreams this VM prefers, from 0, which is first, to 1; another VM has another order. */
+  /** This VM's order of otherwise equal upstreams, from 0 (first) to 1. Other VMs have other orders. */
   readonly preference: number;
-  /** Requests sent to it and not yet answered whole, by all VMs of the region as far as known. */
+  /** Requests in flight at the upstream, from all VMs of the region as far as known. */
   readonly running: number;
-  /** Prompt tokens sent to it whose first event has not come yet, by all VMs as far as known. */
+  /** Prompt tokens of requests at the upstream whose first event has not come yet, from all VMs as far as known. */
   readonly waitingTokens: number;
   readonly slots: number;
-  /** Prompt tokens of this request that it would have to read. */
+  /** Prompt tokens of this request that the upstream would have to read. */
   readonly unreadTokens: number;
-  /** Whether it fails often or was lost a moment ago. */
+  /** Whether the upstream is cold or fails often, and is used only after the others. */
   readonly isDoubtful: boolean;
-  /** Requests under which upstreams ended before and that this VM has sent there. */
+  /** Requests that this VM has in flight at the upstream and that are suspected of crashing upstreams. */
   readonly suspectCount: number;
 }
 
-/** What a request is placed by, besides the candidates. */
+/** Criteria for placing a request, besides the candidates. */
 export interface PlacementCriteria {
-  /** What is known of the engines' speed. */
+  /** Estimated speed of the engines. */
   readonly pace: EnginePace;
-  /** An answer, or a stream's first event, within this earns its full worth. */
+  /** Latency objective of an answer or of a stream's first event. One that comes later does not count in full. */
   readonly objectiveMs: number;
-  /** The longest pause between a stream's events that is on time; 0 if none is asked for. */
+  /** The longest gap between a stream's events that is on time; 0 means no limit. */
   readonly eventGapMs: number;
   /** Gap between events at which the answer still ends in time; see {@link computeEndGapMs}. */
   readonly endGapMs: number;
 }
 
 /**
- * Share of the objective that reading what waits at an engine may take; above it a request is better off elsewhere. The
- * rest is for reading the request itself and the steps of a busy batch up to its first event.
+ * Share of the objective that reading the prompts that wait at an engine may take. Above it a request is better served
+ * elsewhere. The rest is for reading the request's own prompt and for the steps of a busy batch until its first event.
  */
 const MAX_WAIT_SHARE = 0.4;
-/** Above this share of its slots an engine's next requests wait; the rest is left for what other VMs send meanwhile. */
+/**
+ * Above this share of an engine's slots further requests wait. The rest is left for requests that other VMs send
+ * meanwhile.
+ */
 const MAX_SLOT_SHARE = 0.9;
-/** Share of an answer's time in which its engine generates; in the rest it reads others' prompts. */
+/**
+ * Share of an answer's duration in which its engine generates. In the rest the engine reads the prompts of other
+ * requests.
+ */
 const GENERATING_SHARE = 0.45;
 /**
- * Weight of the time that reading takes against waiting for it: it delays this request, every later one, and each token
- * of all that run there. At 1 a burst that spills makes every engine read every prompt, and the peak outlasts the burst.
+ * Weight of reading time against waiting time. Reading delays this request, every later one, and each token of all
+ * requests that run on the engine. With a weight of 1, a burst that spills over from the home engines makes every
+ * engine read every prompt, and the overload outlasts the burst.
  */
 const READ_WEIGHT = 3;
-/** What one more running request costs the ones beside it and itself: this share of the gap between two events. */
+/**
+ * Cost of one more running request to itself and to the requests that run beside it, as a share of the gap between two
+ * events.
+ */
 const CONCURRENCY_COST_SHARE = 0.05;
 /**
- * What separates the first preference from the last, in ms of delay: less than one more request costs. VMs that hear
- * nobody, as after a start or a cut, see the same idle engines; in one order all would send their first prompts to one.
+ * Cost difference between the first preference and the last, in ms of delay. It is less than the cost of one more
+ * request. VMs that receive no load reports, as after a start or a network partition, see the same idle engines. With a
+ * common order they would all send their first prompts to one engine.
  */
 const PREFERENCE_MS = 1;
 const HASH_RANGE = 0x1_0000_0000;
-/** Share of the allowed pause below which reading does a stream no harm. */
+/** Share of the allowed gap below which reading does not harm a stream. */
 const HARMLESS_GAP_SHARE = 0.4;
 /**
- * What a stream that comes to pause too long costs, in ms of delay of the request that is placed. A long prompt passes
- * by an engine with 15 streams if another one can read it within 0.3 s more.
+ * Cost of a stream whose gaps become too long, in ms of delay of the request that is placed. A long prompt avoids an
+ * engine with 15 streams if another engine can read it within 0.3 s more.
  */
 const LATE_STREAM_COST_MS = 20;
 
-/** What ties a request to an engine. */
+/** The shared part of a prompt that decides which engine a request prefers. */
 export interface Affinity {
-  /** The last part of the prompt that requests share; its cache decides. */
+  /** Id of the last part of the prompt that other requests share. The engine that caches this part is preferred. */
   readonly id: string;
-  /** Tokens that no other request shares. */
+  /** Prompt tokens that no other request shares. */
   readonly ownTokens: number;
 }
 
-/** See {@link Affinity}; `undefined` for prompts that share nothing. */
+/** Returns the affinity of a prompt; `undefined` if it shares nothing with others. */
 export function affinityOf(
   parts: readonly PromptPart[],
 ): Affinity | undefined {
@@ -88,14 +99,15 @@
 }
 
 /**
- * The gap between events, while nothing is read, at which an answer of `events` ends within `timeoutMs`. Beside more
- * requests than give this gap a long answer misses its deadline, and an engine elsewhere serves it better.
+ * Computes the gap between events, while nothing is read, at which an answer of `events` events ends within
+ * `timeoutMs`. If more requests run on an engine than this gap allows, a long answer misses its deadline there, and an
+ * engine elsewhere serves it better.
  */
 export function computeEndGapMs(timeoutMs: number, events: number): number {
   return timeoutMs * GENERATING_SHARE / Math.max(1, events);
 }
 
-/** Requests that may run at a candidate beside one more, so that it is served as it should. */
+/** Number of running requests below which a candidate can take one more and serve it as required. */
 export function usableSlots(
   { slots }: Pick<Candidate, "slots">,
   { pace, endGapMs }: PlacementCriteria,
@@ -104,7 +116,7 @@
   return Math.min(usable, Math.max(1, pace.runningAtGap(endGapMs)));
 }
 
-/** Whether a candidate can start a request about at once, and end it in time. */
+/** Whether a candidate can start a request almost at once and finish it in time. */
 export function hasRoom(
   candidate: Candidate,
   criteria: PlacementCriteria,
@@ -114,7 +126,7 @@
       criteria.objectiveMs * MAX_WAIT_SHARE;
 }
 
-/** How far a stream beside that much reading is from being on time, from 0 for not at all to 1 for late. */
+/** Estimates how late a stream's events come while `waitingTokens` wait at its engine, from 0 (on time) to 1 (late). */
 function estimateLateness(
   { pace, eventGapMs }: PlacementCriteria,
   waitingTokens: number,
@@ -127,7 +139,7 @@
   );
 }
 
-/** What placing a request there costs, in ms of delay for it and those beside it. */
+/** Estimates the cost of placing a request on a candidate, in ms of delay for it and for the requests beside it. */
 function costMs(
   { running, slots, waitingTokens, preference }: Candidate,
   unreadTokens: number,
@@ -145,12 +157,12 @@
     preference * PREFERENCE_MS;
 }
 
-/** A VM's preference for an upstream; see {@link Candidate.preference}. */
+/** Returns a VM's preference for an upstream; see {@link Candidate.preference}. */
 export function preferenceOf(vmHash: number, upstreamHash: number): number {
   return mix32(vmHash, upstreamHash) / HASH_RANGE;
 }
 
-/** The upstream that a prompt belongs to on every VM, by rendezvous hashing. */
+/** Returns the home of a prompt: the upstream that rendezvous hashing gives for it on every VM. */
 export function homeOf<C extends Pick<Candidate, "hash">>(
   candidates: readonly C[],
   affinity: string,
@@ -168,10 +180,10 @@
 }
 
 /**
- * Orders candidates, best first: by waiting, reading and company together. Requests that share a long prompt have one
- * home engine on every VM; there the shared parts count as read, since other VMs have sent them too. So a popular prompt
- * leaves its home only when the wait there exceeds what reading it again costs everybody. Doubtful upstreams come last,
- * and are still used if nothing else is there.
+ * Orders candidates, best first, by the summed costs of waiting, reading and concurrency. Requests that share a long
+ * prompt have the same home engine on every VM. There the shared parts count as read, since other VMs have sent them
+ * too. A popular prompt therefore leaves its home only when the wait there exceeds the cost, to all requests, of
+ * reading it again. Doubtful upstreams come last and are still used if there are no others.
  */
 export function rankCandidates<C extends Candidate>(
   candidates: readonly C[],
@@ -200,8 +212,9 @@
 }
 
 /**
- * Orders candidates for a request under which upstreams ended: apart from other suspects, so that the next end tells them
- * apart, then where fewest others would lose their streams.
+ * Orders candidates for a request that is suspected of crashing upstreams. It is placed apart from other suspects, so
+ * that the next crash shows which of them is the cause, and then where the fewest other requests would lose their
+ * streams.
  */
 export function rankForSuspect<C extends Candidate>(
   candidates: readonly C[],
@@ -213,15 +226,16 @@
   );
 }
 
-/** Shared tokens of a prompt from which fetching them from another engine is worth the call. */
+/** Number of shared tokens of a prompt from which on copying them from another engine is worth the call. */
 const MIN_FETCH_TOKENS = 1_000;
 
 /**
- * The engine that a request's engine should copy the prompt's shared parts from: the prompt's home in the region if it
- * has read them, or who read them last, or, where nobody knows of one, the home in the region, and for that one the home
- * among all engines that may hold it. An engine copies only what it lacks, so one that has them is named a source too:
- * it may have given them up. Each prompt is then read once in the whole system; copying a token takes a tenth of the time
- * of reading it, and holds up nobody's stream. `holdersOf` lists the engines that have read a part, the latest first.
+ * Selects the engine that `target` should copy the prompt's shared parts from. This is the prompt's home in the region
+ * if it has read the parts, or else the engine that read them last. If no such engine is known, it is the home in the
+ * region, and for that home itself the home among all engines that may hold the prompt. An engine copies only what it
+ * lacks, so a source is also selected for an engine that has the parts, since it may have evicted them. Each prompt is
+ * then read once in the whole system. Copying a token takes a tenth of the time of reading it and delays no stream.
+ * `holdersOf` lists the engines that have read a part, latest first.
  */
 export function selectFetchSource<
   C extends Pick<Candidate, "key" | "hash"> & { readonly region: string },
--- a/src/routing/place_load_test.ts
+++ b/src/routing/place_load_test.ts
@@ -8,7 +8,7 @@
   rankCandidates,
 } from "./mod.ts";
 
-/** One engine of the load below: reads prompts one after the other and keeps the parts that it read last. */
+/** A simulated engine. It reads prompts one after another and caches the parts that it read last. */
 class SimulatedEngine {
   readonly cached = new Map<string, number>();
   freeAtMs = 0;
@@ -27,7 +27,10 @@
   endGapMs: Infinity,
 };
 
-/** Plays `perS` long prompts a second over 100 subjects on 6 engines for 30 s; answers with the share that starts in time. */
+/**
+ * Simulates `perS` long prompts per second on 100 subjects with 6 engines for 30 s. Returns the share that starts in
+ * time.
+ */
 function simulatePrompts(
   perS: number,
   choose: (engines: readonly Candidate[], subject: string) => string,
@@ -81,8 +84,8 @@
 }
 
 /**
- * The most requests that one engine gets of those that VMs place which know only of their own, all at once; as a multiple
- * of the mean.
+ * Simulates VMs that place requests all at once and know only of their own. Returns the most requests that one engine
+ * gets, as a multiple of the mean.
  */
 function simulateIsolatedVms(
   preference: (vm: number, engineHash: number) => number,
@@ -115,9 +118,10 @@
 }
 
 describe("placing under load", () => {
-  // All VMs were off and on, or a third of them are cut off: each knows the engines and nothing of what the others send.
-  // The first prompts of all would go to one engine, and start seconds late there while eighteen idle.
-  it("VMs that hear nobody spread over the engines", (t) => {
+  // All VMs have restarted, or a third of them are cut off. Each knows the engines and nothing of what the others send.
+  // In a common order the first prompts of all VMs would go to one engine and start seconds late there, while eighteen
+  // engines are idle.
+  it("VMs without load reports spread their requests over the engines", (t) => {
     const perVm = (vm: number, engineHash: number) =>
       preferenceOf(hash32(`vm-${vm}`), engineHash);
     for (const promptTokens of [826, 9_190]) {
@@ -131,9 +135,9 @@
     t.true(simulateIsolatedVms(perVm, 1, 9_190) < 5);
   });
 
-  // The peak of one region: 100 long prompts a second, which six engines can serve if each subject is read in one place,
-  // and not if every engine reads every subject.
-  it("a peak is served in time that the least loaded engine would not serve", (t) => {
+  // At the peak of one region, 100 long prompts per second arrive. Six engines can serve them if each subject is read
+  // by one engine, but not if every engine reads every subject.
+  it("a peak is served in time that placement on the least loaded engine would not serve", (t) => {
     const leastLoaded = simulatePrompts(
       100,
       (engines) =>
@@ -160,8 +164,8 @@
     t.true(leastLoaded < 0.7);
   });
 
-  // One subject is asked for by everybody: its home engine alone could not serve it.
-  it("one popular prompt does not queue while others idle", (t) => {
+  // All requests are about one subject. Its home engine alone could not serve them.
+  it("one popular prompt does not queue while other engines are idle", (t) => {
     const placed = simulatePrompts(
       120,
       (engines) =>
--- a/src/routing/retry_budget.ts
+++ b/src/routing/retry_budget.ts
@@ -1,23 +1,26 @@
 /**
- * The budget of repeated sends, which all VMs share.
+ * The retry budget of a service, which all VMs share.
  *
  * @module
  */
 
-/** Bounds of the budget, for all VMs together. */
+/** Limits of the retry budget, for all VMs together. */
 export interface RetryBudgetLimits {
-  /** Repeats per request of the service. */
+  /** Retries allowed per request of the service. */
   readonly ratio: number;
-  /** Repeats beyond that in each window. */
+  /** Retries allowed in addition in each window. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** Seconds are counted in one bucket each: a finer split costs memory and gains nothing at ten-second windows. */
+/**
+ * Requests and retries are counted in buckets of one second. Finer buckets cost memory and gain nothing with windows of
+ * ten seconds.
+ */
 const BUCKET_MS = 1_000;
 /**
- * The share of the bound that is used. VMs see each other come and go at different moments, so two may count the same
- * part as theirs; a quarter is kept for that.
+ * Share of the limit that is used. VMs learn at different times that a VM has joined or left, so two VMs may count the
+ * same part of the slack as their own. A quarter is reserved for that.
  */
 const USED_SHARE = 0.75;
 
@@ -28,9 +31,9 @@
 }
 
 /**
- * This VM's part of one service's budget. Without it, repeats of requests that fail for overload add load and keep the
- * overload going. Each VM uses the ratio on its own requests and an equal part of the slack, so no message is needed
- * and the sum over all VMs stays below the bound.
+ * This VM's part of the retry budget of one service. Without a budget, retries of requests that fail because of
+ * overload add load and prolong the overload. Each VM applies the ratio to its own requests and uses an equal part of
+ * the slack, so no message is needed and the sum over all VMs stays below the limit.
  */
 export class RetryBudget {
   readonly #limits: RetryBudgetLimits;
@@ -40,12 +43,12 @@
     this.#limits = limits;
   }
 
-  /** Counts a request's first send. */
+  /** Counts the first send of a request. */
   countRequest(nowMs: number): void {
     this.#bucket(nowMs).requests++;
   }
 
-  /** Takes one repeat if there is one left; `vms` is how many VMs share the slack. */
+  /** Takes one retry if one is left. `vmCount` is the number of VMs that share the slack. */
   tryTake(nowMs: number, vmCount: number): boolean {
     if (!this.canTake(nowMs, vmCount)) return false;
     this.#bucket(nowMs).retries++;
--- a/src/routing/routing_test.ts
+++ b/src/routing/routing_test.ts
@@ -42,7 +42,7 @@
 
 describe("routing", () => {
   describe("routes", () => {
-    it("the longest prefix of the host wins, without the query", (t) => {
+    it("the longest matching prefix of the host wins, and the query is ignored", (t) => {
       const config = new GatewayConfig(
         1,
         [
@@ -57,7 +57,7 @@
       t.is(config.match("other.example", "/a/b/c"), undefined);
     });
 
-    it("shares of a split hold over many attempts, and an attempt stays with its service", (t) => {
+    it("shares of a split hold over many attempts, and an attempt always gets the same service", (t) => {
       const split = route({
         targets: [{ service: "x", weight: 90 }, { service: "y", weight: 10 }],
       });
@@ -73,8 +73,8 @@
     });
   });
 
-  describe("repeat budget", () => {
-    // All VMs repeat at once when an upstream fails; what counts is the sum over them in any window.
+  describe("retry budget", () => {
+    // All VMs retry at once when an upstream fails. The limit applies to their sum in any window.
     it("the sum over all VMs stays within ratio and slack", (t) => {
       const bounds = { ratio: 0.2, slack: 54, windowMs: 10_000 };
       const vms = Array.from({ length: 7 }, () => new RetryBudget(bounds));
@@ -90,7 +90,7 @@
       t.true(taken > 0.1 * requests);
     });
 
-    it("comes back when the window has passed", (t) => {
+    it("is available again when the window has passed", (t) => {
       const budget = new RetryBudget({ ratio: 0, slack: 4, windowMs: 10_000 });
       while (budget.tryTake(0, 1));
       t.false(budget.tryTake(9_000, 1));
@@ -99,7 +99,7 @@
   });
 
   describe("cold upstreams", () => {
-    it("one VM owns one, and they are spread", (t) => {
+    it("each has one VM as owner, and owners are spread over the VMs", (t) => {
       const vms = ["a", "b", "c"];
       const owners = new Set(
         Array.from({ length: 30 }, (_, i) => selectColdOwner(`u${i}`, vms)),
@@ -123,14 +123,15 @@
         ).length;
         t.true(inSecond <= 4, `${inSecond}`);
       }
-      // Three quarters of the rate: two owners at once must stay in its bound.
+      // One owner uses three quarters of the rate, since two owners at once must stay within its limit.
       t.true(sentMs.length >= 16);
     });
   });
 
   describe("health", () => {
-    // An upstream goes dark: connections to it hang. Without the probe's gap each look would send it one more request.
-    it("what was lost is set aside, then gets one request at a time until it answers", (t) => {
+    // An upstream becomes unreachable and connections to it hang. Without the probe interval each check would send it
+    // one more request.
+    it("a lost upstream is set aside, then gets one request at a time until it answers", (t) => {
       const health = new UpstreamHealth();
       health.noteOutcome("lost", 0);
       t.true(health.isAside(100));
@@ -143,7 +144,7 @@
       t.false(health.isAside(1_001));
     });
 
-    it("one that fails often comes after the others, and recovers", (t) => {
+    it("an upstream that fails often counts as failing until it recovers", (t) => {
       const health = new UpstreamHealth();
       for (let i = 0; i < 20; i++) {
         health.noteOutcome(i % 2 ? "failed" : "answered", i);
@@ -169,7 +170,7 @@
     const createFleet = () =>
       new Fleet((domain) => domain === "hall-a" ? "north" : undefined);
 
-    it("lists what is ready, in its region and not evacuated", (t) => {
+    it("lists upstreams that are ready, in the region and not evacuated", (t) => {
       const fleet = createFleet();
       fleet.put(record, 0);
       const [known] = fleet.usableIn("s", "north");
@@ -183,8 +184,8 @@
       t.false(fleet.canUse(known));
     });
 
-    // A request was placed while the upstream ran, waits, and is sent to the address after a restart.
-    it("an upstream born again is not the one that was chosen", (t) => {
+    // A request is placed while the upstream runs, waits, and is sent to its address after the upstream has restarted.
+    it("a restarted upstream is not the one that was chosen", (t) => {
       const fleet = createFleet();
       fleet.put(record, 0);
       const [known] = fleet.usableIn("s", "north");
@@ -192,14 +193,14 @@
       t.false(fleet.canUse(known));
     });
 
-    it("an unknown failure domain names no upstream", (t) => {
+    it("an upstream with an unknown failure domain is not listed", (t) => {
       const fleet = createFleet();
       fleet.put({ ...record, failureDomain: "nowhere" }, 0);
       t.is(fleet.usableIn("s", "north").length, 0);
     });
   });
 
-  it("what may have run is never sent again unless it may be repeated", (t) => {
+  it("a request that may have run is never retried unless it is repeatable", (t) => {
     const sends = { sends: 1, mostUpstreams: 3 };
     t.false(canRetry({ ...sends, isRepeatable: false, mayHaveRun: true }));
     t.true(canRetry({ ...sends, isRepeatable: false, mayHaveRun: false }));
@@ -224,7 +225,7 @@
     const selectIps = (...vms: ReturnType<typeof vm>[]) =>
       selectVms(vms, "north").map(({ ip }) => ip);
 
-    it("names ready VMs of the region alone", (t) => {
+    it("lists only ready VMs of the region", (t) => {
       t.deepEqual(
         selectIps(
           vm("a", "north", true),
@@ -235,9 +236,9 @@
       );
     });
 
-    // All VMs of a small region are stopped in turn, the second while the first is still on its way out. Callers sent to
-    // another region would carry bound bodies there.
-    it("names a VM that still serves before another region's", (t) => {
+    // All VMs of a small region are stopped one after another, the second while the first is still draining. Callers
+    // that are sent to another region would carry bodies there that are bound to this region.
+    it("lists a VM that still serves before those of another region", (t) => {
       t.deepEqual(
         selectIps(
           vm("a", "north", false, 500),
@@ -248,7 +249,7 @@
       );
     });
 
-    it("names other regions when nobody is left", (t) => {
+    it("lists VMs of other regions when the region has none left", (t) => {
       t.deepEqual(
         selectIps(vm("a", "north", false, 500), vm("c", "south", true)),
         [
@@ -258,8 +259,9 @@
     });
   });
 
-  it("a leaving VM takes what can end before it does", (t) => {
-    // On a busy engine a short stream took over 2.3 s; taken 5 s after the signal it was cut when the process ended.
+  it("a draining VM accepts requests that can finish before it stops", (t) => {
+    // A short stream can take over 2.3 s on a busy engine. One that was accepted 5 s after the signal was cut off when
+    // the process ended.
     const lateDrain = (leftMs: number) => ({ sinceMs: 5_000, leftMs });
     t.false(canFinish(route(), 52, lateDrain(2_290)));
     t.true(canFinish(route({ kind: "atMostOnce" }), 0, lateDrain(2_000)));
@@ -269,9 +271,9 @@
     t.true(canFinish(route(), 5_000, notDraining));
   });
 
-  // Callers keep an address for three seconds. A stream of usual length was refused from 1.3 s after the signal on, and
-  // again at its second try, since its caller still held only this address.
-  it("a leaving VM takes usual streams while callers still come", (t) => {
+  // Callers keep an address for three seconds. Guards against refusing a stream of usual length from 1.3 s after the
+  // signal on, and again at its second try, when its caller still has only this address.
+  it("a draining VM accepts usual streams while callers still use its address", (t) => {
     const earlyDrain = { sinceMs: 2_500, leftMs: 4_800 };
     t.true(canFinish(route(), 294, earlyDrain));
     t.false(canFinish(route(), 294, { sinceMs: 2_800, leftMs: 4_500 }));
--- a/src/routing/step.ts
+++ b/src/routing/step.ts
@@ -1,5 +1,5 @@
 /**
- * What to do next with a request: send it, hand it to another region, wait a moment, or refuse it.
+ * Decides the next step of a request: send it to an upstream, relay it to another region, let it wait, or refuse it.
  *
  * @module
  */
@@ -17,53 +17,55 @@
 
 /** An upstream that a request could be sent to now. */
 export interface StepCandidate extends Candidate {
-  /** Whether it may be sent a request in this very moment, as far as its cold start allows. */
+  /**
+   * Whether the cold start of the upstream allows this VM to send a request now; always true for one that is not cold.
+   */
   readonly isWithinColdRate: boolean;
-  /** Whether a connection to it was lost a moment ago. */
+  /** Whether the upstream is set aside, as after a connection that was lost a moment ago. */
   readonly isAside: boolean;
 }
 
-/** Another region that may serve the request, and can be reached. */
+/** Capacity of another region that may serve the request and is reachable. */
 export interface RegionCapacity {
   readonly region: string;
-  /** Places where the request would be served at once, as the region said last. */
+  /** Number of requests that the region can serve at once, by its last report. */
   readonly free: number;
-  /** Places where it would wait, and still be served. */
+  /** Number of requests that can wait in the region and still be served. */
   readonly queue: number;
-  /** Whether other requests of the service are bound to it, and this one is not. */
+  /** Whether other requests of the service are bound to the region, and this one is not. */
   readonly isScarce: boolean;
 }
 
-/** What a region says of its places. */
+/** Capacity for one service that a region reports to others. */
 export type OfferedCapacity = Pick<RegionCapacity, "free" | "queue">;
 
-/** What a step is decided on. */
+/** Input of the decision on a request's next step. */
 export interface StepInput<C extends StepCandidate> {
   readonly nowMs: number;
   readonly arrivedMs: number;
   readonly deadlineMs: number;
-  /** What the request is placed by. */
+  /** Criteria for placing the request. */
   readonly criteria: PlacementCriteria;
   /** Upstreams of this region that were not tried yet; empty if this region may not serve the request. */
   readonly candidates: readonly C[];
-  /** Other regions that may serve it; empty if it was handed over already. */
+  /** Other regions that may serve the request; empty if it was relayed already. */
   readonly regions: readonly RegionCapacity[];
   readonly affinity: Affinity | undefined;
-  /** Whether upstreams ended as it began to run. */
+  /** Whether upstreams crashed as the request began to run. */
   readonly isSuspect: boolean;
-  /** A number in [0, 1) that spreads hand-overs and returns. */
+  /** Random number in [0, 1) that spreads relays over regions and retries over time. */
   readonly draw: number;
 }
 
-/** What a refusal was decided on. */
+/** What a refusal is based on. */
 export interface RefusalDetails {
-  /** Upstreams of this region that were left to try. */
+  /** Number of upstreams of this region that were left to try. */
   readonly here: number;
-  /** Other regions that could have been asked, with their places. */
+  /** Other regions that the request could have been relayed to, with their capacity. */
   readonly elsewhere: readonly RegionCapacity[];
 }
 
-/** See the module. */
+/** The next step of a request. */
 export type Step<C> =
   | { readonly type: "send"; readonly candidate: C }
   | { readonly type: "relay"; readonly region: string }
@@ -74,30 +76,42 @@
     readonly comeBackMs: number;
   };
 
-/** Below this much time left nothing can still be answered: an engine's first step alone takes longer. */
+/** With less time left no request can be answered: an engine's first step alone takes longer. */
 export const MIN_WORK_MS = 25;
-/** A hand-over costs the link both ways and a new connection at worst: 80 ms each way, three ways. */
+/**
+ * Time that a relay takes at worst, for the link in both directions and a new connection: three times 80 ms, the delay
+ * of one way.
+ */
 export const RELAY_MS = 240;
 /**
- * Share of the objective that a request may wait here for a place. Held longer, a refusal comes late: the caller
- * could have come back elsewhere in that time.
+ * Share of the objective that a request may wait here for capacity. After a longer wait a refusal comes too late: the
+ * caller could have retried elsewhere in that time.
  */
 const MAX_WAIT_SHARE = 0.125;
-/** How often a waiting request looks again; an engine's busy step takes about as long. */
+/**
+ * Interval at which the next step of a waiting request is decided again. A step of a busy engine takes about as long.
+ */
 const RECHECK_MS = 15;
 /**
- * Requests that an upstream may hold over its slots. Its own queue starts the next one in the step in which one ends,
- * sooner than any message of ours; beyond twice its slots the wait exceeds the objective of the plain services.
+ * Number of requests that an upstream may hold per slot, with those in its queue. An upstream starts the next request
+ * of its own queue in the step in which another one ends, which is sooner than any message from a VM allows. With more
+ * than twice its slots in the queue, the wait exceeds the objective of plain services.
  */
 const MAX_REQUESTS_PER_SLOT = 3;
-/** Objectives of reading that may wait at an engine; beyond it what is added starts late, and delays all that follows. */
+/**
+ * Reading time, in objectives, of the prompts that may wait at an engine. Beyond it a further request starts late and
+ * delays all that follow.
+ */
 const MAX_BACKLOG_OBJECTIVES = 1.4;
-/** When to return to an overloaded service: about as long as its queue takes to run empty. */
+/** When callers should retry at an overloaded service: after about the time that its queue takes to become empty. */
 const OVERLOAD_RETRY_AFTER_MS = 400;
-/** When to return to a service without upstreams: as long as a lost one needs to be found gone or to be back. */
+/**
+ * When callers should retry at a service without upstreams: after the time in which a lost upstream is found to be gone
+ * or is back.
+ */
 const NO_UPSTREAM_RETRY_AFTER_MS = 1_000;
 
-/** Whether a candidate may take a request although it must wait there. */
+/** Whether a candidate may take a request although it has to wait there. */
 function canQueue(
   { running, slots, waitingTokens }: StepCandidate,
   { pace, objectiveMs }: PlacementCriteria,
@@ -106,14 +120,14 @@
     pace.readMs(waitingTokens) < objectiveMs * MAX_BACKLOG_OBJECTIVES;
 }
 
-/** Spreads returns over half to one and a half times `ms`, so that those refused together do not return together. */
+/** Spreads retries over 0.5 to 1.5 times `ms`, so that requests that are refused together are not retried together. */
 function jitter(ms: number, draw: number): number {
   return Math.round(ms * (0.5 + draw));
 }
 
 /**
- * Draws a region, by the places that it has. Requests that may go anywhere leave the homes of others alone while there
- * is another place: what is bound to a home has no other.
+ * Picks a region at random, weighted by its capacity. Requests that may run anywhere avoid the home regions of other
+ * requests while another region has capacity, because requests that are bound to a home can run nowhere else.
  */
 function pickRegion(
   regions: readonly RegionCapacity[],
@@ -133,10 +147,11 @@
 }
 
 /**
- * The next step of a request. Made for a region at its peak while others sleep, or whose upstreams are gone: home places
- * come first, as they know the prompts; then places that are free elsewhere, which beats queueing here while the link
- * still leaves time; then the queues of the upstreams here, as far as they start in time. What fits nowhere is refused
- * at once with a time to come back, so the caller loses nothing by waiting here.
+ * Decides the next step of a request. The order is made for a region that is at peak load while others are idle, or
+ * whose upstreams are gone. Free capacity in this region comes first, as its engines have cached the prompts. Free
+ * capacity in other regions comes next, which is better than queueing here as long as the relay leaves enough time. The
+ * queues of the upstreams here come last, as far as a request starts there in time. A request that fits nowhere is
+ * refused early, with a time to retry, so that its caller loses nothing by waiting here.
  */
 export function nextStep<C extends StepCandidate>(
   input: StepInput<C>,
@@ -169,12 +184,14 @@
   if (freeRegion !== undefined) return { type: "relay", region: freeRegion };
   const queueable = ranked.find((candidate) => canQueue(candidate, criteria));
   if (queueable) return { type: "send", candidate: queueable };
-  // Only what has no upstream here waits elsewhere: a full region's queue would fill the others' and reach them late.
+  // Only a request without an upstream here waits in another region. The queue of a full region would fill the queues
+  // of the others and arrive there late.
   const queueRegion = input.candidates.length === 0
     ? pickRegion(regions, (room) => room.queue, draw)
     : undefined;
   if (queueRegion !== undefined) return { type: "relay", region: queueRegion };
-  // All that is left was lost a moment ago: a connection that fails has sent nothing, so trying costs little.
+  // All remaining upstreams were lost a moment ago. A connection that fails has sent nothing, so trying one costs
+  // little.
   const lastResort = rankCandidates(
     input.candidates.filter(({ isAside, isWithinColdRate }) =>
       isAside && isWithinColdRate
@@ -210,18 +227,18 @@
     };
 }
 
-/** What is known after a send that brought no answer to pass on. */
+/** State of a request after a send that brought no answer to pass on. */
 export interface RetryState {
   /** Whether the request may run more than once. */
   readonly isRepeatable: boolean;
-  /** Whether the failed send can have run. */
+  /** Whether the request may have run in the failed send. */
   readonly mayHaveRun: boolean;
-  /** Upstreams that got the request so far. */
+  /** Number of upstreams that got the request so far. */
   readonly sends: number;
   readonly mostUpstreams: number;
 }
 
-/** Whether a request may be sent to another upstream, budget aside. */
+/** Whether a request may be sent to another upstream, apart from the retry budget. */
 export function canRetry(
   { isRepeatable, mayHaveRun, sends, mostUpstreams }: RetryState,
 ): boolean {
@@ -229,12 +246,15 @@
   return sends < mostUpstreams;
 }
 
-/** Share of a region's free places that others may count on; the rest is kept for its own callers. */
+/** Share of a region's capacity that other regions may use. The rest is kept for the region's own callers. */
 const OFFERED_SHARE = 0.5;
-/** Objectives of reading at an engine beyond which others' requests, which come a link later, are better off refused. */
+/**
+ * Reading time, in objectives, of the prompts at an engine beyond which requests of other regions are better refused,
+ * since they arrive later by the delay of the link.
+ */
 const OFFERED_BACKLOG_OBJECTIVES = 0.7;
 
-/** What a region offers to others, over all its upstreams of a service. */
+/** Computes the capacity that a region offers to others, over all its upstreams of a service. */
 export function computeOfferedCapacity(
   candidates: readonly StepCandidate[],
   criteria: PlacementCriteria,
@@ -263,13 +283,14 @@
   };
 }
 
-/** Share of the objective after which an idempotent call that has no answer goes elsewhere. */
+/** Share of the objective after which an idempotent call without an answer is sent elsewhere. */
 const ANSWER_TIMEOUT_SHARE = 0.45;
 
 /**
- * How long a send may stay without an answer before the request goes elsewhere. An upstream that lost an answer, or
- * hangs, gives no sign; an idempotent call can still be answered in time by another. Streams wait: their engine reads
- * the prompt, and giving up would read it twice. What may not be repeated waits for its deadline.
+ * How long a send may stay without an answer before the request is sent elsewhere. An upstream that hangs or lost an
+ * answer gives no sign, but another one can still answer an idempotent call in time. Streams have no such timeout:
+ * their engine reads the prompt, and after giving up another one would read it again. A request that must not be
+ * repeated waits until its deadline.
  */
 export function answerTimeoutMs(route: Route): number {
   return route.kind === "idempotent"
--- a/src/routing/step_test.ts
+++ b/src/routing/step_test.ts
@@ -56,50 +56,50 @@
     const far = [{ region: "south", free: 5, queue: 9, isScarce: false }];
     const busy = [{ region: "south", free: 0, queue: 9, isScarce: false }];
     const cases: [string, Partial<StepInput<StepCandidate>>, string][] = [
-      ["a free upstream here is taken", {
+      ["a free upstream in this region is used", {
         candidates: [candidate()],
         regions: far,
       }, "send u1"],
-      ["a full region hands over", {
+      ["a full region relays", {
         candidates: [candidate({ running: 10 })],
         regions: far,
       }, "relay south"],
-      ["without a region it queues", {
+      ["a request queues if there is no other region", {
         candidates: [candidate({ running: 10 })],
       }, "send u1"],
-      ["a queue that is full makes it wait a moment", {
+      ["a request waits if the queue is full", {
         candidates: [candidate({ running: 40 })],
       }, "wait"],
-      ["then it is refused", {
+      ["a request is refused after the wait", {
         candidates: [candidate({ running: 40 })],
         arrivedMs: 500,
       }, "refuse overloaded"],
       [
-        "no upstream at all is refused after the wait",
+        "a request without any upstream is refused after the wait",
         { arrivedMs: 500 },
         "refuse noUpstream",
       ],
-      ["a deadline that has passed", {
+      ["a request with too little time left is refused", {
         deadlineMs: 1_010,
         candidates: [candidate()],
       }, "refuse expired"],
-      ["no hand-over that the link outlasts", {
+      ["a request is not relayed if the link takes longer than its time left", {
         deadlineMs: 1_150,
         arrivedMs: 500,
         regions: far,
       }, "refuse noUpstream"],
-      ["a region without room is not used", {
+      ["a region without capacity is not used", {
         arrivedMs: 500,
         regions: [{ region: "south", free: 0, queue: 0, isScarce: false }],
       }, "refuse noUpstream"],
-      ["one set aside is tried if nothing else is left", {
+      ["an upstream that is set aside is tried if no other is left", {
         candidates: [candidate({ isAside: true })],
       }, "send u1"],
-      ["one set aside comes after other regions", {
+      ["an upstream that is set aside comes after other regions", {
         candidates: [candidate({ isAside: true })],
         regions: far,
       }, "relay south"],
-      ["a cold one beyond its rate is left alone", {
+      ["a cold upstream beyond its rate gets no request", {
         candidates: [candidate({ isWithinColdRate: false })],
         arrivedMs: 500,
       }, "refuse overloaded"],
@@ -118,8 +118,8 @@
       });
     }
 
-    // One region's engines are gone, and one other region is the last home of requests that are bound.
-    it("what may go anywhere leaves the homes of others alone", (t) => {
+    // One region's engines are gone, and one other region is the last home of bound requests.
+    it("a request that may run anywhere avoids the home regions of others", (t) => {
       const home = { region: "home", free: 90, queue: 90, isScarce: true };
       t.deepEqual(step({ regions: [home, ...far] }), {
         type: "relay",
@@ -128,7 +128,7 @@
       t.deepEqual(step({ regions: [home] }), { type: "relay", region: "home" });
     });
 
-    it("those refused together come back apart", (t) => {
+    it("requests refused together get different retry times", (t) => {
       const delays = [0, 0.25, 0.5, 0.99].map((draw) => {
         const refused = step({ arrivedMs: 500, draw });
         return refused.type === "refuse" ? refused.comeBackMs : 0;
@@ -137,8 +137,9 @@
       t.true(Math.min(...delays) >= 500 && Math.max(...delays) <= 1_500);
     });
 
-    // All engines of the region are evacuated, and the only other home is busy: refusing would lose what can still wait.
-    it("what has no place at home waits in another region rather than being refused", (t) => {
+    // All engines of the region are evacuated, and the only other home is busy. A refusal would lose requests that can
+    // still wait there.
+    it("a request without an upstream at home waits in another region rather than being refused", (t) => {
       t.deepEqual(step({ regions: busy }), { type: "relay", region: "south" });
       const here = step({
         regions: busy,
@@ -147,9 +148,9 @@
       t.is(here.type, "send");
     });
 
-    // At a region's peak its engines are half full of streams: the longest answers would miss their deadline there, and
-    // other regions' engines idle.
-    it("a long answer goes where tokens come faster, a short one stays", (t) => {
+    // At a region's peak its engines are half full of streams. The longest answers would miss their deadline there
+    // while the engines of other regions are idle.
+    it("a long answer is relayed to where tokens come faster, a short one stays", (t) => {
       const half = candidate({ running: 60, slots: 128 });
       t.is(
         step({ candidates: [half], regions: far, criteria: LONG_CRITERIA })
@@ -167,7 +168,7 @@
       );
     });
 
-    it("a region lends half of its places, of sound upstreams only", (t) => {
+    it("a region offers half of its capacity, of healthy upstreams only", (t) => {
       const offered = computeOfferedCapacity([
         candidate({ running: 2 }),
         candidate({ isDoubtful: true }),
@@ -187,7 +188,7 @@
 
     const noHolders = () => [];
 
-    it("goes from the home if it has read them, or from who read them last", (t) => {
+    it("uses the home if it has read them, or else the engine that read them last", (t) => {
       const inRegion = engines.filter(({ region }) => region === "n");
       const home = homeOf(inRegion, "book")!;
       const [target, other] = inRegion.filter((engine) => engine !== home);
@@ -199,7 +200,7 @@
       t.is(sourceFor(target.key), home.key);
     });
 
-    it("goes from the home of the region, and to it from the home of all", (t) => {
+    it("uses the home of the region, and for that one the home among all regions", (t) => {
       const inRegion = engines.filter(({ region }) => region === "n");
       const regionHome = homeOf(inRegion, "book")!;
       const home = homeOf(engines, "book")!;
@@ -211,7 +212,7 @@
       }
     });
 
-    it("is left out for short parts, and for prompts that share nothing", (t) => {
+    it("is skipped for short parts and for prompts that share nothing", (t) => {
       t.is(
         selectFetchSource(engines[0], engines, [{ id: "a", tokens: 90 }, {
           id: "b",
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,73 +1,73 @@
 /**
- * What requests are routed by.
+ * Types that requests are routed by: routes, services, upstreams, limits and parts of prompts.
  *
  * @module
  */
 
 /**
- * What may be repeated. `idempotent` may run any number of times, `atMostOnce` once for each attempt of the caller;
- * a `stream` is `atMostOnce` unless its route says that it can be resumed.
+ * How often a request may run. An `idempotent` request may run any number of times, an `atMostOnce` request once for
+ * each attempt of the caller. A `stream` counts as `atMostOnce` unless its route says that it can be resumed.
  */
 export type RouteKind = "idempotent" | "atMostOnce" | "stream";
 
-/** One of the services that a route sends to, with its share. */
+/** A service that a route sends requests to, with its weight. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** A row of the operators' table: which requests go where. */
+/** A row of the operators' route table, which says where requests are sent. */
 export interface Route {
   readonly name: string;
-  /** Lower case. */
+  /** The host name in lower case. */
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** The prefix begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   /** Whether a broken stream may be continued at another upstream. */
   readonly resumable: boolean;
   readonly targets: readonly RouteTarget[];
-  /** The longest that a caller is kept, from the arrival of its request. */
+  /** The longest time that a caller waits, counted from the arrival of its request. */
   readonly timeoutMs: number;
-  /** An answer, or a stream's first event, within this earns its full worth. */
+  /** Latency objective of an answer or of a stream's first event. One that comes later does not count in full. */
   readonly objectiveMs: number;
-  /** The longest pause between a stream's events; 0 if none is asked for. */
+  /** The longest allowed gap between two events of a stream; 0 means no limit. */
   readonly eventGapMs: number;
-  /** 0 is the most urgent; a workspace's own goes before it. */
+  /** Priority, where 0 is the most urgent. A workspace's own priority takes precedence. */
   readonly priority: number;
-  /** Whether callers need no key. */
+  /** Whether callers may send requests without a key. */
   readonly anonymous: boolean;
-  /** Most upstreams that one attempt of a caller may be sent to. */
+  /** Maximum number of upstreams that one attempt of a caller may be sent to. */
   readonly mostUpstreams: number;
-  /** Regions that may serve it; empty means all. */
+  /** Regions that may serve the route; empty means all. */
   readonly homeRegions: readonly string[];
 }
 
-/** What is known of an engine's make. */
+/** Properties of the engines that run a service. */
 export interface EngineSpec {
-  /** Requests that run side by side. */
+  /** Maximum number of requests that run concurrently. */
   readonly slots: number;
-  /** Tokens that running requests and cached prompts share. */
+  /** Memory in tokens, which running requests and cached prompts share. */
   readonly memoryTokens: number;
-  /** Tokens that one event of a stream holds. */
+  /** Number of tokens in one event of a stream. */
   readonly tokensPerEvent: number;
   /** Whether the memory of a running request can be moved to another engine. */
   readonly moves: boolean;
 }
 
-/** A service that upstreams run. */
+/** Configuration of a service, which upstreams run. */
 export interface ServiceConfig {
   readonly name: string;
-  /** Connections that one upstream takes from all VMs together. */
+  /** Maximum number of connections that one upstream accepts from all VMs together. */
   readonly mostConnections: number;
   /** How long an upstream is cold after its start. */
   readonly coldMs: number;
-  /** Requests a second that a cold upstream bears, from all VMs together; 0 means no limit. */
+  /** Requests per second that a cold upstream can handle, from all VMs together; 0 means no limit. */
   readonly coldPerS: number;
   readonly engine: EngineSpec | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on what a caller may send and on how long it may take. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -75,10 +75,10 @@
   readonly idleMs: number;
 }
 
-/** An upstream as it registers itself. */
+/** An upstream's own registration. */
 export interface UpstreamRecord {
   readonly id: string;
-  /** Names one start of one upstream; a restart under the same id has another. */
+  /** Identifies one start of one upstream. After a restart the same id has another key. */
   readonly key: string;
   readonly service: string;
   readonly host: string;
@@ -86,11 +86,11 @@
   readonly failureDomain: string;
   readonly slots: number;
   readonly state: "ready" | "draining";
-  /** How long it stays cold, counted from when the entry was read. */
+  /** How long the upstream stays cold, counted from when the entry was read. */
   readonly coldLeftMs: number;
 }
 
-/** A part of a prompt that requests share. */
+/** A part of a prompt. Several requests may share it. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
--- a/src/routing/urgency.ts
+++ b/src/routing/urgency.ts
@@ -1,30 +1,31 @@
 /**
- * In which order an engine admits what waits there.
+ * Ranks requests for the order in which an engine admits those that wait there.
  *
  * @module
  */
 
-/** What an order is decided on. */
+/** Input for the rank of a request. */
 export interface UrgencyInput {
   /** Time since the request arrived. */
   readonly waitedMs: number;
-  /** An answer, or a stream's first event, within this earns its full worth. */
+  /** Latency objective of an answer or of a stream's first event. One that comes later does not count in full. */
   readonly objectiveMs: number;
-  /** Time that the engine needs to read its prompt. */
+  /** Time that the engine needs to read the request's prompt. */
   readonly readMs: number;
 }
 
 /** The last rank; 0 is admitted first. */
 const LAST_RANK = 9;
-/** Time that a rank stands for: half of the shortest objectives, so that those of one service fall into several ranks. */
+/** Time span of a rank. It is half of the shortest objectives, so that requests of one service get several ranks. */
 const RANK_MS = 250;
 
 /**
- * The rank of a request, 0 first. Made for a peak at which all prompts wait for reading: in the order of arrival every
- * kind starts late. First comes what is due first, and of two that are due together the one that is read sooner, as it
- * holds the other up less. What can't be on time any more comes last: it is served late all the same, and would make
- * another late. The operators' priorities are left out: by them prompts with a short objective waited behind others
- * that had time, and no kind gained.
+ * Computes the rank of a request, where 0 is admitted first. The rank matters at a peak, when all prompts wait to be
+ * read: in the order of arrival, requests of every kind would start late. A request that is due sooner comes first. Of
+ * two that are due at the same time, the one that is read sooner comes first, as it delays the other less. A request
+ * that can't be on time any more comes last, because it is late in any case and would make another one late. The
+ * operators' priorities are left out: with them, prompts with a short objective waited behind others that had time, and
+ * no kind gained.
  */
 export function urgencyRank(
   { waitedMs, objectiveMs, readMs }: UrgencyInput,
