--- a/src/decisions/admission_control.ts
+++ b/src/decisions/admission_control.ts
@@ -37,7 +37,7 @@
 
 interface Forecast extends HomeForecast {
   readonly lane: LaneName;
-  readonly warmUpstreamId: string | undefined;
+  readonly prefixUpstreamId: string | undefined;
   readonly rawWaitMs: number;
   readonly work: number;
   readonly cost: RequestCost;
@@ -220,7 +220,7 @@
       queuedAtMs: nowMs,
       rawWaitMs: forecast.rawWaitMs,
       latestStartMs: request.deadlineMs - forecast.firstTokenMs,
-      warmUpstreamId: forecast.warmUpstreamId,
+      prefixUpstreamId: forecast.prefixUpstreamId,
       bypassCount: 0,
     };
   }
@@ -255,7 +255,7 @@
     const work = workTokens(request, request.promptTokens - coldTokens);
     return {
       lane,
-      warmUpstreamId: savedMs > 0 ? upstream.row.id : undefined,
+      prefixUpstreamId: savedMs > 0 ? upstream.row.id : undefined,
       ...this.#dispatcher.waits.forecast(lane, ahead),
       firstTokenMs: firstMs,
       coldMs: upstream.idleFirstTokenMs(request.promptTokens),
--- a/src/decisions/dispatcher.ts
+++ b/src/decisions/dispatcher.ts
@@ -195,7 +195,10 @@
     };
   }
 
-  #grantSlot({ entry, found }: Assignment, nowMs: number): HeldAttempt {
+  #grantSlot(
+    { entry, candidate: found }: Assignment,
+    nowMs: number,
+  ): HeldAttempt {
     const { request } = entry;
     const { upstream } = found;
     const held: HeldAttempt = {
@@ -228,7 +231,7 @@
     upstream.cachedPrefixes.touch(request.prefixHashes, nowMs);
     this.#granted.add(held);
     this.waits.recordGrant(entry, nowMs);
-    this.#scheduler.recordGrant({ entry, found }, nowMs);
+    this.#scheduler.recordGrant({ entry, candidate: found }, nowMs);
     this.#autoscaler.recordGrant(entry.work);
     return held;
   }
--- a/src/decisions/fleet.ts
+++ b/src/decisions/fleet.ts
@@ -252,12 +252,13 @@
  */
 function latenessRatio(held: HeldAttempt, firstTokenMs: number): number {
   const { upstream } = held;
-  const warmMs = Math.max(1, held.firstTokenDueMs - held.grantedAtMs);
+  const predictedMs = Math.max(1, held.firstTokenDueMs - held.grantedAtMs);
   const cachedTokens = held.promptTokens - held.coldTokens;
-  const coldMs = warmMs + prefillMs(upstream.row, cachedTokens) * held.slowness;
-  const wasEvicted = coldMs - warmMs > MIN_EVICTION_DELAY_MS &&
-    firstTokenMs * firstTokenMs > warmMs * coldMs;
-  return firstTokenMs / (wasEvicted ? coldMs : warmMs);
+  const coldMs = predictedMs +
+    prefillMs(upstream.row, cachedTokens) * held.slowness;
+  const wasEvicted = coldMs - predictedMs > MIN_EVICTION_DELAY_MS &&
+    firstTokenMs * firstTokenMs > predictedMs * coldMs;
+  return firstTokenMs / (wasEvicted ? coldMs : predictedMs);
 }
 
 // What the engine tells of its cache is exact, and late: it comes with the end of the answer. A prefix placed there just
--- a/src/decisions/lanes.ts
+++ b/src/decisions/lanes.ts
@@ -40,7 +40,7 @@
     long: new FairQueue<QueueEntry>(),
   };
   /** Entries by the upstream that holds their prefix; those gone are dropped when they come up. */
-  readonly #warmTickets = {
+  readonly #prefixTickets = {
     short: new Map<string, TinyQueue<Ticket<QueueEntry>>>(),
     long: new Map<string, TinyQueue<Ticket<QueueEntry>>>(),
   };
@@ -89,8 +89,8 @@
       rank: rankOf(request),
     });
     this.#tickets.set(request.attemptId, ticket);
-    if (entry.warmUpstreamId !== undefined) {
-      this.#indexWarm(entry.warmUpstreamId, ticket);
+    if (entry.prefixUpstreamId !== undefined) {
+      this.#indexPrefix(entry.prefixUpstreamId, ticket);
     }
     this.#byLatestStart.push(entry);
     if (this.#byLatestStart.length > 2 * this.size + REMOVED_SLACK) {
@@ -138,8 +138,8 @@
    * An entry of the lane whose prefix this upstream holds and whose workspace is not far ahead of its share: of many
    * that wait, the one that costs the upstream least, as long as fairness allows.
    */
-  peekWarm(lane: LaneName, upstreamId: string): QueueEntry | undefined {
-    const waiting = this.#warmTickets[lane].get(upstreamId);
+  peekCached(lane: LaneName, upstreamId: string): QueueEntry | undefined {
+    const waiting = this.#prefixTickets[lane].get(upstreamId);
     while (waiting && waiting.length > 0) {
       const ticket = waiting.peek()!;
       if (ticket.state === "queued") {
@@ -150,7 +150,7 @@
       }
       waiting.pop();
     }
-    this.#warmTickets[lane].delete(upstreamId);
+    this.#prefixTickets[lane].delete(upstreamId);
     return undefined;
   }
 
@@ -193,8 +193,8 @@
     return [...this.#tickets.keys()].map((id) => this.remove(id)!);
   }
 
-  #indexWarm(upstreamId: string, ticket: Ticket<QueueEntry>): void {
-    const lane = this.#warmTickets[ticket.value.lane];
+  #indexPrefix(upstreamId: string, ticket: Ticket<QueueEntry>): void {
+    const lane = this.#prefixTickets[ticket.value.lane];
     let waiting = lane.get(upstreamId);
     if (!waiting) {
       waiting = new TinyQueue<Ticket<QueueEntry>>(
--- a/src/decisions/placement.ts
+++ b/src/decisions/placement.ts
@@ -68,7 +68,7 @@
   /** Whether the lead is new and may not know all that its upstreams run. */
   readonly isCautious: boolean;
   /** Whether the request's workspace is far over its share. */
-  readonly over: boolean;
+  readonly isOverShare: boolean;
   /** Upstreams that were given this prompt's prefix. */
   readonly findHolders: (hashes: readonly number[]) => readonly Upstream[];
   /** Requests that wait for this upstream already. */
@@ -96,8 +96,8 @@
   const longAllowed = canStartLong(view, candidates);
   let best: Candidate | undefined;
   let bestCost = Infinity;
-  let warm: Candidate | undefined;
-  let warmCost = Infinity;
+  let cached: Candidate | undefined;
+  let cachedCost = Infinity;
   for (const upstream of candidates) {
     if (request.exclude.includes(upstream.row.id)) continue;
     const probe = upstream.health.isProbeDue(view.nowMs);
@@ -109,18 +109,18 @@
       if (cost >= bestCost) continue;
       best = candidate;
       bestCost = cost;
-    } else if (candidate.savedMs > 0 && cost < warmCost) {
-      warm = candidate;
-      warmCost = cost;
+    } else if (candidate.savedMs > 0 && cost < cachedCost) {
+      cached = candidate;
+      cachedCost = cost;
     }
   }
   if (!best) return { type: "full" };
-  if (warm && !best.isProbe) {
-    const { upstream } = warm;
+  if (cached && !best.isProbe) {
+    const { upstream } = cached;
     const slotMs = upstream.predictSlotWaitMs(
       view.countWaitingFor(upstream.row.id),
     );
-    const maxWaitMs = bestCost - warmCost;
+    const maxWaitMs = bestCost - cachedCost;
     if (slotMs < maxWaitMs) {
       return { type: "wait", upstream, untilMs: view.nowMs + maxWaitMs };
     }
@@ -144,7 +144,7 @@
 export function evaluate(
   request: SlotRequest,
   upstream: Upstream,
-  view: Pick<PlacementView, "nowMs" | "over">,
+  view: Pick<PlacementView, "nowMs" | "isOverShare">,
   probe = false,
 ): Candidate {
   const matched = upstream.cachedPrefixes.countMatched(
@@ -154,7 +154,7 @@
   const coldTokens = request.promptTokens -
     cachedPrefixTokens(request, matched);
   const long = prefillMs(upstream.row, coldTokens) > LONG_PREFILL_MS;
-  const enginePriority = enginePriorityOf(long, view.over);
+  const enginePriority = enginePriorityOf(long, view.isOverShare);
   return {
     upstream,
     coldTokens,
@@ -203,7 +203,7 @@
   ) {
     return false;
   }
-  const maxBacklogMs = view.over
+  const maxBacklogMs = view.isOverShare
     ? MAX_OVERUSE_BACKLOG_MS
     : MAX_BACKLOG_MS + candidate.savedMs;
   if (upstream.backlogMs(candidate.enginePriority, view.nowMs) > maxBacklogMs) {
@@ -214,7 +214,7 @@
 
 function reservedSlots(candidate: Candidate, view: PlacementView): number {
   const { slots } = candidate.upstream.row;
-  if (view.over) return Math.ceil(slots * OVERUSE_RESERVED_SHARE);
+  if (view.isOverShare) return Math.ceil(slots * OVERUSE_RESERVED_SHARE);
   const lastSlot = candidate.upstream.row.slots > 1 ? 1 : 0;
   return candidate.enginePriority < 2 && view.hasShortTraffic
     ? Math.max(lastSlot, Math.floor(slots * SHORT_RESERVED_SHARE))
@@ -225,7 +225,7 @@
   view: PlacementView,
   candidates: readonly Upstream[],
 ): boolean {
-  if (!view.over || candidates.length < 2) return true;
+  if (!view.isOverShare || candidates.length < 2) return true;
   const busy = candidates.filter((u) => u.longUnstarted > 0).length;
   return busy <
     Math.max(1, Math.floor(candidates.length * MAX_OVERUSE_LONG_SHARE));
--- a/src/decisions/queue_entry.ts
+++ b/src/decisions/queue_entry.ts
@@ -25,7 +25,7 @@
   /** Starting later than this, its first token would miss the deadline. */
   readonly latestStartMs: number;
   /** The upstream believed to hold most of its prefix, if any does. */
-  readonly warmUpstreamId: string | undefined;
+  readonly prefixUpstreamId: string | undefined;
   /** Times another request went before it for being warm. */
   bypassCount: number;
 }
--- a/src/decisions/scheduler.ts
+++ b/src/decisions/scheduler.ts
@@ -34,7 +34,7 @@
 /** A queued request and its place. */
 export interface Assignment {
   readonly entry: QueueEntry;
-  readonly found: Candidate;
+  readonly candidate: Candidate;
 }
 
 /** See the module. */
@@ -67,7 +67,7 @@
   }
 
   /** An entry was given a place. */
-  recordGrant({ entry, found }: Assignment, nowMs: number): void {
+  recordGrant({ entry, candidate: found }: Assignment, nowMs: number): void {
     const { request, weight, work } = entry;
     this.#usage.add(request.workspace, weight, work, nowMs);
     this.#prefixIndex.add(request.prefixHashes, found.upstream);
@@ -81,7 +81,7 @@
       hasShortTraffic: nowMs - this.#lastShortAtMs < SHORT_TRAFFIC_WINDOW_MS,
       utilization: this.#fleet.utilization,
       isCautious: this.isCautious(nowMs),
-      over: false,
+      isOverShare: false,
       findHolders: (hashes) => this.#prefixIndex.findHolders(hashes),
       countWaitingFor: (upstreamId) =>
         this.#lanes.affinityQueue.countFor(upstreamId),
@@ -103,7 +103,7 @@
       );
       if (placement.type !== "go") continue;
       this.#lanes.remove(entry.request.attemptId);
-      assign({ entry, found: placement.candidate });
+      assign({ entry, candidate: placement.candidate });
     }
     for (const id of upstreamIds) {
       const upstream = this.#fleet.get(id);
@@ -113,14 +113,14 @@
           tryPlaceAt(entry.request, upstream, this.#viewFor(entry, view));
         if (!found) break;
         this.#lanes.remove(entry.request.attemptId);
-        assign({ entry, found });
+        assign({ entry, candidate: found });
       }
     }
   }
 
   #viewFor(entry: QueueEntry, view: PlacementView): PlacementView {
     const over = this.#usage.isOverShare(entry.request.workspace, view.nowMs);
-    return over ? { ...view, over } : view;
+    return over ? { ...view, isOverShare: over } : view;
   }
 
   /** The next in turn that can be placed, taken out of the queue. */
@@ -133,7 +133,7 @@
         const entryView = this.#viewFor(entry, view);
         const placement = choosePlacement(entry.request, entryView);
         if (placement.type === "go") {
-          return this.#preferWarm(entry, placement.candidate, view.nowMs);
+          return this.#preferCached(entry, placement.candidate, view.nowMs);
         }
         if (placement.type === "wait") {
           const untilMs = Math.min(
@@ -144,7 +144,7 @@
           continue;
         }
         // Only these can be stuck where the next workspace is not.
-        if (!entryView.over && entry.request.exclude.length === 0) break;
+        if (!entryView.isOverShare && entry.request.exclude.length === 0) break;
         this.#lanes.skip(lane);
         skips++;
       }
@@ -157,28 +157,32 @@
    * full queue most places would else go to prompts whose prefix lies elsewhere, and the pool would spend its time on
    * prefilling again what it has; one bypassed often enough goes wherever there is room.
    */
-  #preferWarm(entry: QueueEntry, found: Candidate, nowMs: number): Assignment {
-    const inTurn = { entry, found };
+  #preferCached(
+    entry: QueueEntry,
+    found: Candidate,
+    nowMs: number,
+  ): Assignment {
+    const inTurn = { entry, candidate: found };
     if (found.isProbe || !found.isLong || entry.bypassCount >= MAX_BYPASSES) {
       this.#lanes.pop(entry.lane);
       return inTurn;
     }
     const id = found.upstream.row.id;
-    const warmEntry = this.#lanes.peekWarm(entry.lane, id);
+    const cachedEntry = this.#lanes.peekCached(entry.lane, id);
     if (
-      !warmEntry || warmEntry === entry ||
-      warmEntry.request.exclude.includes(id)
+      !cachedEntry || cachedEntry === entry ||
+      cachedEntry.request.exclude.includes(id)
     ) {
       this.#lanes.pop(entry.lane);
       return inTurn;
     }
-    const over = this.#usage.isOverShare(warmEntry.request.workspace, nowMs);
-    const warmCandidate = evaluate(warmEntry.request, found.upstream, {
+    const over = this.#usage.isOverShare(cachedEntry.request.workspace, nowMs);
+    const cachedCandidate = evaluate(cachedEntry.request, found.upstream, {
       nowMs,
-      over,
+      isOverShare: over,
     });
-    this.#lanes.takeOutOfTurn(warmEntry);
+    this.#lanes.takeOutOfTurn(cachedEntry);
     entry.bypassCount++;
-    return { entry: warmEntry, found: warmCandidate };
+    return { entry: cachedEntry, candidate: cachedCandidate };
   }
 }
