--- a/src/decisions/admission_control.ts
+++ b/src/decisions/admission_control.ts
@@ -1,5 +1,5 @@
 /**
- * What happens to a request on arrival: refused, sent to another region, or let into the queue.
+ * Admission control: an arriving request is refused, sent to another region or queued.
  *
  * @module
  */
@@ -19,18 +19,23 @@
 import { priceMicrocents, workTokens } from "./work.ts";
 
 /**
- * A workspace may fill the queue up to its share, by weight, of this many times what is left free. One alone gets two
- * thirds of the queue, and there is always room for the first requests of another.
+ * A workspace may fill the queue up to its share, by weight, of this many times the free places. A single workspace
+ * gets two thirds of the queue, so there is always room for the first requests of another.
  */
 const QUEUE_SHARE_FACTOR = 2;
-/** Queue limit where the table has no row of the service. */
+/** Queue limit of a service that has no row in the table. */
 const DEFAULT_QUEUE_LIMIT = 1000;
-/** Earliest return of a refused caller. Sooner, and the same refusal would be all it gets. */
+/**
+ * Bounds of the time after which a refused caller may retry. A caller that retried sooner would only be refused again.
+ */
 const RETRY_DELAY_MS = { min: 200, max: 30_000 };
-/** Callers refused together are spread over this part of their wait, or they would come back together. */
+/**
+ * Retries of callers refused together are spread over this part of their delay, so that they do not all come back at
+ * once.
+ */
 const RETRY_JITTER = 0.5;
 
-/** What became of an arrival. */
+/** Result of an arrival: a queue entry, or an answer. */
 export type AdmissionResult =
   | { readonly type: "queue"; readonly entry: QueueEntry }
   | { readonly type: "answered"; readonly output: PoolOutput };
@@ -43,7 +48,7 @@
   readonly cost: RequestCost;
 }
 
-/** See the module. */
+/** Decides whether an arriving request is queued, sent to another region or refused. */
 export class AdmissionControl {
   readonly #options: PoolOptions;
   readonly #dispatcher: Dispatcher;
@@ -95,7 +100,10 @@
     };
   }
 
-  /** Refuses what can no longer start in time; once no upstream is left, sends away or refuses all. */
+  /**
+   * Refuses the queued requests that can no longer start in time. When no upstream is usable, sends all of them to
+   * other regions or refuses them.
+   */
   refuseLate(nowMs: number): PoolOutput[] {
     const { lanes, fleet } = this.#dispatcher;
     if (!fleet.hasUsable(nowMs)) {
@@ -114,13 +122,13 @@
     });
   }
 
-  /** A queued request was given up: it used nothing. */
+  /** Refunds the limits for a queued request that was given up, which used nothing. */
   releaseQueued(entry: QueueEntry): void {
     const nothing = { workTokens: 0, microcents: 0 };
     this.#limiter.release(entry.request.workspace, entry.cost, nothing);
   }
 
-  /** A slot came back after an answer of this many tokens. */
+  /** Settles the limits for an attempt that ended after an answer of this many tokens. */
   releaseHeld(held: HeldAttempt, outputTokens: number): void {
     if (!held.cost) return;
     const actual = this.#costOf(
@@ -133,8 +141,8 @@
     this.#limiter.release(held.workspace, held.cost, actual);
   }
 
-  // Checked here too, although the VM that took the request checks it first: a version of the table older than the edit
-  // that bound a workspace may still be in force there.
+  // The VM that received the request checks this first, but it may still use a version of the table from before the
+  // edit that bound the workspace. So it is checked here too.
   #checkResidency(request: SlotRequest): Failure | undefined {
     const row = this.#table.workspace(request.workspace);
     const { region } = this.#options;
--- a/src/decisions/affinity_queue.ts
+++ b/src/decisions/affinity_queue.ts
@@ -1,5 +1,5 @@
 /**
- * Requests whose turn has come and that wait for one upstream, because it holds their prefix and will soon have room.
+ * Requests whose turn has come, but that wait for the upstream which has their prefix cached and will soon have room.
  *
  * @module
  */
@@ -10,12 +10,12 @@
 interface DeferredEntry {
   readonly entry: QueueEntry;
   readonly upstreamId: string;
-  /** When waiting costs more than a cold prefill elsewhere. */
+  /** From this time on, waiting costs more than a cold prefill elsewhere. */
   readonly untilMs: number;
   state: "waiting" | "ready" | "gone";
 }
 
-/** See the module. */
+/** The deferred requests, by the upstream that they wait for. */
 export class AffinityQueue {
   readonly #byAttemptId = new Map<string, DeferredEntry>();
   readonly #byUpstream = new Map<string, Set<DeferredEntry>>();
@@ -39,20 +39,20 @@
     this.#byDeadline.push(deferred);
   }
 
-  /** Upstreams that requests wait for. */
+  /** Returns the upstreams that requests wait for. */
   upstreamIds(): string[] {
     return [...this.#byUpstream.keys()];
   }
   countFor(upstreamId: string): number {
     return this.#byUpstream.get(upstreamId)?.size ?? 0;
   }
-  /** The one that has waited longest for this upstream. */
+  /** Returns the request that has waited longest for this upstream. */
   firstFor(upstreamId: string): QueueEntry | undefined {
     const [first] = this.#byUpstream.get(upstreamId) ?? [];
     return first?.entry;
   }
 
-  /** Those that waited long enough and now take any place, oldest first. */
+  /** Returns the requests that have waited long enough and may now go to any upstream, oldest first. */
   readyEntries(nowMs: number): QueueEntry[] {
     for (;;) {
       const next = this.#byDeadline.peek();
--- a/src/decisions/autoscaler.ts
+++ b/src/decisions/autoscaler.ts
@@ -1,43 +1,46 @@
 /**
- * Release: how many upstreams a pool needs now, so that idle ones can be parked and woken by orders.
+ * Autoscaling: computes how many upstreams a pool needs now, so that idle ones can be parked and woken by orders.
  *
  * @module
  */
 
 import type { ServiceRow } from "../agreement/mod.ts";
 
-/** Averages of demand: the slow one is a quiet hour's, the fast one sees a burst begin. */
+/**
+ * Time constants of two averages of demand: the slow one is the level in quiet times, the fast one shows the start of a
+ * burst.
+ */
 const FAST_AVERAGE_MS = 3000;
 const SLOW_AVERAGE_MS = 20_000;
 /**
- * Part of an upstream's nominal rate that it is planned to be used at, where only cost weighs and where only latency
- * does. Above the first, first tokens wait for prefills of others; below the second, nothing is gained any more.
+ * Target utilization of an upstream's nominal rate, if only cost has a weight and if only latency has. Above the first,
+ * first tokens wait for the prefills of other requests; below the second, latency does not improve any more.
  */
 const COST_TARGET_UTILIZATION = 0.8;
 const LATENCY_TARGET_UTILIZATION = 0.4;
-/** Upstreams kept beyond the need: a burst must find room while others wake. */
+/** Share of upstreams kept awake beyond the need, so that a burst finds room while others wake. */
 const RESERVE_SHARE = 0.1;
-/** Time for which one upstream too many must have been awake before it is parked: waking costs its cache. */
+/** How long there must have been at least one upstream too many before one is parked: it wakes without its cache. */
 const PARK_DELAY_MS = 5000;
-/** Queue that wakes an upstream at once, whatever the averages say. */
+/** A queue wait longer than this wakes an upstream at once, whatever the averages say. */
 const WAKE_QUEUE_MS = 200;
-/** Between two wakings for a queue, as the first needs a moment to help. */
+/** Shortest time between two upstreams woken because of the queue, as the first needs a moment to help. */
 const MIN_WAKE_INTERVAL_MS = 1000;
 
-/** What the plan is made on. */
+/** The input of {@link Autoscaler.plan}. */
 export interface ScalingView {
   readonly service: ServiceRow | undefined;
-  /** Upstreams that get work, and those parked or about to be. */
+  /** Upstreams that get work, and those that are parked or draining. */
   readonly awake: number;
   readonly parked: number;
-  /** Nominal rate of one upstream, in work a ms. */
+  /** Nominal rate of one upstream, in work per ms. */
   readonly perUpstreamPerMs: number;
-  /** Wait of what is queued. */
+  /** Time until all queued work has started. */
   readonly waitMs: number;
   readonly nowMs: number;
 }
 
-/** What to do: park one, wake some, or nothing. */
+/** The next step: park one upstream, wake some, or do nothing. */
 export type ScalingStep =
   | { readonly type: "park" }
   | { readonly type: "wake"; readonly count: number }
@@ -45,7 +48,10 @@
 
 const KEEP: ScalingStep = { type: "keep" };
 
-/** See the module. Made for nights: demand halves, and an upstream without work is paid for all the same. */
+/**
+ * Plans how many upstreams stay awake. At night demand falls by half, and an upstream without work costs as much as a
+ * busy one.
+ */
 export class Autoscaler {
   #fastPerMs = 0;
   #slowPerMs = 0;
@@ -54,12 +60,12 @@
   #spareSinceMs?: number;
   #wokenAtMs = -Infinity;
 
-  /** Work was granted. */
+  /** Counts granted work. */
   recordGrant(work: number): void {
     this.#grantedWork += work;
   }
 
-  /** The next step. Without a weight on cost nothing is parked, and what is parked is woken. */
+  /** Returns the next step. Without a weight on cost nothing is parked, and parked upstreams are woken. */
   plan(view: ScalingView): ScalingStep {
     this.#updateAverages(view.nowMs);
     const { costWeight = 0, latencyWeight = 1 } = view.service?.objective ?? {};
@@ -99,7 +105,7 @@
     }
     this.#spareSinceMs ??= view.nowMs;
     if (view.nowMs - this.#spareSinceMs < PARK_DELAY_MS) return KEEP;
-    // One at a time: what is left must show that it copes before the next goes.
+    // Upstreams are parked one at a time: the rest must prove sufficient before the next one is parked.
     this.#spareSinceMs = view.nowMs - PARK_DELAY_MS / 2;
     return { type: "park" };
   }
--- a/src/decisions/cached_prefixes.ts
+++ b/src/decisions/cached_prefixes.ts
@@ -1,30 +1,34 @@
 /**
- * Belief of which prompt prefixes an upstream has cached.
+ * Estimates which prompt prefixes an upstream has cached.
  *
  * @module
  */
 
-/** Prefix blocks remembered for one upstream at the start and at most, some 200 KB; and at least. */
+/** Prefix blocks kept for one upstream: at the start and at most (some 200 KB), and at least. */
 const MAX_BLOCKS = 2048;
 const MIN_BLOCKS = 64;
 /**
- * Factors of the bound when a belief proves wrong, and when one proves right: it settles where one in twenty is wrong,
- * near what the engine's cache holds, which nobody tells the lead.
+ * Factors by which the maximum of kept blocks changes when an expected prefix was not cached, and when it was. The
+ * maximum settles where one expectation in twenty is wrong, near the size of the engine's cache, which the lead is not
+ * told.
  */
 const MISS_FACTOR = 0.9;
 const HIT_FACTOR = 1.005;
-/** A belief not renewed for this long counts nothing: the engine has evicted it, or will soon. */
+/** A prefix that was not placed again for this long counts as evicted: the engine has evicted it, or will soon. */
 const PREFIX_TTL_MS = 300_000;
 
 /**
- * The prefixes placed on one upstream, least recently used first. The lead sees no eviction, so belief ends by age and
- * by the bound, and is taken back when a first token comes as late as a cold one would.
+ * The prefixes placed on one upstream, least recently used first. The lead sees no eviction, so a prefix is dropped by
+ * age or when there are too many, and fewer are kept after an expected prefix was found cold.
  */
 export class CachedPrefixes {
   readonly #seenAtMs = new Map<number, number>();
   #maxBlocks = MAX_BLOCKS;
 
-  /** Leading blocks of the prompt believed cached. A prefix implies its own prefixes, so the search is binary. */
+  /**
+   * Returns how many leading blocks of the prompt are expected to be cached. A cached prefix implies its own prefixes,
+   * so the search is binary.
+   */
   countMatched(hashes: readonly number[], nowMs: number): number {
     let low = 0;
     let high = hashes.length;
@@ -36,7 +40,10 @@
     return low;
   }
 
-  /** The prompt was placed here: its blocks are, or will be, cached. Longest first, so that its tail is evicted first. */
+  /**
+   * Records that the prompt was placed here: its blocks are, or will be, cached. The longest is added first, so that
+   * the prompt's tail is evicted first.
+   */
   touch(hashes: readonly number[], nowMs: number): void {
     for (let i = hashes.length - 1; i >= 0; i--) {
       this.#seenAtMs.delete(hashes[i]);
@@ -45,18 +52,18 @@
     this.#evict();
   }
 
-  /** A prompt believed warm turned out cold: it was evicted, and what was used before it surely was too. */
+  /** Records that an expected prefix was not cached: it was evicted, and so was surely what was used before it. */
   recordMiss(): void {
     this.#maxBlocks = Math.max(MIN_BLOCKS, this.#maxBlocks * MISS_FACTOR);
     this.#evict();
   }
 
-  /** A prompt believed warm was warm. */
+  /** Records that an expected prefix was cached. */
   recordHit(): void {
     this.#maxBlocks = Math.min(MAX_BLOCKS, this.#maxBlocks * HIT_FACTOR);
   }
 
-  /** How long ago a block was last placed here. */
+  /** Returns how long ago a block was last placed here. */
   ageMs(hash: number | undefined, nowMs: number): number {
     const seenAtMs = hash === undefined ? undefined : this.#seenAtMs.get(hash);
     return seenAtMs === undefined ? Infinity : nowMs - seenAtMs;
--- a/src/decisions/dispatcher.ts
+++ b/src/decisions/dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Queue, upstreams and granted slots of a pool, and the step that matches them.
+ * Holds a pool's queue, upstreams and granted slots, and grants slots to queued requests.
  *
  * @module
  */
@@ -28,10 +28,10 @@
 import { WaitForecaster } from "./wait_forecaster.ts";
 import { workTokens } from "./work.ts";
 
-/** Upstreams that may have got room since the last step. */
+/** Upstreams that may have gained room since the last step. */
 export type ChangedUpstreams = "all" | readonly string[];
 
-/** See the module. */
+/** The queue, the upstreams and the granted slots of one pool. */
 export class Dispatcher {
   readonly lanes = new Lanes();
   readonly fleet = new Fleet();
@@ -49,15 +49,16 @@
     this.#scheduler.start(nowMs);
   }
 
-  /** The grant given to this attempt before, if it still holds. */
+  /** Returns the earlier grant of this attempt if its slot is still held. */
   grantOf(attemptId: string): PoolOutput | undefined {
     const held = this.#granted.get(attemptId);
     return held && grantOutput(held, 0);
   }
 
   /**
-   * Places what can be placed: first those that waited for a warm upstream, then in turn. `changed` names the one
-   * upstream that may have got room, or all: looking through them at each step would cost more in a larger pool.
+   * Grants slots to all requests that can be placed: first to those that wait for the upstream that has their prefix
+   * cached, then in queue order. `changed` names the upstreams that may have gained room, or all of them: checking all
+   * at each step costs more the larger the pool is.
    */
   dispatch(changed: ChangedUpstreams, nowMs: number): PoolOutput[] {
     const outputs: PoolOutput[] = [];
@@ -77,7 +78,7 @@
     return outputs;
   }
 
-  /** Learns from an attempt; returns what it held if it ended. */
+  /** Updates the estimates from an attempt's report; returns the attempt if it ended. */
   report(report: SlotReport, nowMs: number): HeldAttempt | undefined {
     const held = this.#granted.get(report.attemptId);
     if (!held) return undefined;
@@ -99,14 +100,14 @@
     return this.lanes.has(attemptId) || this.#granted.renew(attemptId, untilMs);
   }
 
-  /** The slot's caller has gone. */
+  /** Frees the slot of an attempt whose caller has gone. */
   cancel(attemptId: string, nowMs: number): HeldAttempt | undefined {
     const held = this.#granted.remove(attemptId);
     if (held) this.fleet.recordEnd(held, "canceled", nowMs);
     return held;
   }
 
-  /** Slots that nobody renewed. */
+  /** Frees the slots that were not renewed in time, and returns their attempts. */
   expire(nowMs: number): HeldAttempt[] {
     const expired = this.#granted.removeExpired(nowMs);
     for (const held of expired) this.fleet.recordEnd(held, "canceled", nowMs);
@@ -143,13 +144,13 @@
       ?.observe(load.running + load.waiting, cautious);
   }
 
-  /** Time passes. */
+  /** Updates the health of the upstreams and the drain rates. */
   advance(nowMs: number): void {
     this.fleet.updateHealth(nowMs);
     this.waits.advance(this.fleet.nominalPerMs(nowMs), nowMs);
   }
 
-  /** Orders that keep as many upstreams awake as the service needs. */
+  /** Returns the orders that keep as many upstreams awake as the service needs. */
   scale(service: ServiceRow | undefined, nowMs: number): PoolOutput[] {
     const { active } = this.fleet;
     const [first] = active;
@@ -174,12 +175,12 @@
     ];
   }
 
-  /** What a placement is decided on now. */
+  /** Returns the state that a placement depends on. */
   placementView(nowMs: number): PlacementView {
     return this.#scheduler.placementView(nowMs);
   }
 
-  /** A request was let into the queue. */
+  /** Adds an admitted request to the queue. */
   enqueue(entry: QueueEntry, nowMs: number): void {
     if (entry.lane === "short") this.#scheduler.recordShort(nowMs);
     this.lanes.push(entry);
--- a/src/decisions/fair_queue.ts
+++ b/src/decisions/fair_queue.ts
@@ -1,17 +1,17 @@
 /**
- * A queue that shares service between flows by weight and work (start-time fair queueing), O(log n) a step.
+ * A queue that shares service between flows by weight and work (start-time fair queueing), in O(log n) per step.
  *
  * @module
  */
 
 import TinyQueue from "tinyqueue";
 
-/** An entry's place in a {@link FairQueue}. */
+/** The handle of an entry in a {@link FairQueue}. */
 export interface Ticket<T> {
   readonly value: T;
   readonly flow: string;
   readonly work: number;
-  /** Order within the flow; least first. */
+  /** Order within the flow; the lowest rank goes first. */
   readonly rank: number;
   state: "queued" | "gone";
 }
@@ -24,23 +24,27 @@
   work: number;
   /** Virtual time at which its next entry starts. */
   startTag: number;
-  /** Work it used beyond what it was charged for, or less; settled when its next entry starts. */
+  /** Work used beyond what the flow was charged, or less if negative; it is charged with the flow's next entry. */
   debt: number;
-  /** Whether it stands in the heap of flows; it may, with all its entries removed. */
+  /** Whether the flow is in the heap of flows; it may be even when all its entries have been removed. */
   isInHeap: boolean;
 }
 
 const byRank = <T>(a: Ticket<T>, b: Ticket<T>) => a.rank - b.rank;
 const byStartTag = <T>(a: Flow<T>, b: Flow<T>) => a.startTag - b.startTag;
 
-/** Least number of flows remembered before those that are idle and owe nothing are swept. */
+/** Idle flows that owe nothing are removed only once at least this many flows are known. */
 const MIN_SWEEP_FLOWS = 256;
-/** Removed entries left inside the heaps before they are rebuilt: a storm of cancellations must not hold memory. */
+/**
+ * Removed entries that may stay in the heaps, beyond as many as are queued, before the heaps are rebuilt: a burst of
+ * cancellations must not hold memory.
+ */
 const REMOVED_SLACK = 64;
 
 /**
- * Entries of many flows. Made for one workspace that sends far more than its share: each pop charges the flow its work
- * divided by its weight, and the flow charged least goes next, so a burst waits behind itself and not before others.
+ * Entries of many flows. Each pop charges the flow its work divided by its weight, and the flow that was charged least
+ * goes next. If one workspace sends far more than its share, its burst waits behind its own requests and not in front
+ * of others'.
  */
 export class FairQueue<T> {
   readonly #flows = new Map<string, Flow<T>>();
@@ -56,7 +60,7 @@
   get size(): number {
     return this.#size;
   }
-  /** Work queued. */
+  /** Total work queued. */
   get work(): number {
     return this.#work;
   }
@@ -64,7 +68,7 @@
   get activeWeight(): number {
     return this.#activeWeight;
   }
-  /** Entries and work this flow has queued. */
+  /** Returns the entries and the work that this flow has queued. */
   queuedOf(flow: string): { readonly count: number; readonly work: number } {
     const found = this.#flows.get(flow);
     return { count: found?.count ?? 0, work: found?.work ?? 0 };
@@ -88,7 +92,7 @@
     return ticket;
   }
 
-  /** The entry that goes next. */
+  /** Returns the entry that goes next. */
   peek(): Ticket<T> | undefined {
     for (;;) {
       const flow = this.#activeFlows.peek();
@@ -117,13 +121,13 @@
     return ticket;
   }
 
-  /** Passes over the flow that goes next, until {@link restore}. */
+  /** Skips the flow that goes next until {@link restore} is called. */
   skip(): void {
     const flow = this.#activeFlows.pop();
     if (flow) this.#skippedFlows.push(flow);
   }
 
-  /** Brings back the flows passed over. */
+  /** Puts the skipped flows back. */
   restore(): void {
     for (const flow of this.#skippedFlows) this.#activeFlows.push(flow);
     this.#skippedFlows.length = 0;
@@ -138,13 +142,13 @@
     if (this.#removedCount > this.#size + REMOVED_SLACK) this.#rebuild();
   }
 
-  /** Takes out an entry before its turn and charges its flow, which then waits for its next turn the longer. */
+  /** Takes out an entry before its turn and charges its flow, which then waits longer for its next turn. */
   takeOutOfTurn(ticket: Ticket<T>): void {
     this.remove(ticket);
     this.charge(ticket.flow, ticket.work);
   }
 
-  /** How far a flow's service runs ahead of the others', in work per weight. */
+  /** Returns how far the flow's service is ahead of the other flows' service, in work per weight. */
   aheadOfShare(flowId: string): number {
     const flow = this.#flows.get(flowId);
     if (!flow) return 0;
@@ -155,9 +159,9 @@
   }
 
   /**
-   * Work that starts before a new entry of this flow: what all flows with entries get until it is this flow's turn
-   * again, and no more than there is. A flow that was idle comes in at the present virtual time, where up to one entry of
-   * each other flow stands already.
+   * Estimates the work that starts before a new entry of this flow: what all flows with entries are served until it is
+   * this flow's turn, but at most all queued work. A flow that was idle joins at the current virtual time, where each
+   * other flow may already have up to one entry.
    */
   workAhead(flowId: string, weight: number): number {
     if (this.#size === 0) return 0;
@@ -169,13 +173,13 @@
     return Math.min(this.#work, untilTurn * totalWeight);
   }
 
-  /** Charges a flow for work that turned out larger than was told, or smaller if negative. */
+  /** Charges a flow for work that exceeded its estimate; a negative amount is a credit. */
   charge(flowId: string, work: number): void {
     const flow = this.#flows.get(flowId);
     if (flow) flow.debt += work;
   }
 
-  /** All entries, in no stated order. */
+  /** Iterates over all queued entries in no particular order. */
   *tickets(): IterableIterator<Ticket<T>> {
     for (const flow of this.#flows.values()) {
       for (const ticket of flow.items.data) {
@@ -203,8 +207,8 @@
     return flow;
   }
 
-  // A flow that comes back starts at the present virtual time at the earliest: time it spent idle earns it nothing,
-  // or a workspace silent all night would shut the others out in the morning.
+  // A flow that becomes active again starts at the current virtual time or later. Idle time earns no credit; otherwise
+  // a workspace that was idle all night would block the others in the morning.
   #activate(flow: Flow<T>, weight: number): void {
     flow.weight = Math.max(weight, 1e-6);
     if (flow.isInHeap) return;
@@ -228,7 +232,7 @@
     if (this.#size === 0) this.#activeWeight = 0;
   }
 
-  // An idle flow whose tag lies in the past is no different from one never seen.
+  // An idle flow whose start tag lies in the past is treated like a new flow, so it can be forgotten.
   #sweep(): void {
     for (const [id, flow] of this.#flows) {
       if (
@@ -237,7 +241,7 @@
         this.#flows.delete(id);
       }
     }
-    // Doubling spreads the cost: each sweep is paid by as many new flows as it visits.
+    // Doubling the threshold spreads the cost of a sweep over as many new flows as it visits.
     this.#sweepAtSize = Math.max(MIN_SWEEP_FLOWS, 2 * this.#flows.size);
   }
 
--- a/src/decisions/fleet.ts
+++ b/src/decisions/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams of a pool, and the judgement of each against the others.
+ * The upstreams of a pool. An upstream that fails, or is far slower than the others, is ejected: it gets only probes.
  *
  * @module
  */
@@ -10,25 +10,28 @@
 import { prefillMs } from "./work.ts";
 
 /**
- * Most of a pool set aside for slowness or failures. The judgement compares an upstream with its peers and can be wrong
- * for many at once (a slow link of one VM, a burst of long prompts); without the bound, the rest would be overloaded,
- * look slow in turn and be set aside too. Unreachable ones are not bounded: placing on them serves nobody.
+ * Largest share of a pool that is ejected for slowness or failures. An upstream is compared with its peers, and the
+ * comparison can be wrong for many at once (a slow link of one VM, a burst of long prompts). Without the limit, the
+ * remaining upstreams would be overloaded, look slow in turn and be ejected too. The limit does not apply to
+ * unreachable upstreams, because requests placed on them cannot be served.
  */
 const MAX_EJECTED_SHARE = 1 / 3;
-/** An upstream this many times slower than the pool's median is set aside; below this, it only gets less. */
+/**
+ * An upstream this many times slower than the pool's median is ejected; one that is less slow only gets fewer requests.
+ */
 const EJECT_SLOWNESS_RATIO = 4;
-/** A probe this close to the median brings it back. */
+/** An ejected upstream returns when a probe shows it at most this many times slower than the median. */
 const RECOVERY_SLOWNESS_RATIO = 2;
-/** A saved prefill shorter than this cannot be told from noise in first-token times. */
+/** If the prefix saves less prefill time than this, its eviction cannot be told from noise in first-token times. */
 const MIN_EVICTION_DELAY_MS = 50;
 
-/** A belief in fewer cached tokens than this is not worth judging. */
+/** The cache estimate is not judged by expected prefixes with fewer cached tokens than this. */
 const MIN_JUDGED_PREFIX_TOKENS = 512;
 
-/** Time after which a placed prompt is in the cache unless it was evicted. */
+/** Time after which a placed prompt is in the engine's cache, unless it was evicted. */
 const PREFIX_SETTLE_MS = 5000;
 
-/** See the module. */
+/** All upstreams of a pool, with their load and health. */
 export class Fleet {
   #byId = new Map<string, Upstream>();
   #list: readonly Upstream[] = [];
@@ -43,7 +46,7 @@
     return this.#byId.get(id);
   }
 
-  /** Takes the rows in force. What is known of an upstream stays while its row does, whatever its state. */
+  /** Applies the current rows. What is known of an upstream is kept as long as its row exists, whatever its state. */
   configure(rows: readonly UpstreamRow[]): void {
     const previous = this.#byId;
     this.#byId = new Map();
@@ -57,14 +60,14 @@
     this.#refreshActive();
   }
 
-  /** Upstreams that the lead took out of use for want of work. */
+  /** Returns the upstreams that the lead took out of use because there was too little work. */
   scaledDown(): Upstream[] {
     return this.#list.filter((upstream) =>
       upstream.row.state === "active" && upstream.scaleState !== "awake"
     );
   }
 
-  /** Takes the least used upstream out of use; it is parked once it has ended what it runs. */
+  /** Takes the least used upstream out of use; it is parked once its running attempts have ended. */
   drainOne(): void {
     const leastBusy =
       [...this.#active].sort((a, b) => a.running - b.running)[0];
@@ -73,7 +76,7 @@
     this.#refreshActive();
   }
 
-  /** Upstreams that have ended what they ran since they were drained; they lose their caches. */
+  /** Parks the draining upstreams whose attempts have all ended, and returns them. They lose their caches. */
   parkDrained(): Upstream[] {
     const idle = this.#list.filter((upstream) =>
       upstream.scaleState === "draining" && upstream.running === 0
@@ -85,7 +88,10 @@
     return idle;
   }
 
-  /** Brings released upstreams back by a ramp, those first that are still warm; returns those to order awake. */
+  /**
+   * Puts up to `count` upstreams back into use, first those that still run attempts and so keep their cache. Parked
+   * ones start with a ramp; they are returned, as they have to be ordered awake.
+   */
   wake(count: number, nowMs: number): Upstream[] {
     const scaledDown = this.scaledDown()
       .sort((a, b) => b.running - a.running)
@@ -101,12 +107,12 @@
     this.#active = this.#list.filter((upstream) => upstream.takesWork);
   }
 
-  /** Upstreams that may get new work, set aside or not. */
+  /** Upstreams that may get new work, whether ejected or not. */
   get active(): readonly Upstream[] {
     return this.#active;
   }
 
-  /** Slots in use, and slots there are. */
+  /** Returns the slots in use and the slots that may be used now. */
   load(nowMs: number): { readonly running: number; readonly slots: number } {
     let running = 0;
     let slots = 0;
@@ -122,12 +128,12 @@
     return this.#active.some((upstream) => upstream.health.isUsable(nowMs));
   }
 
-  /** Share of the slots in use when last judged. */
+  /** Share of the slots in use at the last {@link updateHealth}. */
   get utilization(): number {
     return this.#utilization;
   }
 
-  /** Work that the upstreams not set aside can take in a ms, by their rows and observed speeds. */
+  /** Returns the work per ms that the upstreams not ejected can take, by their rows and observed speeds. */
   nominalPerMs(nowMs: number): number {
     let sum = 0;
     for (const { row, health, slowness } of this.#active) {
@@ -137,7 +143,7 @@
     return sum;
   }
 
-  /** The first token of an attempt came. */
+  /** Records the first token of an attempt. */
   recordFirstToken(
     held: HeldAttempt,
     firstTokenMs: number,
@@ -155,7 +161,7 @@
     } else upstream.health.eject(nowMs);
   }
 
-  /** An attempt left its upstream. */
+  /** Records the end of an attempt. */
   recordEnd(
     held: HeldAttempt,
     outcome: SlotReport["outcome"],
@@ -174,8 +180,9 @@
   }
 
   /**
-   * Looks at every upstream. Made for one that turns slow or silent: its first tokens are late long before it answers,
-   * so an overdue attempt already counts as evidence, and new work goes elsewhere within a second.
+   * Checks every upstream and ejects those that are far slower than the median. When an upstream turns slow or silent,
+   * its first tokens are late long before it answers, so an overdue attempt already counts as evidence and new work
+   * goes elsewhere within a second.
    */
   updateHealth(nowMs: number): void {
     for (const upstream of this.#list) this.#applyOverdue(upstream, nowMs);
@@ -190,7 +197,7 @@
     this.#utilization = slots > 0 ? Math.min(1, running / slots) : 1;
   }
 
-  /** The middle slowness of the upstreams not set aside. */
+  /** Returns the median slowness of the upstreams not ejected. */
   medianSlowness(): number {
     const values = this.#active
       .filter((upstream) => upstream.health.state !== "aside")
@@ -199,7 +206,7 @@
     return values[(values.length - 1) >> 1] ?? 1;
   }
 
-  /** For people. */
+  /** Returns the state for operators. */
   dump(): unknown[] {
     return this.#list.map((upstream) => ({
       id: upstream.row.id,
@@ -219,13 +226,14 @@
       if (held.isProbe) upstream.health.eject(nowMs);
     } else if (shouldEject && (unreachable || this.#canEject())) {
       upstream.health.eject(nowMs);
-      // A restarted engine has lost its cache; believing otherwise would draw its old prompts to it cold.
+      // A restarted engine has lost its cache. Keeping the estimate would send its earlier prompts to it, where they
+      // are now cold.
       upstream.cachedPrefixes.clear();
     }
   }
 
   #applyOverdue(upstream: Upstream, nowMs: number): void {
-    // Without news of first tokens, every long answer would look overdue.
+    // Without reports of first tokens, every long answer would look overdue.
     if (!this.#hasFirstTokenReports) return;
     const overdue = upstream.firstOverdue(nowMs);
     if (!overdue) return;
@@ -247,8 +255,9 @@
 }
 
 /**
- * How many times later than predicted a first token came. Where a warm prefix was believed in and the time is nearer to
- * that of a cold one, the belief was wrong and not the upstream slow: the engine had evicted the prefix.
+ * Returns how many times later than predicted a first token came. If a cached prefix was expected and the time is
+ * closer to that of a cold prefill, the estimate was wrong and the upstream is not slow: the engine had evicted the
+ * prefix.
  */
 function latenessRatio(held: HeldAttempt, firstTokenMs: number): number {
   const { upstream } = held;
@@ -261,8 +270,8 @@
   return firstTokenMs / (wasEvicted ? coldMs : predictedMs);
 }
 
-// What the engine tells of its cache is exact, and late: it comes with the end of the answer. A prefix placed there just
-// before may not have been prefilled yet; that it was not cached says nothing of the cache's size.
+// The engine's count of cached tokens is exact but late: it comes with the end of the answer. A prefix placed there
+// shortly before may not have been prefilled yet; that it was not cached says nothing about the cache's size.
 function learnCachedTokens(held: HeldAttempt, cachedTokens: number): void {
   const expectedTokens = held.promptTokens - held.coldTokens;
   if (expectedTokens < MIN_JUDGED_PREFIX_TOKENS) return;
--- a/src/decisions/granted_slots.ts
+++ b/src/decisions/granted_slots.ts
@@ -1,5 +1,5 @@
 /**
- * The slots a lead has granted, each held until its deadline unless renewed.
+ * The slots that a lead has granted. Each is held until its deadline unless it is renewed.
  *
  * @module
  */
@@ -7,10 +7,13 @@
 import TinyQueue from "tinyqueue";
 import type { HeldAttempt } from "./upstream.ts";
 
-/** See the module. An entry VM that dies renews nothing, so its slots come back without anyone noticing its death. */
+/**
+ * The granted slots by attempt. An entry VM that dies renews nothing, so its slots are freed without anyone noticing
+ * its death.
+ */
 export class GrantedSlots {
   readonly #held = new Map<string, HeldAttempt>();
-  // An entry may stand under an old deadline; it is put back under its new one when the old one comes.
+  // An item may be listed under an old deadline; when that comes, the item is listed again under the new one.
   readonly #expiry = new TinyQueue<{ atMs: number; held: HeldAttempt }>(
     [],
     (a, b) => a.atMs - b.atMs,
@@ -31,14 +34,14 @@
     this.#held.delete(attemptId);
     return held;
   }
-  /** Whether the slot was known, and is now held until `untilMs`. */
+  /** Holds the slot until `untilMs`. Returns whether the slot is known. */
   renew(attemptId: string, untilMs: number): boolean {
     const held = this.#held.get(attemptId);
     if (!held) return false;
     held.expiresAtMs = Math.max(held.expiresAtMs, untilMs);
     return true;
   }
-  /** Takes out the slots that nobody renewed. */
+  /** Removes and returns the slots that were not renewed in time. */
   removeExpired(nowMs: number): HeldAttempt[] {
     const expired: HeldAttempt[] = [];
     for (;;) {
--- a/src/decisions/health.ts
+++ b/src/decisions/health.ts
@@ -1,27 +1,37 @@
 /**
- * Health of one upstream: set aside when it fails, is silent or far slower than its peers; probed; returned by a ramp.
+ * Health of one upstream. It is ejected when it fails, does not answer or is far slower than its peers. It then gets
+ * only probes, and after a good probe its limit is ramped up.
  *
  * @module
  */
 
-/** How an upstream is treated: `ok` by its limit, `aside` by single probes, `ramp` by a limit that doubles. */
+/**
+ * How an upstream gets work: `ok` up to its limit, `aside` (ejected) by single probes, `ramp` up to a limit that
+ * doubles.
+ */
 export type HealthState = "ok" | "aside" | "ramp";
 
-/** Failures in a row after the request was sent that set an upstream aside: one may be the request's own fault. */
+/**
+ * Failures in a row, of attempts that were sent, after which an upstream is ejected: a single one may be the request's
+ * own fault.
+ */
 const EJECT_FAILURES = 2;
-/** First and longest pause between probes. The first is short, as most faults are restarts; it doubles each time. */
+/** First and longest interval between probes. The first is short, as most faults are restarts; it doubles each time. */
 const MIN_PROBE_INTERVAL_MS = 1000;
 const MAX_PROBE_INTERVAL_MS = 15_000;
-/** A returning upstream's limit starts here and doubles each step: its cache is cold, and it may fail again. */
+/** A returning upstream's limit starts at this and doubles each step, as its cache is cold and it may fail again. */
 const RAMP_START_LIMIT = 2;
 const RAMP_STEP_MS = 500;
-/** Factor of the limit on a first token far later than predicted; applied once in {@link SHRINK_INTERVAL_MS}. */
+/**
+ * Factor applied to the limit after a refusal or a first token far later than predicted, once per
+ * {@link SHRINK_INTERVAL_MS} at most.
+ */
 const SHRINK_FACTOR = 0.7;
 const SHRINK_INTERVAL_MS = 500;
-/** A first token later than this many times its prediction says that the upstream is overloaded. */
+/** A first token later than this many times its prediction shows that the upstream is overloaded. */
 const LATE_RATIO = 3;
 
-/** See the module. */
+/** Tracks the health of an upstream and limits how many attempts it may run. */
 export class Health {
   #state: HealthState = "ok";
   #slots: number;
@@ -53,7 +63,7 @@
     this.#slots = slots;
   }
 
-  /** Attempts it may run side by side now. */
+  /** Returns how many attempts the upstream may run concurrently now. */
   limit(nowMs: number): number {
     if (this.#state === "aside") return 0;
     if (this.#state === "ok") return Math.floor(this.#limit);
@@ -63,12 +73,15 @@
     return Math.floor(Math.min(ramp, this.#limit));
   }
 
-  /** Whether a probe is due: one request at a time, so that an upstream still ill costs one caller and not many. */
+  /**
+   * Whether a probe is due. Only one request probes at a time, so that an upstream that still fails affects one caller
+   * and not many.
+   */
   isProbeDue(nowMs: number): boolean {
     return this.#state === "aside" && !this.#isProbeInFlight &&
       nowMs >= this.#probeAtMs;
   }
-  /** Whether it can take a request now or soon. */
+  /** Whether the upstream can take a request now or soon. */
   isUsable(nowMs: number): boolean {
     return this.#state !== "aside" || this.isProbeDue(nowMs);
   }
@@ -76,7 +89,7 @@
     this.#isProbeInFlight = true;
   }
 
-  /** A first token came, `ratio` times as late as predicted. */
+  /** Records a first token that came `ratio` times as late as predicted. */
   recordFirstToken(ratio: number, nowMs: number): void {
     this.#failuresInRow = 0;
     if (ratio > LATE_RATIO) this.#shrink(nowMs);
@@ -87,12 +100,12 @@
     this.#isProbeInFlight = false;
   }
 
-  /** It refused an attempt without running it: it is fuller than its limit says. */
+  /** Records that the upstream refused an attempt without running it, so it is fuller than its limit says. */
   recordRefusal(nowMs: number): void {
     this.#shrink(nowMs);
   }
 
-  /** An attempt failed. Returns whether the upstream ought to be set aside. */
+  /** Records a failed attempt. Returns whether the upstream should be ejected. */
   recordFailure(isUnreachable: boolean): boolean {
     this.#isProbeInFlight = false;
     this.#failuresInRow += isUnreachable ? EJECT_FAILURES : 1;
@@ -112,13 +125,13 @@
     this.#probeAtMs = nowMs + this.#probeIntervalMs;
   }
 
-  /** The probe was answered as fast as by others. */
+  /** Puts an ejected upstream back into use, after it answered the probe as fast as the others. */
   restore(nowMs: number): void {
     if (this.#state !== "aside") return;
     this.startRamp(nowMs);
   }
 
-  /** Gets work again little by little. */
+  /** Starts to raise the limit step by step, from {@link RAMP_START_LIMIT}. */
   startRamp(nowMs: number): void {
     this.#state = "ramp";
     this.#rampStartMs = nowMs;
--- a/src/decisions/lanes.ts
+++ b/src/decisions/lanes.ts
@@ -1,5 +1,5 @@
 /**
- * The queue of a pool: short and long requests in lanes of their own, each fair between workspaces.
+ * The queue of a pool: short and long requests wait in separate lanes, each of them fair between workspaces.
  *
  * @module
  */
@@ -11,27 +11,29 @@
 import type { SlotRequest } from "./slots.ts";
 
 /**
- * One level of priority is worth this much of the deadline. So a higher level goes first, and a lower one that has
- * waited this much longer for each level goes before it: nothing starves, and no entry is ever sorted again.
+ * One level of priority counts as much as a deadline that is earlier by this. So a higher level goes first, but a lower
+ * one that has waited this much longer per level goes before it: nothing starves, and no entry has to be sorted again.
  */
 const PRIORITY_STEP_MS = 10_000;
-/** Priorities beyond these count as these: a caller must not outbid the ageing of all others. */
+/** Priorities are clamped to this range, so that a caller cannot outweigh the ageing of all others. */
 const PRIORITY_RANGE = { min: -3, max: 3 };
 
 /**
- * How far, in tokens per weight, a workspace may be ahead of its share and still go out of turn for being warm. A few
- * long prompts: warm prefixes come in runs, and less would break them up; more would be felt as unfair.
+ * How far, in tokens per weight, a workspace may be ahead of its share and still go out of turn because its prefix is
+ * cached. The limit equals a few long prompts: requests with cached prefixes come in runs, which a lower limit would
+ * break up; a higher one would be noticeably unfair.
  */
 const MAX_BYPASS_TOKENS_PER_WEIGHT = 40_000;
 
 const byLatestStart = (a: QueueEntry, b: QueueEntry) =>
   a.latestStartMs - b.latestStartMs;
-/** Entries already gone that may stand in the heap by latest start, besides as many as are queued. */
+/** Removed entries that may stay in the heap by latest start, beyond as many as are queued, before it is rebuilt. */
 const REMOVED_SLACK = 128;
 
 /**
- * Two lanes that share the pool's work evenly when both have entries. A short question waits behind other short ones
- * only, as they rarely use up their half; a stream of them cannot shut out the long prompts, as these have theirs.
+ * Two lanes that share the pool's work evenly when both have entries. A short request waits only behind other short
+ * ones, as these rarely use up their half; and a stream of short requests cannot block the long prompts, which have the
+ * other half.
  */
 export class Lanes {
   readonly affinityQueue = new AffinityQueue();
@@ -39,7 +41,7 @@
     short: new FairQueue<QueueEntry>(),
     long: new FairQueue<QueueEntry>(),
   };
-  /** Entries by the upstream that holds their prefix; those gone are dropped when they come up. */
+  /** Entries by the upstream that has their prefix cached; removed ones are dropped when they reach the top. */
   readonly #prefixTickets = {
     short: new Map<string, TinyQueue<Ticket<QueueEntry>>>(),
     long: new Map<string, TinyQueue<Ticket<QueueEntry>>>(),
@@ -63,7 +65,7 @@
   has(attemptId: string): boolean {
     return this.#tickets.has(attemptId);
   }
-  /** Entries that this workspace has queued. */
+  /** Returns how many entries this workspace has queued. */
   countOf(workspace: string): number {
     return this.#lanes.short.queuedOf(workspace).count +
       this.#lanes.long.queuedOf(workspace).count;
@@ -76,7 +78,7 @@
     const { request, lane } = entry;
     const other = lane === "short" ? "long" : "short";
     if (this.#lanes[lane].size === 0 && this.#lanes[other].size > 0) {
-      // An empty lane saves up no claim on the time it was empty.
+      // A lane gets no credit for the time in which it was empty.
       this.#servedWork[lane] = Math.max(
         this.#servedWork[lane],
         this.#servedWork[other],
@@ -98,7 +100,7 @@
     }
   }
 
-  /** The lanes, the one that goes next first. */
+  /** Returns the lanes; the one that goes next comes first. */
   laneOrder(): readonly LaneName[] {
     return this.#servedWork.short <= this.#servedWork.long
       ? ["short", "long"]
@@ -109,7 +111,7 @@
     return this.#lanes[lane].peek()?.value;
   }
 
-  /** Passes over the workspace that goes next in the lane, until {@link restore}. */
+  /** Skips the workspace that goes next in the lane until {@link restore} is called. */
   skip(lane: LaneName): void {
     this.#lanes[lane].skip();
   }
@@ -117,7 +119,7 @@
     for (const lane of LANES) this.#lanes[lane].restore();
   }
 
-  /** Takes out the lane's next entry and charges it to lane and workspace. */
+  /** Takes out the lane's next entry and charges it to the lane and the workspace. */
   pop(lane: LaneName): QueueEntry | undefined {
     const entry = this.#lanes[lane].pop()?.value;
     if (!entry) return undefined;
@@ -126,7 +128,10 @@
     return entry;
   }
 
-  /** Charges the lane's next entry as if it went, and keeps it until `untilMs` for this upstream. */
+  /**
+   * Moves the lane's next entry to the affinity queue, where it waits for this upstream until `untilMs`. The entry is
+   * charged as if it had started.
+   */
   deferNext(lane: LaneName, upstreamId: string, untilMs: number): void {
     const ticket = this.#lanes[lane].pop();
     if (!ticket) return;
@@ -135,8 +140,8 @@
   }
 
   /**
-   * An entry of the lane whose prefix this upstream holds and whose workspace is not far ahead of its share: of many
-   * that wait, the one that costs the upstream least, as long as fairness allows.
+   * Returns an entry of the lane whose prefix this upstream has cached, unless its workspace is too far ahead of its
+   * share. Of many that wait, it costs the upstream least, as long as fairness allows it to go first.
    */
   peekCached(lane: LaneName, upstreamId: string): QueueEntry | undefined {
     const waiting = this.#prefixTickets[lane].get(upstreamId);
@@ -154,7 +159,7 @@
     return undefined;
   }
 
-  /** Takes out an entry before its turn; it is charged all the same. */
+  /** Takes out an entry before its turn and charges it as usual. */
   takeOutOfTurn(entry: QueueEntry): void {
     const { attemptId } = entry.request;
     const ticket = this.#tickets.get(attemptId);
@@ -164,7 +169,7 @@
     this.#servedWork[entry.lane] += entry.work;
   }
 
-  /** Takes out an entry that is given up. */
+  /** Removes an entry that is given up, or that was deferred and starts now. */
   remove(attemptId: string): QueueEntry | undefined {
     const ticket = this.#tickets.get(attemptId);
     if (!ticket) return undefined;
@@ -174,7 +179,7 @@
     return ticket.value;
   }
 
-  /** Takes out the entries that can no longer start in time. */
+  /** Removes and returns the entries that can no longer start in time. */
   removeLate(nowMs: number): QueueEntry[] {
     const late: QueueEntry[] = [];
     for (;;) {
@@ -188,7 +193,7 @@
     }
   }
 
-  /** Takes out all entries. */
+  /** Removes and returns all entries. */
   clear(): QueueEntry[] {
     return [...this.#tickets.keys()].map((id) => this.remove(id)!);
   }
@@ -211,12 +216,12 @@
     this.#byLatestStart = new TinyQueue(queued, byLatestStart);
   }
 
-  /** Corrects what a workspace was charged by what its request turned out to need. */
+  /** Corrects what a workspace was charged by what its request actually needed. */
   charge(lane: LaneName, workspace: string, work: number): void {
     this.#lanes[lane].charge(workspace, work);
   }
 
-  /** Work of this lane that starts before a newcomer. */
+  /** Estimates the work of this lane that starts before a new entry of the workspace. */
   workAhead(lane: LaneName, workspace: string, weight: number): number {
     return this.#lanes[lane].workAhead(workspace, weight);
   }
--- a/src/decisions/limit_parts.ts
+++ b/src/decisions/limit_parts.ts
@@ -1,12 +1,12 @@
 /**
- * Which part of a row's limits each lead holds.
+ * Computes which part of a row's limits each pool lead holds.
  *
  * @module
  */
 
 import type { Table, WorkspaceRow } from "../agreement/mod.ts";
 
-/** Which part of the table's limits this lead holds. */
+/** The pool whose lead holds a part of the table's limits. */
 export interface LimitScope {
   readonly service: string;
   readonly region: string;
@@ -14,19 +14,20 @@
   readonly pools: number;
 }
 
-/** Weights that the traffic of a home region's workspaces may use, by that region. */
+/** Sums of the traffic weights that may serve the workspaces of one home region. */
 export interface HomeWeights {
-  /** Of the services at home. */
+  /** Sum over the services in the home region. */
   readonly bound: number;
-  /** Of the services at home and in the regions they may go to. */
+  /** Sum over the services in the home region and in the regions they may send to. */
   readonly free: number;
 }
 
 /**
- * The part of a workspace's limits that the lead at `place` holds: by the weights of the traffic rows of all services
- * and regions that may serve it. A bound workspace is served at home only, so its home holds the whole. A service with a
- * small weight holds a small part even while the others rest: parts that grew with use would have to be agreed on, and
- * would add up to more than the limit while regions cannot reach each other.
+ * Computes the part of a workspace's limits that the lead at `scope` holds. Parts are in proportion to the weights of
+ * the traffic rows of all services and regions that may serve the workspace. A bound workspace is served only in its
+ * home region, so that region holds the whole limit. A service with a small weight holds a small part even while the
+ * others are idle: parts that grew with use would have to be agreed on, and would add up to more than the limit while
+ * regions cannot reach each other.
  */
 export function computeLimitPart(
   table: Table,
@@ -44,7 +45,7 @@
     : 0;
 }
 
-/** The {@link HomeWeights} of each region. */
+/** Computes the {@link HomeWeights} of each region. */
 export function computeHomeWeights(
   table: Table,
 ): ReadonlyMap<string, HomeWeights> {
--- a/src/decisions/limits.ts
+++ b/src/decisions/limits.ts
@@ -1,8 +1,8 @@
 /**
- * Limits of rows: requests and tokens a second, requests side by side, and spend an hour.
+ * Limits of rows: requests and tokens per second, concurrent requests, and spend per hour.
  *
- * Each lead holds a fixed part of every limit and asks nobody before it admits, so the parts never add up to more than
- * the row says, also while regions cannot reach each other or the store is down.
+ * Each lead holds a fixed part of every limit and asks no other VM before it admits a request. So the parts never add
+ * up to more than the row's limit, even while regions cannot reach each other or the store is down.
  *
  * @module
  */
@@ -17,23 +17,26 @@
   type LimitScope,
 } from "./limit_parts.ts";
 
-/** A rate's bucket holds this much of it: callers send in clumps, and a second smooths them. */
+/** A rate's bucket holds this much of it: callers send in bursts, and one second smooths them. */
 const RATE_BURST_MS = 1000;
 const HOUR_MS = 3_600_000;
 /**
- * Part of an hour's spend that may go at once. The rest fills evenly over the hour, so that no 60 minutes, wherever they
- * start, cost more than the limit.
+ * Part of an hour's spend that may be used at once. The rest refills evenly over the hour, so that no 60 minutes,
+ * wherever they start, cost more than the limit.
  */
 const SPEND_BURST_SHARE = 1 / 12;
-/** Earliest return of a caller whose limit gives no time: a concurrency limit frees when one of its requests ends. */
+/** Retry delay at a concurrency limit, which has no known time: it frees when one of the workspace's requests ends. */
 const CONCURRENCY_RETRY_MS = 500;
-/** A limit of zero never frees by itself; callers are told to come back when an operator may have raised it. */
+/**
+ * Retry delay at a limit of zero, which never frees by itself: callers are told to come back when an operator may have
+ * raised it.
+ */
 const ZERO_LIMIT_RETRY_MS = 60_000;
-/** Meters kept before those idle for {@link IDLE_MS} are dropped. */
+/** Meters idle for {@link IDLE_MS} are dropped only once there are this many. */
 const MIN_SWEEP_METERS = 512;
 const IDLE_MS = HOUR_MS;
 
-/** What a request would use. */
+/** Work and price of a request, estimated or actual. */
 export interface RequestCost {
   readonly workTokens: number;
   readonly microcents: number;
@@ -45,7 +48,7 @@
   readonly spendMicrocentsPerHour?: number;
 }
 
-/** The use of one row at this lead. */
+/** Tracks the use of one row's limits at this lead. */
 class Meter {
   running = 0;
   usedAtMs = 0;
@@ -108,7 +111,7 @@
 ): TokenBucket | undefined {
   if (perS === undefined) return undefined;
   const perMs = (perS * part) / 1000;
-  // At least one request fits, or a small part of a small limit would let none pass.
+  // The bucket holds at least one request; otherwise a small part of a small limit would let none pass.
   const capacity = perS === 0 ? 0 : Math.max(1, perMs * RATE_BURST_MS);
   if (!bucket) return new TokenBucket(perMs, capacity, nowMs);
   bucket.resize(perMs, capacity, nowMs);
@@ -148,7 +151,7 @@
   });
 }
 
-/** The meters of a lead. */
+/** Applies this lead's part of all limits. */
 export class Limiter {
   readonly #meters = new Map<string, Meter>();
   #table: Table;
@@ -173,7 +176,7 @@
     this.#trafficMeter.configure(row ?? {}, 1 / scope.pools, nowMs);
   }
 
-  /** Why the request may not pass now, if so. */
+  /** Returns the failure if a limit does not let the request pass now. */
   findRefusal(
     workspace: string,
     cost: RequestCost,
@@ -195,7 +198,7 @@
       this.#trafficMeter?.findRefusal(cost, `${service} in ${region}`, nowMs);
   }
 
-  /** The request passed: it counts from now, queued or running. */
+  /** Charges an admitted request, which counts from now on, queued or running. */
   charge(workspace: string, cost: RequestCost, nowMs: number): void {
     const meter = this.#meterOf(workspace, nowMs);
     meter.running++;
@@ -203,7 +206,7 @@
     this.#trafficMeter?.charge(cost, nowMs);
   }
 
-  /** The request ended; what it did not use is given back. */
+  /** Ends a request and refunds what it did not use. */
   release(
     workspace: string,
     estimated: RequestCost,
@@ -247,8 +250,8 @@
   }
 }
 
-// A part below one rounds up: with a limit of one, held in three parts, every lead would otherwise refuse for ever. The
-// limit may then be passed by at most the number of leads, which only matters to limits smaller than that.
+// A part below one rounds up: with a limit of one, held in three parts, every lead would otherwise refuse all requests.
+// The limit may then be exceeded by at most the number of leads, which only matters to limits smaller than that.
 function concurrencyPart(limit: number, part: number): number {
   if (limit === 0 || part === 0) return 0;
   return Math.max(1, Math.floor(limit * part));
--- a/src/decisions/load_test.ts
+++ b/src/decisions/load_test.ts
@@ -6,11 +6,12 @@
   servedShare,
 } from "../../bench/scenario.ts";
 
-// These look at what callers get from the real decision modules in front of engines in virtual time;
-// `npm run bench -- decisions` has the same engines and more policies. One pool of 6 upstreams serves about 30 requests a second.
+// These tests check what callers get from the real decision modules in front of simulated engines in virtual time;
+// `npm run bench -- decisions` has the same engines and more policies. One pool of 6 upstreams serves about 30 requests
+// per second.
 
 describe("under load", () => {
-  it("a burst is over for the callers soon after it ends", (t) => {
+  it("callers are served well again soon after a burst ends", (t) => {
     const outcomes = outcomesOf({
       perS: (ms) => (ms > 8000 && ms < 11_000 ? 60 : 12),
     });
@@ -19,7 +20,7 @@
     t.true(percentileOf(after, 0.95) < 2500);
   });
 
-  it("refusals in saturation come at once and keep what is admitted in time", (t) => {
+  it("in saturation, refusals come at once and admitted requests are served in time", (t) => {
     const outcomes = outcomesOf({ perS: () => 90 });
     const late = outcomes.filter((o) => o.result === "late");
     t.true(late.length < outcomes.length * 0.01);
@@ -29,7 +30,7 @@
     t.true(atOnce.length > refused.length * 0.8);
   });
 
-  it("saturation at five times capacity serves as much as at twice", (t) => {
+  it("at five times its capacity a pool serves as much as at twice", (t) => {
     const work = (perS: number) =>
       outcomesOf({ perS: () => perS })
         .filter((o) => o.result === "served")
@@ -37,9 +38,9 @@
     t.true(work(150) > 0.97 * work(60));
   });
 
-  // One workspace sends five times the pool's capacity. Its own requests wait and are refused; the others ask as
-  // before. If order were by arrival, they would find the queue full of the flood.
-  it("one workspace's flood is refused to it and not to others", (t) => {
+  // One workspace sends five times the pool's capacity. Its own requests wait and are refused; the others are served as
+  // before. In order of arrival, the others would find the queue full of the flood.
+  it("a workspace that floods the pool is refused, and the others are not", (t) => {
     const outcomes = outcomesOf({ perS: () => 8, floodPerS: 100 });
     const others = outcomes.filter((o) => o.ask.workspace !== "flood");
     const flood = outcomes.filter((o) => o.ask.workspace === "flood");
@@ -47,17 +48,17 @@
     t.true(servedShare(flood) < 0.7);
   });
 
-  it("short questions keep their time beside long prompts", (t) => {
+  it("short requests stay fast beside long prompts", (t) => {
     const outcomes = outcomesOf({ perS: () => 14, longShare: 0.5 });
     const short = outcomes.filter((o) => o.ask.type === "short");
     t.true(percentileOf(short, 0.99) < 1500);
   });
 });
 
-describe("with an ill upstream", () => {
-  // It still answers, ten times later. Callers placed there wait; those that come a second later must not be, though
-  // it has fewer requests in flight than the others and looks least loaded.
-  it("a slow one gets less work within a second", (t) => {
+describe("with a faulty upstream", () => {
+  // The upstream still answers, but ten times later, so requests placed on it wait. A second later no more may be
+  // placed there, although it has fewer requests in flight than the others and looks least loaded.
+  it("a slow upstream gets less work within a second", (t) => {
     const slowAtMs = 10_000;
     const outcomes = outcomesOf({
       perS: () => 14,
@@ -74,9 +75,9 @@
     t.true(there.length < after.length * 0.06);
   });
 
-  // Its process is gone: connections are refused. The first caller placed there is retried elsewhere and pays a
-  // millisecond; later ones must not be placed there, until it is back and a probe has found it.
-  it("a dead one costs callers nothing, and is used again", (t) => {
+  // The upstream's process is gone and connections are refused. The first request placed there is retried elsewhere and
+  // loses a millisecond. Later ones must not be placed there until the process is back and a probe has found it.
+  it("a dead upstream costs callers nothing, and is used again when it is back", (t) => {
     const outcomes = outcomesOf({
       perS: () => 14,
       endMs: 40_000,
@@ -92,10 +93,10 @@
     t.true(back.some((o) => lastOf(o) === "agadir-2"));
   });
 
-  // It takes requests and never answers, and reports itself idle. Callers placed there are lost to their deadline. An
-  // attempt whose first token is overdue speaks against it, so within a second only probes go there, ever fewer; by
-  // its reports it would get a sixth of all or more.
-  it("a silent one that reports itself idle draws only probes", (t) => {
+  // The upstream takes requests, never answers and reports itself idle. Requests placed there miss their deadline. An
+  // attempt whose first token is overdue counts against the upstream, so within a second only probes go there, fewer
+  // and fewer. By its load reports it would get a sixth of all requests or more.
+  it("a silent upstream that reports itself idle gets only probes", (t) => {
     const outcomes = outcomesOf({
       perS: () => 14,
       during: (world) =>
@@ -112,9 +113,9 @@
     t.is(servedShare(rest), 1);
   });
 
-  // Something common to all upstreams (a slow link) makes two thirds of them slow at once. Setting all of these aside
-  // would leave the load of six to two, which would look slow in turn.
-  it("no more than a third are set aside as slow", (t) => {
+  // A cause common to all upstreams (a slow link) makes two thirds of them slow at once. If all of these were ejected,
+  // the load of six would be left to two, which would look slow in turn.
+  it("no more than a third of the upstreams are ejected as slow", (t) => {
     let aside = 0;
     outcomesOf({
       perS: () => 10,
@@ -137,7 +138,7 @@
 describe("between regions", () => {
   const regions = ["agadir", "marrakech"];
 
-  it("a lost region's free requests are served elsewhere, its bound ones never", (t) => {
+  it("after a region is lost, its free requests are served elsewhere and its bound ones never", (t) => {
     const outcomes = outcomesOf({
       regions,
       perS: () => 8,
@@ -156,9 +157,9 @@
     t.true(outcomes.every((o) => o.moves <= 1));
   });
 
-  // Neither region hears the other. Each must go on serving its own callers, and waste no time on sends that cannot
-  // arrive.
-  it("a cut leaves both regions serving", (t) => {
+  // Neither region hears from the other. Each must go on serving its own callers, and lose no time with requests that
+  // cannot arrive.
+  it("both regions keep serving when the link between them is cut", (t) => {
     const outcomes = outcomesOf({
       regions,
       perS: () => 14,
@@ -170,7 +171,7 @@
     t.is(after.filter((o) => o.moves > 0).length, 0);
   });
 
-  it("weights against sending away send less", (t) => {
+  it("cost and away weights send fewer requests away", (t) => {
     const countSent = (objective: object) =>
       outcomesOf({
         regions,
--- a/src/decisions/mod.ts
+++ b/src/decisions/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Decisions under load, free of I/O: time, random numbers and messages come in as arguments.
+ * Decisions of a pool's lead: admission, queueing, placement, retries and shifts to other regions. The modules do no
+ * I/O; they get time, random numbers and messages as arguments.
  *
  * @module
  */
--- a/src/decisions/parts_test.ts
+++ b/src/decisions/parts_test.ts
@@ -17,7 +17,7 @@
 }
 
 describe("fair queue", () => {
-  it("serves flows by weight, whatever they queue", (t) => {
+  it("serves flows by weight, however much they queue", (t) => {
     const queue = new FairQueue<string>();
     for (let i = 0; i < 300; i++) {
       queue.push("a", { flow: "a", weight: 2, work: 10, rank: i });
@@ -27,7 +27,7 @@
     t.true(Math.abs(first.filter((f) => f === "a").length - 100) <= 2);
   });
 
-  it("gives a newcomer its turn before a backlog", (t) => {
+  it("serves a new flow before the backlog of another", (t) => {
     const queue = new FairQueue<string>();
     for (let i = 0; i < 100; i++) {
       queue.push("hog", { flow: "hog", weight: 1, work: 1000, rank: i });
@@ -38,7 +38,7 @@
     t.true(next.includes("new"));
   });
 
-  it("loses and doubles nothing", (t) => {
+  it("neither loses nor duplicates entries", (t) => {
     const step = fc.record({
       type: fc.constantFrom("push", "pop", "remove", "take", "skip"),
       flow: fc.constantFrom("a", "b", "c"),
@@ -102,8 +102,8 @@
   ];
   const table = tableOf(...rows);
 
-  // Regions that cannot reach each other, and the leads in them, go on admitting. If each took the whole limit, a
-  // workspace would spend it once in each.
+  // Regions that cannot reach each other, and the leads in them, go on admitting. If each held the whole limit, a
+  // workspace could spend it once in each.
   it("the parts of all leads never add up to more than the limit", (t) => {
     const row = table.workspace("road")!;
     const weights = computeHomeWeights(table);
@@ -140,7 +140,7 @@
     }
   });
 
-  it("an edit hands out no second burst", (t) => {
+  it("an edit of the table grants no second burst", (t) => {
     const scope = { service: "plan", region: "agadir", pools: 1 };
     const limiter = new Limiter(table, scope);
     limiter.configure(table, scope, 0);
@@ -161,17 +161,17 @@
     attempts: 1,
     deadlineMs: 100,
   };
-  it("never repeats what may have run and runs at most once", (t) => {
+  it("never repeats an at-most-once call that may have run", (t) => {
     t.false(mayRetry(attempt, 0));
     t.true(mayRetry({ ...attempt, ran: "no" }, 0));
     t.true(mayRetry({ ...attempt, atMostOnce: false }, 0));
   });
-  it("never continues an answer by another, nor past the deadline", (t) => {
+  it("is never allowed after a part of an answer, nor past the deadline", (t) => {
     const free = { ...attempt, atMostOnce: false };
     t.false(mayRetry({ ...free, answerBytes: 1 }, 0));
     t.false(mayRetry(free, 100));
   });
-  it("keeps to a part of the traffic", (t) => {
+  it("is limited to a part of the traffic", (t) => {
     const budget = new RetryBudget(0);
     let retries = 0;
     for (let i = 0; i < 1000; i++) {
@@ -220,16 +220,16 @@
   const choose = (more: Partial<ShiftView>, region = remote) =>
     chooseRegion({ ...view, ...more }, [region], new ShiftCounts())?.region;
 
-  it("goes where it is sooner", (t) => {
+  it("sends a request where it is served sooner", (t) => {
     t.is(choose({}), "marrakech");
   });
-  it("never leaves home if bound, or unknown, or sent here", (t) => {
+  it("never sends a request away that is bound, of an unknown workspace or sent here", (t) => {
     t.is(choose({ workspace: { ...view.workspace!, bound: true } }), undefined);
     t.is(choose({ workspace: undefined }), undefined);
     t.is(choose({ sentFrom: "casablanca" }), undefined);
     t.is(choose({ homeMs: Infinity, workspace: undefined }), undefined);
   });
-  it("goes only where the table, the link and the receiver allow", (t) => {
+  it("sends requests only where the table, the link and the receiver allow it", (t) => {
     const traffic = { ...view.traffic!, mayGoTo: [] };
     t.is(choose({ traffic }), undefined);
     t.is(choose({}, { ...remote, takesIn: false }), undefined);
@@ -254,8 +254,8 @@
   });
 });
 
-describe("judgements", () => {
-  it("a returning upstream is ramped", (t) => {
+describe("estimates", () => {
+  it("the limit of a returning upstream is ramped up", (t) => {
     const health = new Health(16);
     health.eject(0);
     t.is(health.limit(500), 0);
@@ -265,7 +265,7 @@
     t.is(health.limit(2000), 8);
     t.is(health.limit(3000), 16);
   });
-  it("only one workspace can be far over its share, and only beside others", (t) => {
+  it("only one workspace is far over its share, and only beside others", (t) => {
     const usage = new RecentUsage();
     usage.add("hog", 1, 1000, 0);
     t.false(usage.isOverShare("hog", 0));
@@ -274,16 +274,16 @@
     t.false(usage.isOverShare("w1", 0));
     t.false(usage.isOverShare("hog", 60_000));
   });
-  it("belief in a prefix is bounded and ends", (t) => {
-    const warm = new CachedPrefixes();
-    warm.touch([1, 2, 3], 0);
-    t.is(warm.countMatched([1, 2, 3, 4], 10), 3);
-    t.is(warm.countMatched([9, 2], 10), 0);
-    t.is(warm.countMatched([1, 2, 3], 400_000), 0);
-    warm.touch(Array.from({ length: 5000 }, (_, i) => i + 10), 0);
-    t.true(warm.size <= 2048);
+  it("the estimate of cached prefixes is bounded and expires", (t) => {
+    const prefixes = new CachedPrefixes();
+    prefixes.touch([1, 2, 3], 0);
+    t.is(prefixes.countMatched([1, 2, 3, 4], 10), 3);
+    t.is(prefixes.countMatched([9, 2], 10), 0);
+    t.is(prefixes.countMatched([1, 2, 3], 400_000), 0);
+    prefixes.touch(Array.from({ length: 5000 }, (_, i) => i + 10), 0);
+    t.true(prefixes.size <= 2048);
   });
-  it("the correction of waits follows their high quantile", (t) => {
+  it("the correction of waits follows a high quantile of them", (t) => {
     const correction = new WaitCorrection();
     for (let i = 0; i < 2000; i++) {
       correction.recordWait(4000, i % 4 === 0 ? 8000 : 4000);
--- a/src/decisions/placement.ts
+++ b/src/decisions/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Placement: which upstream runs a request.
+ * Placement: chooses the upstream that runs a request.
  *
  * @module
  */
@@ -10,58 +10,67 @@
 import { cachedPrefixTokens, prefillMs } from "./work.ts";
 
 /**
- * Most prefill work waiting at an upstream when another request is placed there. What waits at the engine can no longer
- * be reordered, moved or refused, so all but the next few passes is kept in the lead's queue; below two ticks of the
- * lead (50 ms each) and a report's way, the engine would run dry in between. A warm upstream may have as much more as
- * the warmth saves: going elsewhere would cost the same time, and everyone there a prefill besides.
+ * Longest prefill backlog of an upstream on which another request is placed. A request that waits in the engine can no
+ * longer be reordered, moved or refused, so all but the next few passes stay in the lead's queue. With less than two
+ * ticks of the lead (50 ms each) and the delay of a report, the engine would run out of work in between. An upstream
+ * that has the prefix cached may have a backlog longer by what that saves: going elsewhere would cost the same time,
+ * and would also cost everyone there a prefill.
  */
 export const MAX_BACKLOG_MS = 150;
-/** Pools up to this size are looked through whole; in larger ones a sample is, so that a decision's cost stays flat. */
+/**
+ * Pools up to this size are scanned completely; in larger ones only a sample is, so that the cost of a decision stays
+ * constant.
+ */
 const MAX_FULL_SCAN = 32;
-/** Upstreams drawn at random in a large pool. With the warm ones, this many come close to the best of all. */
+/**
+ * Upstreams drawn at random in a large pool. With the ones that have the prefix cached, the best of this many is close
+ * to the best of all.
+ */
 const SAMPLE_SIZE = 16;
 /**
- * Share of a pool where a workspace far over its share may prefill long prompts at one time, and the part of each
- * upstream's slots that it leaves to the others. Fair order alone makes the others next in turn; they would still wait
- * for a slot to come back and behind the prefills that the burst has already started. What is kept is used by whoever is
- * within its share.
+ * Limits of a workspace far over its share: the share of a pool's upstreams where it may prefill long prompts at one
+ * time, the part of each upstream's slots that it leaves to the others, and the longest backlog behind which it is
+ * placed. Fair order alone only makes the others next; they would still wait for a slot to be freed, and behind the
+ * prefills that the burst has already started. The reserved slots are used by workspaces within their share.
  */
 const MAX_OVERUSE_LONG_SHARE = 0.5;
 const OVERUSE_RESERVED_SHARE = 0.125;
 const MAX_OVERUSE_BACKLOG_MS = 50;
 /**
- * Part of each upstream's slots that long prompts leave to short ones while both come. Their long answers hold the slots,
- * and a question that needs one pass would wait for a whole answer to end.
+ * Part of each upstream's slots that long prompts leave to short ones while both arrive. The long answers hold the
+ * slots, and a short request that needs one pass would wait for a whole answer to end.
  */
 const SHORT_RESERVED_SHARE = 0.0625;
 
-/** A prompt that takes an engine longer than this to prefill is long: a question placed behind it would be late. */
+/**
+ * A prompt that takes an engine longer than this to prefill is long: a short request placed behind it would be late.
+ */
 export const LONG_PREFILL_MS = 250;
 /** How much more a ms of prefill weighs than a ms of waiting when the pool is full; see `costOf`. */
 const FULL_POOL_PREFILL_WEIGHT = 2;
 
-/** Where a request may go, and what is expected of it there. */
+/** An upstream where a request may run, and what is expected of the request there. */
 export interface Candidate {
   readonly upstream: Upstream;
   /** Tokens left to prefill there. */
   readonly coldTokens: number;
-  /** Leading blocks believed cached there. */
+  /** Leading blocks expected to be cached there. */
   readonly matchedBlocks: number;
-  /** Prefill time that the warm prefix saves. */
+  /** Prefill time that the cached prefix saves. */
   readonly savedMs: number;
   readonly firstTokenMs: number;
-  /** Whether its prefill holds up what is placed beside it. */
+  /** Whether its prefill delays the requests placed on the same upstream. */
   readonly isLong: boolean;
   readonly enginePriority: EnginePriority;
   readonly isProbe: boolean;
 }
 
-/** What a placement depends on besides the request. */
+/** The state that a placement depends on, besides the request. */
 export interface PlacementView {
   readonly upstreams: readonly Upstream[];
   readonly nowMs: number;
   readonly random: Random;
-  /** Whether short requests came lately. */
+  /** Whether short requests arrived recently. */
   readonly hasShortTraffic: boolean;
   /** Share of the pool's slots in use, 0 to 1. */
   readonly utilization: number;
@@ -69,16 +78,18 @@
   readonly isCautious: boolean;
   /** Whether the request's workspace is far over its share. */
   readonly isOverShare: boolean;
-  /** Upstreams that were given this prompt's prefix. */
+  /** Returns the upstreams that were given this prompt's prefix. */
   readonly findHolders: (hashes: readonly number[]) => readonly Upstream[];
-  /** Requests that wait for this upstream already. */
+  /** Returns how many requests already wait for this upstream. */
   readonly countWaitingFor: (upstreamId: string) => number;
 }
 
-/** What {@link choosePlacement} found. */
+/** The result of {@link choosePlacement}. */
 export type Placement =
   | { readonly type: "go"; readonly candidate: Candidate }
-  /** Worth waiting for the upstream that holds its prefix, until that costs more than going elsewhere. */
+  /**
+   * The request should wait for the upstream that has its prefix cached, until that costs more than going elsewhere.
+   */
   | {
     readonly type: "wait";
     readonly upstream: Upstream;
@@ -87,7 +98,7 @@
   /** No upstream has room. */
   | { readonly type: "full" };
 
-/** The upstream for a request. */
+/** Chooses the upstream for a request. */
 export function choosePlacement(
   request: SlotRequest,
   view: PlacementView,
@@ -128,7 +139,7 @@
   return { type: "go", candidate: best };
 }
 
-/** The place at one upstream, if it may still get work and has room for the request. */
+/** Returns the candidate for one upstream, if it may still get work and has room for the request. */
 export function tryPlaceAt(
   request: SlotRequest,
   upstream: Upstream,
@@ -140,7 +151,7 @@
   return canAccept(candidate, view, longAllowed) ? candidate : undefined;
 }
 
-/** What is expected of a request at an upstream, whether or not it has room. */
+/** Predicts what a request needs at an upstream, whether or not the upstream has room. */
 export function evaluate(
   request: SlotRequest,
   upstream: Upstream,
@@ -171,15 +182,15 @@
   };
 }
 
-// An engine prefills higher priorities first, so a question passes a manifest that is being prefilled, and a workspace
-// within its share passes one that floods the pool, also after both have left the queue.
+// An engine prefills higher priorities first. So a short request passes a long prompt that is being prefilled, and a
+// workspace within its share passes one that floods the pool, even after both have left the queue.
 function enginePriorityOf(long: boolean, over: boolean): EnginePriority {
   if (over) return 0;
   return long ? 1 : 2;
 }
 
-// A cold prefill delays more than its own request: it takes passes from everyone on that upstream, and its blocks push
-// others out of the cache. The fuller the pool, the more of that is felt, so the same warmth is worth more.
+// A cold prefill delays more than its own request: it takes passes from all requests on that upstream, and its blocks
+// evict others from the cache. The fuller the pool, the more this costs, so a cached prefix is worth more.
 function costOf(candidate: Candidate, view: PlacementView): number {
   const prefill = prefillMs(candidate.upstream.row, candidate.coldTokens);
   const tieBreak = view.random.next() * 1e-3;
@@ -231,7 +242,7 @@
     Math.max(1, Math.floor(candidates.length * MAX_OVERUSE_LONG_SHARE));
 }
 
-/** The upstreams worth weighing for a request. */
+/** Returns the upstreams to consider for a request. */
 export function candidateUpstreams(
   request: SlotRequest,
   view: PlacementView,
--- a/src/decisions/pool.ts
+++ b/src/decisions/pool.ts
@@ -1,5 +1,6 @@
 /**
- * A pool's lead as a state machine: it alone admits, queues and places the requests of its upstreams.
+ * The lead of a pool as a state machine. The lead is the one VM that admits, queues and places the requests for the
+ * pool's upstreams.
  *
  * @module
  */
@@ -20,7 +21,7 @@
 } from "./pool_messages.ts";
 import type { SlotReport, SlotRequest } from "./slots.ts";
 
-/** The lead's state; each method is one step and returns what its task must do. */
+/** The state of a pool's lead. Each method is one step and returns what the lead's task must do. */
 export class Pool {
   readonly options: PoolOptions;
   readonly #dispatcher: Dispatcher;
@@ -41,7 +42,7 @@
     );
   }
 
-  /** Takes the rows in force: the pool's upstreams and whatever else of the table decides. */
+  /** Applies the current rows: the pool's upstreams, and the other rows of the table that decisions depend on. */
   configure(
     table: Table,
     upstreams: readonly UpstreamRow[],
@@ -54,7 +55,7 @@
     return this.tick(nowMs);
   }
 
-  /** A request asks for a slot: it is answered now or queued. Asked again, it is answered the same. */
+  /** Answers a request for a slot now or queues it. A repeated request gets the same answer. */
   request(request: SlotRequest, nowMs: number): PoolOutput[] {
     const granted = this.#dispatcher.grantOf(request.attemptId);
     if (granted) return [granted];
@@ -65,7 +66,10 @@
     return this.#dispatch([], nowMs);
   }
 
-  /** An attempt got its first token or ended: learns from it, and frees its slot at the end. */
+  /**
+   * Handles a report that an attempt got its first token or ended: updates the estimates, and frees the slot at the
+   * end.
+   */
   report(report: SlotReport, nowMs: number): PoolOutput[] {
     const ended = this.#dispatcher.report(report, nowMs);
     if (!ended) return this.#dispatch([], nowMs);
@@ -73,13 +77,13 @@
     return this.#dispatch([ended.upstream.row.id], nowMs);
   }
 
-  /** Holds these slots for another {@link SLOT_TTL_MS}; answers with those it does not know. */
+  /** Holds these slots for another {@link SLOT_TTL_MS}; returns those that are unknown. */
   renew(attemptIds: readonly string[], nowMs: number): readonly string[] {
     const untilMs = nowMs + SLOT_TTL_MS;
     return attemptIds.filter((id) => !this.#dispatcher.renew(id, untilMs));
   }
 
-  /** The caller has gone: forgets a queued attempt or frees its slot. */
+  /** Handles a caller that has gone: removes its queued attempt or frees its slot. */
   cancel(attemptId: string, nowMs: number): PoolOutput[] {
     const queued = this.#dispatcher.lanes.remove(attemptId);
     if (queued) this.#admission.releaseQueued(queued);
@@ -88,24 +92,24 @@
     return this.#dispatch("all", nowMs);
   }
 
-  /** An upstream's own report of its load. */
+  /** Applies an upstream's own report of its load. */
   observe(load: LoadReport, nowMs: number): PoolOutput[] {
     this.#dispatcher.observe(load, nowMs);
     return this.#dispatch("all", nowMs);
   }
 
-  /** What other regions say; replaces what they said before. */
+  /** Replaces what is known of other regions. */
   setRemoteRegions(regions: readonly RemoteRegion[], _nowMs: number): void {
     this.#regionRouter.setRemoteRegions(regions);
   }
 
-  /** A new lead learns what entry VMs hold; it starts cautious until it has heard them. */
+  /** Takes over slots that entry VMs hold. A new lead starts cautiously until it has heard of them. */
   adopt(held: readonly HeldSlot[], nowMs: number): PoolOutput[] {
     for (const slot of held) this.#dispatcher.adopt(slot, nowMs);
     return this.#dispatch("all", nowMs);
   }
 
-  /** Time passes: expired slots come back, late requests are refused, queued ones are placed. Every 50 ms or so. */
+  /** Frees expired slots, refuses late requests and places queued ones. It is called about every 50 ms. */
   tick(nowMs: number): PoolOutput[] {
     for (const held of this.#dispatcher.expire(nowMs)) {
       this.#admission.releaseHeld(held, held.expectedOutputTokens);
@@ -115,17 +119,17 @@
     return [...orders, ...this.#dispatch("all", nowMs)];
   }
 
-  /** What other regions are told. */
+  /** Returns the digest for other regions. */
   digest(nowMs: number): PoolDigest {
     return this.#regionRouter.digest(nowMs);
   }
 
-  /** The pool's state for people. */
+  /** Returns the pool's state for operators. */
   dump(): unknown {
     return { ...this.options, ...this.#dispatcher.dump() };
   }
 
-  // Answers are given in the step in which they become known: a caller told early can still go elsewhere.
+  // Answers are given in the step in which they become known, as a caller that is told early can still go elsewhere.
   #dispatch(changed: ChangedUpstreams, nowMs: number): PoolOutput[] {
     const refused = this.#admission.refuseLate(nowMs);
     return [...refused, ...this.#dispatcher.dispatch(changed, nowMs)];
--- a/src/decisions/pool_messages.ts
+++ b/src/decisions/pool_messages.ts
@@ -1,12 +1,12 @@
 /**
- * What a pool's lead is told and tells, besides slots.
+ * Input and output of a pool's lead, besides slot messages.
  *
  * @module
  */
 
 import type { SlotAnswer } from "./slots.ts";
 
-/** What the lead's task must do after a step: answer a request, or order an upstream to a state. */
+/** What the lead's task must do after a step: answer a request, or order an upstream into a state. */
 export type PoolOutput =
   | {
     readonly type: "answer";
@@ -19,7 +19,7 @@
     readonly want: "active" | "parked";
   };
 
-/** A load report of an upstream, as old as `atMs` says. */
+/** A load report of an upstream, as of `atMs`. */
 export interface LoadReport {
   readonly upstreamId: string;
   readonly running: number;
@@ -32,16 +32,19 @@
   readonly region: string;
   /** One-way delay of the link. */
   readonly linkMs: number;
-  /** Time until a prefill would begin there; the prefill itself is the request's own and is added by its home. */
+  /**
+   * Time until a prefill would start there. The time of the prefill depends on the request and is added by its home
+   * region.
+   */
   readonly predictedWaitMs: number;
-  /** Whether it takes requests of others now; never true while it sends away itself. */
+  /** Whether it accepts requests from other regions now; it never does while it sends requests away itself. */
   readonly takesIn: boolean;
   readonly seenAtMs: number;
 }
 
-/** What a region tells others of one of its pools. */
+/** What a region tells other regions of one of its pools. */
 export interface PoolDigest {
-  /** See {@link RemoteRegion.predictedWaitMs}; {@link NEVER_MS} if no upstream can take anything. */
+  /** See {@link RemoteRegion.predictedWaitMs}; {@link NEVER_MS} if no upstream can take a request. */
   readonly predictedWaitMs: number;
   readonly takesIn: boolean;
   readonly queued: number;
@@ -49,10 +52,10 @@
   readonly slots: number;
 }
 
-/** Stands for "no time can be told" where a message needs a number. */
+/** Stands for an unknown or infinite time where a message needs a number. */
 export const NEVER_MS = 1e9;
 
-/** A slot that an entry VM says it holds, told to a new lead. */
+/** A slot that an entry VM holds, as told to a new lead. */
 export interface HeldSlot {
   readonly attemptId: string;
   readonly upstreamId: string;
@@ -62,12 +65,12 @@
   readonly workspace: string;
 }
 
-/** Who the pool is, and its seed for ties. */
+/** Names the pool, and seeds its random choices, such as between equal candidates. */
 export interface PoolOptions {
   readonly service: string;
   readonly region: string;
   readonly seed: number;
 }
 
-/** How long a slot is held without a renewal: a dead VM's slots are back after this. */
+/** How long a slot is held without a renewal. The slots of a dead VM are free after this. */
 export const SLOT_TTL_MS = 6000;
--- a/src/decisions/pool_test.ts
+++ b/src/decisions/pool_test.ts
@@ -79,7 +79,7 @@
 
 describe("pool", () => {
   describe("slots", () => {
-    it("grants no more than there are and the rest when one comes back", (t) => {
+    it("are granted up to their number, and again when one is freed", (t) => {
       const pool = poolOf(tableOf(upstreamRow("u1")));
       const first = slotRequest();
       t.is(onlyAnswer(t, pool.request(first, AFTER_CAUTION_MS)).type, "grant");
@@ -98,9 +98,9 @@
       t.is(onlyAnswer(t, outputs).type, "grant");
     });
 
-    // The caller of a dead entry VM is gone, and so is whoever would free its slot. Without an end by time the
-    // upstream would stay full for ever and later callers be refused.
-    it("come back when nobody renews them", (t) => {
+    // The caller of a dead entry VM is gone, and so is the VM that would free its slot. If slots did not expire, the
+    // upstream would stay full for ever and later callers would be refused.
+    it("are freed when they are not renewed", (t) => {
       const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
       const lost = slotRequest();
       pool.request(lost, AFTER_CAUTION_MS);
@@ -113,7 +113,7 @@
       ]);
     });
 
-    it("stay with a repeated request", (t) => {
+    it("stay the same for a repeated request", (t) => {
       const pool = poolOf(tableOf(upstreamRow("u1")));
       const request = slotRequest();
       const first = onlyAnswer(t, pool.request(request, AFTER_CAUTION_MS));
@@ -123,7 +123,7 @@
       );
     });
 
-    it("adopted by a new lead count as taken", (t) => {
+    it("count as taken when a new lead adopts them", (t) => {
       const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
       pool.adopt([{
         attemptId: "old",
@@ -137,7 +137,7 @@
       t.is(onlyAnswer(t, pool.cancel("old", AFTER_CAUTION_MS)).type, "grant");
     });
 
-    it("of a leaving upstream are not given out", (t) => {
+    it("are not granted at a leaving upstream", (t) => {
       const pool = poolOf(tableOf(upstreamRow("u1", { state: "leaving" })));
       const answer = onlyAnswer(
         t,
@@ -147,8 +147,8 @@
     });
   });
 
-  describe("refusal", () => {
-    it("comes at once when the start would miss the deadline", (t) => {
+  describe("refusals", () => {
+    it("come at once when the start would miss the deadline", (t) => {
       const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
       for (let i = 0; i < 10; i++) {
         pool.request(
@@ -172,7 +172,7 @@
       t.true(answer.failure.retryAtMs! > AFTER_CAUTION_MS);
     });
 
-    it("bounds the queue and leaves room in it for another workspace", (t) => {
+    it("keep the queue bounded and leave room in it for another workspace", (t) => {
       const pool = poolOf(tableOf(upstreamRow("u1", { slots: 1 })));
       const deadlineMs = AFTER_CAUTION_MS + 1e7;
       const answers = Array.from(
--- a/src/decisions/prefix_index.ts
+++ b/src/decisions/prefix_index.ts
@@ -1,19 +1,22 @@
 /**
- * Which upstreams were lately given a prefix, for pools too large to be looked through.
+ * Index of the upstreams that were recently given a prefix, for pools too large to scan.
  *
  * @module
  */
 
-/** Prefix blocks remembered; the oldest are forgotten first. */
+/** Prefix blocks in the index; the oldest are dropped first. */
 const MAX_BLOCKS = 65_536;
-/** Upstreams remembered for one block: a popular document is warm at several, and a few give choice enough. */
+/** Upstreams kept per block: a popular document is cached at several, and a few are enough to choose from. */
 const MAX_HOLDERS_PER_BLOCK = 4;
 
-/** See the module. A hint only: each upstream's own belief decides what a place is worth. */
+/**
+ * Maps prefix blocks to upstreams. The result is only a hint: each upstream's own estimate decides how much of the
+ * prefix is expected there.
+ */
 export class PrefixIndex<T> {
   readonly #byHash = new Map<number, readonly T[]>();
 
-  /** A prompt of these blocks was placed at an upstream. */
+  /** Records that a prompt of these blocks was placed on an upstream. */
   add(hashes: readonly number[], upstream: T): void {
     for (const hash of hashes) {
       const others = (this.#byHash.get(hash) ?? [])
@@ -30,7 +33,7 @@
     }
   }
 
-  /** Upstreams given the longest known prefix of this prompt. */
+  /** Returns the upstreams that were given the longest known prefix of this prompt. */
   findHolders(hashes: readonly number[]): readonly T[] {
     for (let i = hashes.length - 1; i >= 0; i--) {
       const found = this.#byHash.get(hashes[i]);
--- a/src/decisions/queue_entry.ts
+++ b/src/decisions/queue_entry.ts
@@ -1,5 +1,5 @@
 /**
- * What the lanes of a pool queue, and what waits parked for an upstream.
+ * A queued request, as kept in the lanes of a pool and while it waits for one upstream.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import type { RequestCost } from "./limits.ts";
 import type { SlotRequest } from "./slots.ts";
 
-/** The two lanes. */
+/** The two lanes of a pool's queue. */
 export type LaneName = "short" | "long";
-/** Both lanes, the one that is served first at the front. */
+/** Both lanes; the one that is served first comes first. */
 export const LANES: readonly LaneName[] = ["short", "long"];
 
 /** A queued request. */
@@ -20,12 +20,12 @@
   readonly work: number;
   readonly cost: RequestCost;
   readonly queuedAtMs: number;
-  /** Its wait as forecast, before any correction. */
+  /** The forecast wait before correction. */
   readonly rawWaitMs: number;
-  /** Starting later than this, its first token would miss the deadline. */
+  /** If the request starts later than this, its first token misses the deadline. */
   readonly latestStartMs: number;
-  /** The upstream believed to hold most of its prefix, if any does. */
+  /** The upstream expected to have most of its prefix cached, if any. */
   readonly prefixUpstreamId: string | undefined;
-  /** Times another request went before it for being warm. */
+  /** How often another request went first because its prefix was cached. */
   bypassCount: number;
 }
--- a/src/decisions/recent_usage.ts
+++ b/src/decisions/recent_usage.ts
@@ -1,16 +1,25 @@
 /**
- * What each workspace used lately, against its share.
+ * What each workspace used recently, compared with its share.
  *
  * @module
  */
 
-/** Time over which use is forgotten: longer than an answer, shorter than a caller's patience with a wrong verdict. */
+/**
+ * Time constant with which past use decays: longer than an answer, but short enough that callers of a workspace wrongly
+ * found over its share do not give up.
+ */
 const WINDOW_MS = 5000;
-/** A workspace is over its share above this multiple of it; below, a few long prompts move it there by chance. */
+/**
+ * A workspace is over its share above this multiple of it; a lower one could be reached by chance with a few long
+ * prompts.
+ */
 const OVER_SHARE_FACTOR = 2;
-/** And above this part of all use: where many share a pool, twice a small share takes nothing from anyone. */
+/**
+ * Its use must also exceed this part of all use: where many share a pool, twice a small share takes nothing from
+ * anyone.
+ */
 const MIN_OVER_SHARE = 0.2;
-/** Use older than this many windows is as good as none. */
+/** Use older than this many windows is negligible. */
 const IDLE_WINDOWS = 4;
 const MIN_SWEEP_WORKSPACES = 256;
 
@@ -20,7 +29,10 @@
   atMs: number;
 }
 
-/** See the module. Queue order cannot tell this: a workspace alone in the queue is always next in turn. */
+/**
+ * The recent use of each workspace. Queue order cannot show this: a workspace that is alone in the queue always goes
+ * next.
+ */
 export class RecentUsage {
   readonly #byWorkspace = new Map<string, DecayedUse>();
   #totalWork = 0;
@@ -43,7 +55,7 @@
     this.#totalAtMs = nowMs;
   }
 
-  /** Whether the workspace uses far more than its share while others are about. */
+  /** Whether the workspace uses far more than its share while others use the pool too. */
   isOverShare(workspace: string, nowMs: number): boolean {
     const used = this.#byWorkspace.get(workspace);
     if (!used || this.#byWorkspace.size < 2) return false;
@@ -54,7 +66,8 @@
     return own > all * Math.max(MIN_OVER_SHARE, OVER_SHARE_FACTOR * fairShare);
   }
 
-  // At most once a window unless many are new, so that the cost of a step does not grow with the workspaces.
+  // Sweeps run at most once per window unless many workspaces are new, so that the cost of a step does not grow with
+  // their number.
   #sweep(nowMs: number): void {
     const due = nowMs - this.#sweptAtMs > WINDOW_MS;
     if (!due && this.#byWorkspace.size < this.#sweepAtSize) return;
--- a/src/decisions/region_router.ts
+++ b/src/decisions/region_router.ts
@@ -1,5 +1,5 @@
 /**
- * Requests sent to other regions and taken in from them.
+ * Sends requests to other regions, and decides whether this region accepts requests from them.
  *
  * @module
  */
@@ -16,20 +16,23 @@
 import { canLeaveRegion, chooseRegion, ShiftCounts } from "./shift.ts";
 import type { SlotRequest } from "./slots.ts";
 
-/** Longest queue of a region that takes requests of others: an instant's queue is no lack of room. */
+/**
+ * Longest queue wait at which a region accepts requests from others: a queue that lasts only a moment does not mean a
+ * lack of room.
+ */
 const MAX_ACCEPT_WAIT_MS = 500;
 
-/** What is expected of a request at home. */
+/** Predicted times of a request in this region. */
 export interface HomeForecast {
   /** Time in the queue. */
   readonly waitMs: number;
   /** Time from leaving the queue to the first token. */
   readonly firstTokenMs: number;
-  /** Time to prefill the whole prompt, nothing being warm. */
+  /** Time to prefill the whole prompt without a cached prefix. */
   readonly coldMs: number;
 }
 
-/** See the module. */
+/** Decides which requests of a pool go to other regions, and whether the pool accepts theirs. */
 export class RegionRouter {
   readonly #options: PoolOptions;
   readonly #dispatcher: Dispatcher;
@@ -46,18 +49,21 @@
     this.#table = table;
   }
 
-  /** What other regions say. */
+  /** Replaces what the digests of other regions say. */
   setRemoteRegions(regions: readonly RemoteRegion[]): void {
     this.#remoteRegions = regions;
   }
 
-  /** Counts a request of this region's own. */
+  /** Counts a request that arrived from this region's own callers; retries do not count. */
   recordArrival(request: SlotRequest, nowMs: number): void {
     if (request.sentFrom !== undefined || request.exclude.length > 0) return;
     this.#shiftCounts.recordArrival(nowMs);
   }
 
-  /** Sends the request away if that is allowed and better; `home` is absent if no upstream can take it. */
+  /**
+   * Sends the request to another region if that is allowed and better. `home` is absent if no upstream here can take
+   * it.
+   */
   trySend(
     request: SlotRequest,
     home: HomeForecast | undefined,
@@ -101,7 +107,7 @@
     );
   }
 
-  /** What other regions are told. */
+  /** Returns the digest for other regions. */
   digest(nowMs: number): PoolDigest {
     const { lanes, fleet } = this.#dispatcher;
     const { running, slots } = fleet.load(nowMs);
@@ -118,8 +124,9 @@
   }
 
   /**
-   * Whether it takes a request of another region now. A region that waits itself, or that sends away, has nothing to give;
-   * and part of its slots is kept for its own callers, who may come in the second that a digest is old.
+   * Whether this region accepts a request from another region now. A region that has a queue, or that sends requests
+   * away, has no room to spare. A share of the slots is reserved for its own callers, who may arrive during the second
+   * for which a digest is out of date.
    */
   acceptsRequests(nowMs: number): boolean {
     if (this.#shiftCounts.hasSentRecently(nowMs)) return false;
--- a/src/decisions/retry.ts
+++ b/src/decisions/retry.ts
@@ -1,5 +1,5 @@
 /**
- * Retries: when another attempt is allowed.
+ * Retries: decides when another attempt is allowed.
  *
  * @module
  */
@@ -8,13 +8,17 @@
 import { TokenBucket } from "./token_bucket.ts";
 
 /**
- * Retries per first attempt. When an upstream dies, a retry saves its requests; when all are overloaded, retries are
- * more load and keep them so. A tenth covers the loss of one upstream in ten and adds a tenth at worst.
+ * Retries per first attempt. When an upstream dies, a retry saves its requests; when all upstreams are overloaded,
+ * retries add load and prolong the overload. A tenth covers the loss of one upstream in ten and adds a tenth of the
+ * load at worst.
  */
 const RETRY_SHARE = 0.1;
-/** Retries saved up: the requests in flight at one upstream that dies are retried at once. */
+/** Retries that can be saved up, so that the requests in flight at one upstream that dies are retried at once. */
 const RETRY_BURST = 32;
-/** Retries a second allowed without any traffic, so that a quiet service still survives a failure. */
+/**
+ * Retries per second that are allowed without any traffic, so that a service with few requests still survives a
+ * failure.
+ */
 const MIN_RETRIES_PER_S = 1;
 
 /** The retry budget of a pool. */
@@ -40,7 +44,7 @@
     return true;
   }
 
-  /** When a retry is there at the latest. */
+  /** Returns the time by which a retry is available at the latest. */
   readyAtMs(nowMs: number): number {
     return Math.ceil(this.#bucket.readyAtMs(1, nowMs));
   }
@@ -57,12 +61,12 @@
   readonly deadlineMs: number;
 }
 
-/** Attempts of one request in all: after three upstreams the fault is likely the request's. */
+/** Attempts per request: after three upstreams, the request itself is probably at fault. */
 export const MAX_ATTEMPTS = 3;
 
 /**
- * Whether the request may be attempted again elsewhere. Never after the caller got a part of an answer, since a second
- * answer would not continue the first; never if a call that must run at most once may have run.
+ * Whether the request may be attempted again elsewhere. It may not after the caller got a part of an answer, since a
+ * second answer would not continue the first, nor if a call that must run at most once may have run.
  */
 export function mayRetry(attempt: FailedAttempt, nowMs: number): boolean {
   if (attempt.attempts >= MAX_ATTEMPTS) return false;
--- a/src/decisions/scheduler.ts
+++ b/src/decisions/scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * Which queued request goes next, and where.
+ * Chooses the next queued request and the upstream that runs it.
  *
  * @module
  */
@@ -20,24 +20,29 @@
 import { RecentUsage } from "./recent_usage.ts";
 
 /**
- * A new lead takes load reports at their word and fills half of each upstream for this long. Its predecessor's slots are
- * unknown until the entry VMs have named them, which takes one of their renewals.
+ * For this long after its start, a lead trusts the latest load report and fills only half of each upstream's limit. It
+ * does not know its predecessor's slots until the entry VMs have reported them with their next renewal.
  */
 const STARTUP_CAUTION_MS = 1000;
-/** Workspaces passed over whose next request can be placed nowhere yet, such as a retry that waits for one upstream. */
+/**
+ * Workspaces skipped per lane and call because their next request cannot be placed yet, such as a retry that waits for
+ * one upstream.
+ */
 const MAX_SKIPS = 4;
-/** Times a request may be bypassed by warmer ones: some 2 s of a busy upstream's work. */
+/** How often other requests with a cached prefix may go before a request: about 2 s of a busy upstream's work. */
 const MAX_BYPASSES = 8;
-/** Short requests within this time make the traffic mixed; see `SHORT_SHARE` of the placement. */
+/**
+ * After a short request, slots are reserved for further ones for this long; see `SHORT_RESERVED_SHARE` in placement.ts.
+ */
 const SHORT_TRAFFIC_WINDOW_MS = 5000;
 
-/** A queued request and its place. */
+/** A queued request and the upstream chosen for it. */
 export interface Assignment {
   readonly entry: QueueEntry;
   readonly candidate: Candidate;
 }
 
-/** See the module. */
+/** Assigns queued requests to upstreams by lane order, fair shares and cached prefixes. */
 export class Scheduler {
   readonly #lanes: Lanes;
   readonly #fleet: Fleet;
@@ -53,7 +58,7 @@
     this.#random = random;
   }
 
-  /** The lead begins, if it has not yet. */
+  /** Starts the cautious period at the first call; later calls have no effect. */
   start(nowMs: number): void {
     this.#cautiousUntilMs ??= nowMs + STARTUP_CAUTION_MS;
   }
@@ -61,12 +66,12 @@
     return nowMs < (this.#cautiousUntilMs ?? Infinity);
   }
 
-  /** A short request arrived. */
+  /** Records the arrival of a short request. */
   recordShort(nowMs: number): void {
     this.#lastShortAtMs = nowMs;
   }
 
-  /** An entry was given a place. */
+  /** Records that an entry was granted a slot at the candidate's upstream. */
   recordGrant({ entry, candidate: found }: Assignment, nowMs: number): void {
     const { request, weight, work } = entry;
     this.#usage.add(request.workspace, weight, work, nowMs);
@@ -88,7 +93,10 @@
     };
   }
 
-  /** Gives `go` those that waited long enough, and those that waited for one of these upstreams if it has room. */
+  /**
+   * Calls `assign` for the deferred requests that have waited long enough, and for those that wait for one of these
+   * upstreams while it has room.
+   */
   placeDeferred(
     nowMs: number,
     upstreamIds: readonly string[],
@@ -123,7 +131,7 @@
     return over ? { ...view, isOverShare: over } : view;
   }
 
-  /** The next in turn that can be placed, taken out of the queue. */
+  /** Takes the next request that can be placed out of the queue. */
   takeNext(nowMs: number): Assignment | undefined {
     const view = this.placementView(nowMs);
     for (const lane of this.#lanes.laneOrder()) {
@@ -143,7 +151,7 @@
           this.#lanes.deferNext(lane, placement.upstream.row.id, untilMs);
           continue;
         }
-        // Only these can be stuck where the next workspace is not.
+        // Only the requests of a workspace over its share and retries can be blocked while the next workspace is not.
         if (!entryView.isOverShare && entry.request.exclude.length === 0) break;
         this.#lanes.skip(lane);
         skips++;
@@ -153,9 +161,10 @@
   }
 
   /**
-   * Where the next in turn is cold at its place and another in the queue is warm there, the other goes first. With a
-   * full queue most places would else go to prompts whose prefix lies elsewhere, and the pool would spend its time on
-   * prefilling again what it has; one bypassed often enough goes wherever there is room.
+   * If the next request needs a long prefill at its upstream and another queued request's prefix is cached there, the
+   * other one goes first. Otherwise, with a full queue, most requests would go to upstreams that do not hold their
+   * prefix, and the pool would spend its time on prefilling what is already cached elsewhere. A request that was
+   * bypassed often enough goes wherever there is room.
    */
   #preferCached(
     entry: QueueEntry,
--- a/src/decisions/shift.ts
+++ b/src/decisions/shift.ts
@@ -1,5 +1,5 @@
 /**
- * Shifting: whether a request goes to another region.
+ * Shifting: decides whether a request goes to another region.
  *
  * @module
  */
@@ -7,56 +7,58 @@
 import type { ServiceRow, TrafficRow, WorkspaceRow } from "../agreement/mod.ts";
 import type { RemoteRegion } from "./pool_messages.ts";
 
-/** A digest older than this tells nothing: the link may be cut, and a request sent over it would be lost time. */
+/** A digest older than this is ignored: the link may be cut, and a request sent over it would only lose time. */
 export const DIGEST_STALE_MS = 3000;
-/** Least time saved: below this the gain is within the error of the predictions. */
+/** Shortest time that must be saved: a smaller gain is within the error of the predictions. */
 const MIN_GAIN_MS = 50;
 /**
- * Least time in the home queue. A region without one has room; sending from it because one prompt is cold or one place
- * is busy would close it to others for {@link ACCEPT_PAUSE_MS}.
+ * Shortest wait in the home queue at which a request is sent away. A region without a queue has room; if it sent a
+ * request away because one prompt is cold or one upstream is busy, it would accept none from others for
+ * {@link ACCEPT_PAUSE_MS}.
  */
 const MIN_HOME_WAIT_MS = 100;
 /**
- * What the operators' weights against sending add, where nothing else weighs: the part of the home wait that must be
- * saved, and the part of the time to the deadline that a request waits at home first. Where only latency weighs, both
- * are zero; in between they grow with the weights. Larger parts send less and keep queues longer.
+ * Conditions added by the operators' cost and away weights, at their full size when latency has no weight: the part of
+ * the home time that must be saved, and the part of the time to the deadline that the home time must exceed. If only
+ * latency has a weight, both are zero; in between they grow with the weights. Larger parts send fewer requests away and
+ * keep queues longer.
  */
 const PENALTY_GAIN_SHARE = 0.25;
 const PENALTY_WAIT_SHARE = 0.25;
 /**
- * After sending away, a region takes nothing in for this long, or two regions would swap load: each would see the
- * other's queue fall by what it sent.
+ * After a region sends a request away, it accepts none from others for this long. Otherwise two regions would swap
+ * load, as each would see the other's queue shrink by what the other sent.
  */
 export const ACCEPT_PAUSE_MS = 3000;
-/** Time over which the share sent away is counted. */
+/** Time constant over which the share sent away is counted. */
 const SHARE_WINDOW_MS = 60_000;
-/** Requests counted before a limit of the share bites: a share of three requests means nothing. */
+/** Added to the arrivals before the limit of the share is applied: a share of three requests says nothing. */
 const SHARE_SLACK_REQUESTS = 2;
 
-/** What a shift is decided on. */
+/** The input of {@link chooseRegion}. */
 export interface ShiftView {
   readonly workspace: WorkspaceRow | undefined;
   readonly service: ServiceRow | undefined;
   readonly traffic: TrafficRow | undefined;
   readonly region: string;
   readonly sentFrom: string | undefined;
-  /** Predicted time to the first token at home; `Infinity` if no upstream can take it. */
+  /** Predicted time to the first token at home; `Infinity` if no upstream can take the request. */
   readonly homeMs: number;
   /** Part of it spent in the queue. */
   readonly homeWaitMs: number;
-  /** Time to prefill the whole prompt, nothing being warm. */
+  /** Time to prefill the whole prompt without a cached prefix. */
   readonly coldMs: number;
   readonly deadlineMs: number;
   readonly nowMs: number;
 }
 
-/** Counts what a region sent away, with what it got. */
+/** Counts the requests that arrived in a region and those that it sent away. */
 export class ShiftCounts {
   #arrived = 0;
   #sent = 0;
   #atMs = 0;
   #sentAtMs = -Infinity;
-  /** Wait added at each region by what was sent there since its last digest. */
+  /** Requests sent to each region since its last digest, whose time is `seenAtMs`. */
   readonly #sentSinceDigest = new Map<
     string,
     { seenAtMs: number; sends: number }
@@ -77,13 +79,13 @@
     });
   }
 
-  /** Requests sent there that its last digest cannot yet show. */
+  /** Returns the number of requests sent to the region that its last digest cannot show yet. */
   countSinceDigest(remote: RemoteRegion): number {
     const sent = this.#sentSinceDigest.get(remote.region);
     return sent?.seenAtMs === remote.seenAtMs ? sent.sends : 0;
   }
 
-  /** Whether one more may be sent under this limit of the share. */
+  /** Whether one more request may be sent under this limit of the share. */
   isBelowLimit(shareLimit: number, nowMs: number): boolean {
     this.#decay(nowMs);
     if (shareLimit >= 1) return true;
@@ -92,7 +94,7 @@
       shareLimit * (this.#arrived + SHARE_SLACK_REQUESTS);
   }
 
-  /** Whether the region sent anything away lately. */
+  /** Whether the region sent any request away recently. */
   hasSentRecently(nowMs: number): boolean {
     return nowMs - this.#sentAtMs < ACCEPT_PAUSE_MS;
   }
@@ -107,12 +109,13 @@
 }
 
 /**
- * Sends allowed to one region on one digest. A digest is a second or so old when the next comes; without a bound every
- * lead would send all its overflow to the region that looked idle, and drown it before it can say so.
+ * Requests that may be sent to one region on one digest. A digest is about a second old when the next one comes;
+ * without a limit, every lead would send all its overflow to a region that looked idle and overload it before it could
+ * report that.
  */
 const MAX_SENDS_PER_DIGEST = 16;
 
-/** The region to send the request to, if any. */
+/** Chooses the region to send the request to, if any. */
 export function chooseRegion(
   view: ShiftView,
   regions: readonly RemoteRegion[],
@@ -136,8 +139,8 @@
 }
 
 /**
- * Residency goes before all else: a bound workspace's requests, and those of one the table does not know, never leave.
- * A request that was sent here once is not sent on, so no loop can arise.
+ * Whether the request may leave this region. Residency comes first: requests of a bound workspace, or of one that is
+ * not in the table, never leave. A request that another region sent here is not sent on, so no loop can arise.
  */
 export function canLeaveRegion(
   view: Pick<ShiftView, "workspace" | "sentFrom">,
@@ -173,7 +176,7 @@
   return view.homeMs > penalty * PENALTY_WAIT_SHARE * slackMs;
 }
 
-/** How much the service's operators weigh cost and share sent away against latency, 0 to 1. */
+/** Returns how much the service's operators weigh cost and the share sent away against latency, 0 to 1. */
 export function computeSendPenalty(service: ServiceRow | undefined): number {
   const { latencyWeight = 1, costWeight = 0, awayWeight = 0 } =
     service?.objective ?? {};
--- a/src/decisions/slots.ts
+++ b/src/decisions/slots.ts
@@ -1,5 +1,5 @@
 /**
- * Slots: what a VM asks of a pool's lead, what the lead answers, and what it is told afterwards.
+ * Slots: what a VM asks of a pool's lead, what the lead answers, and what is reported to it afterwards.
  *
  * @module
  */
@@ -12,21 +12,21 @@
   readonly attemptId: string;
   readonly service: string;
   readonly workspace: string;
-  /** Higher goes first. */
+  /** A request with a higher priority goes first. */
   readonly priority: number;
   readonly arrivedAtMs: number;
   readonly deadlineMs: number;
-  /** Hashes of the prompt's leading blocks, longest last; a warm prefix shares the first ones. */
+  /** Hashes of the prompt's leading blocks, longest last; prompts with a common prefix share the first ones. */
   readonly prefixHashes: readonly number[];
   readonly promptTokens: number;
   readonly expectedOutputTokens: number;
   /** Upstreams already tried for this request. */
   readonly exclude: readonly string[];
-  /** Set when the caller itself bound the request to its home; the stricter of this and the table holds. */
+  /** Set when the caller itself bound the request to its home region; the stricter of this and the table applies. */
   readonly boundByCaller?: boolean;
-  /** Set once the request was at another region, or that region refused it: it moves no second time. */
+  /** Set once the request was at another region, or that region refused it, so that it is not sent a second time. */
   readonly stayHome?: boolean;
-  /** The region it came from, when another sent it here. */
+  /** The region that sent the request here, if another one did. */
   readonly sentFrom?: string;
   readonly tableVersion: number;
 }
@@ -39,7 +39,7 @@
   readonly url: string;
   readonly expiresAtMs: number;
   readonly queuedMs: number;
-  /** The priority to ask of an engine; higher is prefilled first. A plain service ignores it. */
+  /** The priority for the engine, which prefills higher ones first. A plain service ignores it. */
   readonly enginePriority?: number;
 }
 
@@ -55,14 +55,15 @@
   readonly failure: Failure;
 };
 
-/** What became of an attempt, told to the lead so that it learns and frees the slot. */
+/** What became of an attempt, reported to the lead so that it updates its estimates and frees the slot. */
 export interface SlotReport {
   readonly attemptId: string;
   readonly service: string;
   readonly upstreamId: string;
   /**
-   * `started`: the first token came and the slot stays held; sent once, so that a slow upstream is known by its next
-   * first token and not by its next end. `refused`: the upstream did not run it. `failed`: it may have run.
+   * `started`: the first token came and the slot stays held. It is sent once, so that a slow upstream is noticed at its
+   * next first token and not at the end of its next answer. `refused`: the upstream did not run the attempt. `failed`:
+   * the attempt may have run.
    */
   readonly outcome:
     | "started"
@@ -71,9 +72,9 @@
     | "refused"
     | "failed"
     | "unreachable";
-  /** From the grant to the first token (for a plain service, to the answer's headers). */
+  /** Time from the grant to the first token (for a plain service, to the answer's headers). */
   readonly firstTokenMs?: number;
-  /** Prompt tokens that the engine says it had cached, where its answer's usage tells. */
+  /** Prompt tokens that the engine says it had cached, if the usage in its answer tells. */
   readonly cachedTokens?: number;
   readonly outputTokens: number;
   readonly totalMs: number;
--- a/src/decisions/token_bucket.ts
+++ b/src/decisions/token_bucket.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Fills by `perMs` up to `most`; starts full. */
+/** Refills at `perMs` up to `capacity`; starts full. */
 export class TokenBucket {
   #perMs: number;
   #capacity: number;
@@ -18,7 +18,7 @@
     this.#refilledAtMs = nowMs;
   }
 
-  /** Changes the limits and keeps what was used: an edit of the table must not hand out a second burst. */
+  /** Changes rate and capacity and keeps what was used, so that an edit of the table grants no second burst. */
   resize(perMs: number, capacity: number, nowMs: number): void {
     this.#refill(nowMs);
     this.#level += capacity - this.#capacity;
@@ -29,28 +29,28 @@
 
   has(amount: number, nowMs: number): boolean {
     this.#refill(nowMs);
-    // An amount above the bucket's size could never pass; it may when the bucket is full.
+    // An amount above the capacity could never pass otherwise; it passes when the bucket is full.
     return this.#level >= Math.min(amount, this.#capacity);
   }
 
-  /** What is left; below zero while takers wait. */
+  /** Returns the tokens left; the level is negative while takers have to wait. */
   levelAt(nowMs: number): number {
     this.#refill(nowMs);
     return this.#level;
   }
 
-  /** Takes the amount; the level may fall below zero, and later takers wait for it. */
+  /** Takes the amount. The level may fall below zero; later takers then wait until it has refilled. */
   take(amount: number, nowMs: number): void {
     this.#refill(nowMs);
     this.#level -= amount;
   }
 
-  /** Gives back what was taken and not used. */
+  /** Returns tokens that were taken and not used. */
   refund(amount: number): void {
     this.#level = Math.min(this.#capacity, this.#level + amount);
   }
 
-  /** When `has(amount)` will hold if nothing else is taken. */
+  /** Returns the time at which `has(amount)` becomes true if nothing else is taken. */
   readyAtMs(amount: number, nowMs: number): number {
     this.#refill(nowMs);
     const missing = Math.min(amount, this.#capacity) - this.#level;
--- a/src/decisions/wait_forecaster.ts
+++ b/src/decisions/wait_forecaster.ts
@@ -1,5 +1,5 @@
 /**
- * How long queued work waits, as the pool's recent past tells.
+ * Predicts how long queued work waits, from the pool's recent past.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { type LaneName, LANES, type QueueEntry } from "./queue_entry.ts";
 import type { Lanes } from "./lanes.ts";
 
-/** A forecast wait, and the same before it is corrected. */
+/** A forecast wait, and its value before correction. */
 export interface WaitForecast {
   readonly waitMs: number;
   readonly rawWaitMs: number;
 }
 
-/** See the module. */
+/** Forecasts the waits in both lanes from their drain rates and from earlier waits. */
 export class WaitForecaster {
   readonly #lanes: Lanes;
   readonly #rates = { short: new DrainRate(), long: new DrainRate() };
@@ -28,7 +28,7 @@
     this.#lanes = lanes;
   }
 
-  /** Time passes with upstreams of this rate at hand. */
+  /** Updates the drain rates to `nowMs`; the upstreams had this nominal rate since the last call. */
   advance(nominalPerMs: number, nowMs: number): void {
     this.#nominalPerMs = nominalPerMs;
     for (const lane of LANES) {
@@ -37,13 +37,13 @@
     }
   }
 
-  /** An entry left the queue for an upstream. */
+  /** Records that an entry left the queue for an upstream. */
   recordGrant(entry: QueueEntry, nowMs: number): void {
     this.recordWait(entry, nowMs);
     this.#rates[entry.lane].recordGrant(entry.work);
   }
 
-  /** An entry's wait is over, well or not. */
+  /** Records the end of an entry's wait, whether it was granted or refused. */
   recordWait(entry: QueueEntry, nowMs: number): void {
     if (entry.rawWaitMs <= 0) return;
     this.#corrections[entry.lane].recordWait(
@@ -52,13 +52,13 @@
     );
   }
 
-  /** Time in a lane behind this much work. */
+  /** Forecasts the time in a lane behind this much work. */
   forecast(lane: LaneName, work: number): WaitForecast {
     const rawWaitMs = this.#drainMs(lane, work);
     return { rawWaitMs, waitMs: this.#corrections[lane].correct(rawWaitMs) };
   }
 
-  /** Time until all that is queued now is started. */
+  /** Predicts the time until all that is queued now has started. */
   queueDrainMs(): number {
     const waits = LANES.map((lane) =>
       this.#drainMs(lane, this.#lanes.workOf(lane))
@@ -66,7 +66,7 @@
     return Math.max(...waits);
   }
 
-  /** For people: each lane's rate as a multiple of the nominal one. */
+  /** Returns each lane's rate as a multiple of the nominal one, for operators. */
   dump(): number[] {
     return LANES.map((lane) => this.#rates[lane].factor);
   }
--- a/src/decisions/wait_model.ts
+++ b/src/decisions/wait_model.ts
@@ -1,15 +1,20 @@
 /**
- * Admission: how long a request will wait, and whether that is too long.
+ * Predicts how long a queued request waits: the measured drain rate of a pool, and a correction learnt from earlier
+ * forecasts.
  *
  * @module
  */
 
-/** Half-life of the measured rate: long enough to hold several requests, short enough to see a lost upstream. */
+/**
+ * Length of one measurement of the rate: long enough to cover several requests, short enough to notice a lost upstream.
+ */
 const RATE_WINDOW_MS = 1000;
 const RATE_GAIN = 0.3;
-/** Bounds of the measured rate as a multiple of the nominal one: an idle or a lucky second proves little. */
+/**
+ * Bounds of the measured rate, as a multiple of the nominal rate: one idle or lucky second says little about the pool.
+ */
 const RATE_FACTOR_RANGE = { min: 0.2, max: 3 };
-/** Measures how fast a pool starts queued work. */
+/** Measures how fast a pool starts queued work, as a multiple of its nominal rate. */
 export class DrainRate {
   #factor = 1;
   #windowStartMs = 0;
@@ -17,14 +22,14 @@
   #expectedWork = 0;
   #atMs = 0;
 
-  /** Work was granted while more was queued. */
+  /** Counts work that was granted while more was queued. */
   recordGrant(work: number): void {
     this.#grantedWork += work;
   }
 
   /**
-   * Time passes with `nominalPerMs` to spend. Only time with a queue tells the rate: without one, the pool starts what
-   * comes, not what it could.
+   * Advances to `nowMs`; the upstreams had this nominal rate since the last call. Only time with a queue is measured:
+   * without a queue, the pool starts what arrives, which may be less than it could start.
    */
   advance(nominalPerMs: number, hasQueue: boolean, nowMs: number): void {
     const passedMs = Math.max(0, nowMs - this.#atMs);
@@ -46,7 +51,7 @@
     this.#reset(nowMs);
   }
 
-  /** Work started in a ms when upstreams of this nominal rate are at hand. */
+  /** Returns the work that upstreams of this nominal rate start per ms. */
   workPerMs(nominalPerMs: number): number {
     return Math.max(1e-6, nominalPerMs * this.#factor);
   }
@@ -62,28 +67,29 @@
   }
 }
 
-/** Part of the admitted requests whose wait is to stay within the forecast. */
+/** Share of the admitted requests whose wait should stay within the forecast. */
 const COVERED_SHARE = 0.9;
-/** Step of the correction at each observation: some fifty of them move it by a factor of two. */
+/** Step of the correction per observation: about fifty observations change it by a factor of two. */
 const CORRECTION_GAIN = 0.05;
 const CORRECTION_RANGE = { min: 0.7, max: 5 };
-/** Added to both sides of a ratio of waits, as ratios of small waits mean nothing. */
+/** Added to both waits before their ratio is taken, because ratios of short waits say nothing. */
 const RATIO_OFFSET_MS = 1000;
 
 /**
- * Corrects forecasts of waits by what waits turned out to be. Made for saturation: order changes after a forecast, by
- * priority, fairness and warmth. A forecast right on average admits half of its border cases in vain, and these wait
- * for seconds to be refused at last; so the correction follows a high quantile and not the mean.
+ * Corrects forecast waits by comparing earlier forecasts with the actual waits. This matters in saturation, where
+ * priority, fairness and cached prefixes change the order after a forecast. A forecast that is right on average would
+ * admit borderline requests half of which wait for seconds and are then refused, so the correction follows a high
+ * quantile and not the mean.
  */
 export class WaitCorrection {
   #factor = 1;
 
-  /** What a forecast of this raw wait ought to say. */
+  /** Returns the corrected forecast for a raw wait. */
   correct(rawMs: number): number {
     return rawMs * this.#factor;
   }
 
-  /** A request of this raw forecast waited so long, or longer if it was given up. */
+  /** Records that a request with this raw forecast waited for `waitedMs`, or longer if it was given up. */
   recordWait(rawMs: number, waitedMs: number): void {
     const ratio = (waitedMs + RATIO_OFFSET_MS) / (rawMs + RATIO_OFFSET_MS);
     const step = ratio > this.#factor
--- a/src/decisions/work.ts
+++ b/src/decisions/work.ts
@@ -8,16 +8,16 @@
 import type { SlotRequest } from "./slots.ts";
 
 /**
- * A generated token counts as this many prefilled ones. Prefill batches hundreds of tokens into one pass and generation
- * adds one token a pass, so counting both alike would let a workspace of short prompts and long answers take most of
- * an engine while it seems to use little. 5 is the ratio of the default rates in the table.
+ * A generated token counts as this many prefilled ones. Prefill batches hundreds of tokens into one pass, but
+ * generation adds one token per pass. If both counted alike, a workspace with short prompts and long answers could take
+ * most of an engine while it seems to use little. 5 is the ratio of the default rates in the table.
  */
 export const OUTPUT_TOKEN_COST = 5;
 
-/** Least work of a request. Calls of plain services bring no tokens; at zero they would escape fairness and limits. */
+/** Minimum work of a request. Calls of plain services have no tokens; at zero they would escape fairness and limits. */
 export const MIN_WORK_TOKENS = 64;
 
-/** The work of a request whose first `warmTokens` are cached, in prefill-equivalent tokens. */
+/** Returns the work of a request whose first `cachedTokens` are cached, in prefill-equivalent tokens. */
 export function workTokens(
   size: Pick<SlotRequest, "promptTokens" | "expectedOutputTokens">,
   cachedTokens = 0,
@@ -29,7 +29,9 @@
   );
 }
 
-/** Tokens that a cached prefix of `matched` blocks saves; the blocks are taken as equal parts of the prompt. */
+/**
+ * Returns the tokens that a cached prefix of `matchedBlocks` saves; the blocks are taken as equal parts of the prompt.
+ */
 export function cachedPrefixTokens(
   request: SlotRequest,
   matchedBlocks: number,
@@ -39,12 +41,12 @@
   return Math.floor((request.promptTokens * matchedBlocks) / blocks);
 }
 
-/** Time an upstream of these rates needs to prefill that many tokens, alone and healthy. */
+/** Returns the time that an idle and healthy upstream of these rates needs to prefill that many tokens. */
 export function prefillMs(row: UpstreamRow, tokens: number): number {
   return (tokens / row.prefillTokensPerS) * 1000;
 }
 
-/** Price of this work at an upstream of these rates, in microcents. */
+/** Returns the price of this work at an upstream of these rates, in microcents. */
 export function priceMicrocents(
   work: number,
   row: UpstreamRow,
