--- a/src/decisions/scheduler.ts
+++ b/src/decisions/scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * Which queued request goes next, and where.
+ * Chooses the next queued request and the upstream that runs it.
  *
  * @module
  */
@@ -20,24 +20,29 @@
 import { RecentUsage } from "./recent_usage.ts";
 
 /**
- * A new lead takes load reports at their word and fills half of each upstream for this long. Its predecessor's slots are
- * unknown until the entry VMs have named them, which takes one of their renewals.
+ * For this long after its start, a lead trusts the latest load report and fills only half of each upstream's limit. It
+ * does not know its predecessor's slots until the entry VMs have reported them with their next renewal.
  */
 const STARTUP_CAUTION_MS = 1000;
-/** Workspaces passed over whose next request can be placed nowhere yet, such as a retry that waits for one upstream. */
+/**
+ * Workspaces skipped per lane and call because their next request cannot be placed yet, such as a retry that waits for
+ * one upstream.
+ */
 const MAX_SKIPS = 4;
-/** Times a request may be bypassed by warmer ones: some 2 s of a busy upstream's work. */
+/** How often other requests with a cached prefix may go before a request: about 2 s of a busy upstream's work. */
 const MAX_BYPASSES = 8;
-/** Short requests within this time make the traffic mixed; see `SHORT_SHARE` of the placement. */
+/**
+ * After a short request, slots are reserved for further ones for this long; see `SHORT_RESERVED_SHARE` in placement.ts.
+ */
 const SHORT_TRAFFIC_WINDOW_MS = 5000;
 
-/** A queued request and its place. */
+/** A queued request and the upstream chosen for it. */
 export interface Assignment {
   readonly entry: QueueEntry;
-  readonly found: Candidate;
+  readonly candidate: Candidate;
 }
 
-/** See the module. */
+/** Assigns queued requests to upstreams by lane order, fair shares and cached prefixes. */
 export class Scheduler {
   readonly #lanes: Lanes;
   readonly #fleet: Fleet;
@@ -53,7 +58,7 @@
     this.#random = random;
   }
 
-  /** The lead begins, if it has not yet. */
+  /** Starts the cautious period at the first call; later calls have no effect. */
   start(nowMs: number): void {
     this.#cautiousUntilMs ??= nowMs + STARTUP_CAUTION_MS;
   }
@@ -61,13 +66,13 @@
     return nowMs < (this.#cautiousUntilMs ?? Infinity);
   }
 
-  /** A short request arrived. */
+  /** Records the arrival of a short request. */
   recordShort(nowMs: number): void {
     this.#lastShortAtMs = nowMs;
   }
 
-  /** An entry was given a place. */
-  recordGrant({ entry, found }: Assignment, nowMs: number): void {
+  /** Records that an entry was granted a slot at the candidate's upstream. */
+  recordGrant({ entry, candidate: found }: Assignment, nowMs: number): void {
     const { request, weight, work } = entry;
     this.#usage.add(request.workspace, weight, work, nowMs);
     this.#prefixIndex.add(request.prefixHashes, found.upstream);
@@ -81,14 +86,17 @@
       hasShortTraffic: nowMs - this.#lastShortAtMs < SHORT_TRAFFIC_WINDOW_MS,
       utilization: this.#fleet.utilization,
       isCautious: this.isCautious(nowMs),
-      over: false,
+      isOverShare: false,
       findHolders: (hashes) => this.#prefixIndex.findHolders(hashes),
       countWaitingFor: (upstreamId) =>
         this.#lanes.affinityQueue.countFor(upstreamId),
     };
   }
 
-  /** Gives `go` those that waited long enough, and those that waited for one of these upstreams if it has room. */
+  /**
+   * Calls `assign` for the deferred requests that have waited long enough, and for those that wait for one of these
+   * upstreams while it has room.
+   */
   placeDeferred(
     nowMs: number,
     upstreamIds: readonly string[],
@@ -103,7 +111,7 @@
       );
       if (placement.type !== "go") continue;
       this.#lanes.remove(entry.request.attemptId);
-      assign({ entry, found: placement.candidate });
+      assign({ entry, candidate: placement.candidate });
     }
     for (const id of upstreamIds) {
       const upstream = this.#fleet.get(id);
@@ -113,17 +121,17 @@
           tryPlaceAt(entry.request, upstream, this.#viewFor(entry, view));
         if (!found) break;
         this.#lanes.remove(entry.request.attemptId);
-        assign({ entry, found });
+        assign({ entry, candidate: found });
       }
     }
   }
 
   #viewFor(entry: QueueEntry, view: PlacementView): PlacementView {
     const over = this.#usage.isOverShare(entry.request.workspace, view.nowMs);
-    return over ? { ...view, over } : view;
+    return over ? { ...view, isOverShare: over } : view;
   }
 
-  /** The next in turn that can be placed, taken out of the queue. */
+  /** Takes the next request that can be placed out of the queue. */
   takeNext(nowMs: number): Assignment | undefined {
     const view = this.placementView(nowMs);
     for (const lane of this.#lanes.laneOrder()) {
@@ -133,7 +141,7 @@
         const entryView = this.#viewFor(entry, view);
         const placement = choosePlacement(entry.request, entryView);
         if (placement.type === "go") {
-          return this.#preferWarm(entry, placement.candidate, view.nowMs);
+          return this.#preferCached(entry, placement.candidate, view.nowMs);
         }
         if (placement.type === "wait") {
           const untilMs = Math.min(
@@ -143,8 +151,8 @@
           this.#lanes.deferNext(lane, placement.upstream.row.id, untilMs);
           continue;
         }
-        // Only these can be stuck where the next workspace is not.
-        if (!entryView.over && entry.request.exclude.length === 0) break;
+        // Only the requests of a workspace over its share and retries can be blocked while the next workspace is not.
+        if (!entryView.isOverShare && entry.request.exclude.length === 0) break;
         this.#lanes.skip(lane);
         skips++;
       }
@@ -153,32 +161,37 @@
   }
 
   /**
-   * Where the next in turn is cold at its place and another in the queue is warm there, the other goes first. With a
-   * full queue most places would else go to prompts whose prefix lies elsewhere, and the pool would spend its time on
-   * prefilling again what it has; one bypassed often enough goes wherever there is room.
+   * If the next request needs a long prefill at its upstream and another queued request's prefix is cached there, the
+   * other one goes first. Otherwise, with a full queue, most requests would go to upstreams that do not hold their
+   * prefix, and the pool would spend its time on prefilling what is already cached elsewhere. A request that was
+   * bypassed often enough goes wherever there is room.
    */
-  #preferWarm(entry: QueueEntry, found: Candidate, nowMs: number): Assignment {
-    const inTurn = { entry, found };
+  #preferCached(
+    entry: QueueEntry,
+    found: Candidate,
+    nowMs: number,
+  ): Assignment {
+    const inTurn = { entry, candidate: found };
     if (found.isProbe || !found.isLong || entry.bypassCount >= MAX_BYPASSES) {
       this.#lanes.pop(entry.lane);
       return inTurn;
     }
     const id = found.upstream.row.id;
-    const warmEntry = this.#lanes.peekWarm(entry.lane, id);
+    const cachedEntry = this.#lanes.peekCached(entry.lane, id);
     if (
-      !warmEntry || warmEntry === entry ||
-      warmEntry.request.exclude.includes(id)
+      !cachedEntry || cachedEntry === entry ||
+      cachedEntry.request.exclude.includes(id)
     ) {
       this.#lanes.pop(entry.lane);
       return inTurn;
     }
-    const over = this.#usage.isOverShare(warmEntry.request.workspace, nowMs);
-    const warmCandidate = evaluate(warmEntry.request, found.upstream, {
+    const over = this.#usage.isOverShare(cachedEntry.request.workspace, nowMs);
+    const cachedCandidate = evaluate(cachedEntry.request, found.upstream, {
       nowMs,
-      over,
+      isOverShare: over,
     });
-    this.#lanes.takeOutOfTurn(warmEntry);
+    this.#lanes.takeOutOfTurn(cachedEntry);
     entry.bypassCount++;
-    return { entry: warmEntry, found: warmCandidate };
+    return { entry: cachedEntry, candidate: cachedCandidate };
   }
 }
