--- a/bench/world.ts
+++ b/bench/world.ts
@@ -6,7 +6,7 @@
 
 import { Random } from "../src/base/mod.ts";
 import {
-  MAX_ATTEMPTS,
+  ATTEMPT_LIMIT,
   mayRetry,
   type SlotAnswer,
   type SlotReport,
@@ -363,7 +363,7 @@
       atMostOnce: false,
       ran,
       answerBytes: 0,
-      attempts: Math.min(exclude.length, MAX_ATTEMPTS),
+      attempts: Math.min(exclude.length, ATTEMPT_LIMIT),
       deadlineMs: outcome.ask.deadlineMs,
     }, this.now);
     if (!allowed) return this.#refuse(outcome, "upstreamFailed");
--- a/src/decisions/mod.ts
+++ b/src/decisions/mod.ts
@@ -8,4 +8,4 @@
 export * from "./slots.ts";
 export * from "./pool_messages.ts";
 export * from "./pool.ts";
-export { type FailedAttempt, MAX_ATTEMPTS, mayRetry } from "./retry.ts";
+export { ATTEMPT_LIMIT, type FailedAttempt, mayRetry } from "./retry.ts";
--- a/src/decisions/retry.ts
+++ b/src/decisions/retry.ts
@@ -62,14 +62,14 @@
 }
 
 /** Attempts per request: after three upstreams, the request itself is probably at fault. */
-export const MAX_ATTEMPTS = 3;
+export const ATTEMPT_LIMIT = 3;
 
 /**
  * Whether the request may be attempted again elsewhere. It may not after the caller got a part of an answer, since a
  * second answer would not continue the first, nor if a call that must run at most once may have run.
  */
 export function mayRetry(attempt: FailedAttempt, nowMs: number): boolean {
-  if (attempt.attempts >= MAX_ATTEMPTS) return false;
+  if (attempt.attempts >= ATTEMPT_LIMIT) return false;
   if (nowMs >= attempt.deadlineMs) return false;
   if (attempt.answerBytes > 0) return false;
   return !attempt.atMostOnce || attempt.ran === "no";
