--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -1,5 +1,5 @@
 /**
- * What every request of a VM shares.
+ * Services and state that all requests of a VM share.
  *
  * @module
  */
@@ -20,17 +20,17 @@
 import { StartQueue } from "./start_queue.ts";
 import type { Upstreams } from "./upstreams.ts";
 
-/** Share of a VM's memory that bodies may take; the process itself needs about a third. */
+/** Share of a VM's memory for request bodies; the process itself needs about a third. */
 const BODY_MEMORY_SHARE = 0.25;
 const BYTES_PER_MB = 1_000_000;
 
-/** See the module. */
+/** The services, settings and counters that each request uses. */
 export class GatewayContext {
   /** Replaced as a whole when the settings change. */
   settings: GatewaySettings;
   readonly clock: Clock;
   readonly log: Log;
-  readonly beliefs: StoreView;
+  readonly storeView: StoreView;
   readonly members: Members;
   readonly upstreams: Upstreams;
   readonly relays: Relays;
@@ -44,11 +44,11 @@
   readonly turns: StartQueue;
   /** Whether this VM is being stopped. */
   isDraining = false;
-  /** When the signal to stop came, on the monotonic clock. */
+  /** When the stop signal arrived, on the monotonic clock. */
   drainStartMonoMs = Infinity;
   /** When the process ends, on the monotonic clock. */
   endMonoMs = Infinity;
-  /** Requests under way. */
+  /** Number of requests in flight. */
   openRequests = 0;
   readonly #retryBudgets = new Map<string, RetryBudget>();
 
@@ -58,7 +58,7 @@
       | "settings"
       | "clock"
       | "log"
-      | "beliefs"
+      | "storeView"
       | "members"
       | "upstreams"
       | "relays"
@@ -72,7 +72,7 @@
     this.settings = parts.settings;
     this.clock = parts.clock;
     this.log = parts.log;
-    this.beliefs = parts.beliefs;
+    this.storeView = parts.storeView;
     this.members = parts.members;
     this.upstreams = parts.upstreams;
     this.relays = parts.relays;
@@ -87,7 +87,7 @@
     );
   }
 
-  /** The budget of repeats of a service. */
+  /** The retry budget of a service. */
   retryBudget(service: string): RetryBudget {
     let budget = this.#retryBudgets.get(service);
     if (!budget) {
--- a/src/gateway/datagrams.ts
+++ b/src/gateway/datagrams.ts
@@ -1,5 +1,5 @@
 /**
- * Datagrams between VMs: JSON-RPC 2.0 notifications over UDP. What is lost is made good by the next one of its kind.
+ * Datagrams between VMs: JSON-RPC 2.0 notifications over UDP. The next datagram of a kind makes up for a lost one.
  *
  * @module
  */
@@ -13,10 +13,10 @@
   Task,
 } from "../kernel/mod.ts";
 
-/** Takes in the parameters of one method, from outside: they must be checked. */
+/** Handles the parameters of one method. They come from outside and have to be checked. */
 export type DatagramHandler = (params: unknown, fromIp: string) => void;
 
-/** See the module. */
+/** Sends datagrams, and passes received ones to the handler of their method. */
 export class Datagrams extends Task {
   readonly name = "datagrams";
   readonly #ip: string;
@@ -36,7 +36,7 @@
     this.#port = port;
   }
 
-  /** Names who takes a method's datagrams; one handler a method. */
+  /** Sets the handler of a method; there is one per method. */
   on(method: string, handler: DatagramHandler): void {
     this.#methodHandlers.set(method, handler);
   }
@@ -72,7 +72,7 @@
     return { sent: this.#sent, received: this.#received };
   }
 
-  /** Sends one message to some VMs; it is encoded once. */
+  /** Sends one message to several VMs; it is encoded once. */
   send(method: string, params: unknown, ips: readonly string[]): void {
     if (!this.#isOpen || ips.length === 0) return;
     const datagram = Buffer.from(
@@ -91,7 +91,7 @@
     try {
       message = JSON.parse(datagram.toString("utf8"));
     } catch {
-      // The port is open to whoever finds it: what is no message of ours is not answered and not logged.
+      // Anyone can send to this port: a malformed datagram is neither answered nor logged.
       return;
     }
     this.#methodHandlers.get(String(message?.method))?.(
--- a/src/gateway/directory.ts
+++ b/src/gateway/directory.ts
@@ -22,8 +22,8 @@
 import { closeServer, listen, splitAddress } from "./listen.ts";
 
 /**
- * How long an answer may be kept. Some callers keep it three times as long; with a second, all have left a VM three
- * seconds after it began to leave, and half a stop's time remains for what they sent.
+ * How long callers may cache an answer. Some cache it three times as long; with 1 s, all have left a VM 3 s after it
+ * began to drain, and half of the drain time remains for what they sent.
  */
 const ANSWER_TTL_S = 1;
 /** Most addresses that callers take from an answer. */
@@ -31,7 +31,7 @@
 const METRICS_PATH = "/metrics";
 const URL_BASE = "http://directory";
 
-/** See the module. */
+/** Serves the endpoints for lookups, readiness and metrics. */
 export class Directory extends Task {
   readonly name = "directory";
   readonly #context: GatewayContext;
@@ -55,7 +55,7 @@
         await listen(`${vm.ip}:${addresses.metrics}`, {}, respond),
       );
     } catch (error) {
-      kernel.log.warn("no metrics listener", {
+      kernel.log.warn("metrics listener could not be opened", {
         port: addresses.metrics,
         reason: String(error),
       });
@@ -71,12 +71,13 @@
   }
 
   /**
-   * Whether this VM takes requests: it knows where to send them. A VM that said so a moment earlier, after a restart,
-   * would refuse what the others can serve.
+   * Whether this VM accepts requests: it has to know where to send them. If it reported ready any earlier after a
+   * restart, it would refuse requests that other VMs can serve.
    */
   get isReady(): boolean {
-    const { beliefs, isDraining } = this.#context;
-    return beliefs.config !== undefined && beliefs.revisions.upstreams > 0 &&
+    const { storeView, isDraining } = this.#context;
+    return storeView.config !== undefined &&
+      storeView.revisions.upstreams > 0 &&
       !isDraining;
   }
 
--- a/src/gateway/drain.ts
+++ b/src/gateway/drain.ts
@@ -1,5 +1,5 @@
 /**
- * The planned stop of a VM: leaves the directory at once, and serves on until callers have gone or time is up.
+ * The planned stop of a VM: it leaves the directory at once, and serves until callers have gone or time is up.
  *
  * @module
  */
@@ -7,15 +7,17 @@
 import type { GatewayContext } from "./context.ts";
 import type { HttpListeners } from "./http_listeners.ts";
 
-/** Callers use a directory's answer for up to three times its one second, and may open connections until then. */
+/**
+ * Shortest drain: callers use a directory's answer for up to three times its 1 s, and may open connections until then.
+ */
 const MIN_DRAIN_MS = 4_000;
-/** Kept free before the kill for the last answers to leave and the services to close, also when timers fire late. */
+/** Time reserved before the kill for sending the last answers and closing the services, also when timers fire late. */
 const CLOSE_RESERVE_MS = 700;
 const CHECK_INTERVAL_MS = 50;
 
 /**
- * Serves everything that arrives until no caller is left or shortly before the process is killed. Ending by a timer
- * alone would cut off requests that arrive on kept connections until the very end.
+ * Serves all requests until no caller is left, or until shortly before the process is killed. Ending by a timer alone
+ * would cut off requests, since they arrive on keep-alive connections until the very end.
  */
 export async function drain(
   context: GatewayContext,
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP request to an upstream or another VM, and proof of whether any of it was sent.
+ * One HTTP request to an upstream or another VM, which tells whether any of it was sent.
  *
  * @module
  */
@@ -20,26 +20,26 @@
   readonly port: number;
   readonly method: string;
   readonly target: string;
-  /** Names and values in turn; holds no header of one connection only. */
+  /** Names and values in turn, without hop-by-hop headers. */
   readonly headers: readonly string[];
   /** Empty if there is none. */
   readonly body: Buffer;
-  /** Time for a new connection, in ms. */
+  /** Timeout for opening a connection, in ms. */
   readonly connectTimeoutMs: number;
 }
 
-/** Why no answer came. `sent` says whether the other side can have got any of the request. */
+/** Why no response came. `sent` says whether the other side can have received any of the request. */
 export interface ExchangeFailure {
   readonly sent: boolean;
   readonly reason: string;
 }
 
-/** Methods whose requests carry a length even when the body is empty. */
+/** Methods whose requests carry a `Content-Length` even when the body is empty. */
 const METHODS_WITH_BODY = new Set(["POST", "PUT", "PATCH"]);
 
-/** See the module. */
+/** Sends a request when it is constructed, and records whether its connection was made. */
 export class Exchange {
-  /** The head of the answer, or why there is none. */
+  /** The response once its headers have arrived, or why there is none. */
   readonly head: Promise<Result<IncomingMessage, ExchangeFailure>>;
   readonly #request: ClientRequest;
   #connected = false;
@@ -77,14 +77,14 @@
     this.#request.end(body);
   }
 
-  /** Gives the request up and closes its connection, so that the other side stops working. */
+  /** Aborts the request and closes its connection, so that the other side stops working. */
   cancel(reason: string): void {
     this.#request.destroy(new Error(reason));
   }
 
   /**
-   * Bytes are held until the connection is made, so an attempt to connect that fails or takes too long has sent
-   * nothing. A dark machine answers no attempt; without the time limit the request would wait for the kernel's.
+   * Node holds the bytes until the connection is made, so an attempt to connect that fails or takes too long has sent
+   * nothing. A machine that is down answers no attempt; without this timeout the request would wait for the kernel's.
    */
   #watchConnect(socket: Socket, connectTimeoutMs: number): void {
     if (!socket.connecting) {
--- a/src/gateway/follower.ts
+++ b/src/gateway/follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the keys under a prefix of the store: lists them, then asks for what changes, and lists anew after a gap. While
- * other VMs do that, it takes their news.
+ * Follows the keys under a prefix of the store: lists them, then polls for changes, and lists again after a gap. While
+ * other VMs do that, it applies their news.
  *
  * @module
  */
@@ -22,7 +22,7 @@
   type ReplicaOptions,
 } from "./replica.ts";
 
-/** What a follower needs of the store. */
+/** The calls to the store that a follower makes. */
 export interface FollowedStore {
   list(
     prefix: string,
@@ -42,31 +42,31 @@
   >;
 }
 
-/** Who is told of changes. */
+/** Options of {@link Follower}. */
 export interface FollowerOptions extends ReplicaOptions {
   readonly store: FollowedStore;
   readonly prefix: string;
   readonly clock: Clock;
   readonly log: Log;
-  /** How long one question for changes waits at the store. */
+  /** How long one poll for changes waits at the store. */
   readonly waitMs: number;
-  /** Pause after changes, so that many small ones are taken together and cost one call. */
+  /** Pause after a poll, so that many small changes are taken together and cost one call. */
   readonly pauseMs: number;
-  /** Whether this VM asks the store now; if not, it lives on what other VMs tell it. */
+  /** Whether this VM polls the store now; otherwise it relies on other VMs' news. */
   readonly isReader: () => boolean;
-  /** What is kept of an entry that the store tells, and told to other VMs. */
-  readonly seal?: (entry: Entry) => Entry;
+  /** Returns the part of a store entry that is kept and sent to other VMs. */
+  readonly redact?: (entry: Entry) => Entry;
 }
 
-/** First and longest wait after a failed call: an outage costs four calls a second and VM at most. */
+/** First and longest backoff after failed calls; an outage costs at most four calls per second and VM. */
 const RETRY = { firstMs: 150, maxMs: 500 };
 
-/** How often a VM that does not ask looks whether it should; a lead that is gone is found in twice this time. */
+/** How often a VM that doesn't poll checks whether it has to; the loss of a lead is found within twice this time. */
 const READER_CHECK_MS = 500;
-/** Keys that one log line names. */
+/** Most keys that one log line names. */
 const MAX_LOGGED_KEYS = 8;
 
-/** See the module. */
+/** Keeps a {@link Replica} of a prefix current. */
 export class Follower {
   readonly #options: FollowerOptions;
   readonly #replica: Replica;
@@ -91,7 +91,7 @@
     this.#isOpen = false;
   }
 
-  /** Whether the last call failed. */
+  /** Whether the last call failed, or nothing is known yet. */
   get isFailing(): boolean {
     return this.#failures > 0 || this.#replica.rev === 0;
   }
@@ -116,7 +116,7 @@
     return this.#replica.announcedRev;
   }
 
-  /** What another VM that is at the news `sinceNewsRev` lacks. */
+  /** Returns what a VM lacks that has all news up to revision `sinceNewsRev`. */
   newsSince(sinceNewsRev: number): News {
     const recoveredAgoMs = this.#options.clock.monoMs() -
       this.#recoveredMonoMs;
@@ -126,9 +126,9 @@
     };
   }
 
-  /** Takes in what the VM `from` told, if it is news. Returns whether it was. */
+  /** Applies news from the VM `from`, if it is newer. Returns whether it was. */
   adopt(news: News, from: string): boolean {
-    // An outage has to be known of before the entries that lapsed in it are.
+    // The outage has to be known before the deletion of entries that lapsed in it is applied.
     if (news.recoveredAgoMs !== undefined && news.rev > this.#replica.rev) {
       this.#recoveredMonoMs = Math.max(
         this.#recoveredMonoMs,
@@ -143,7 +143,7 @@
   async #run(): Promise<void> {
     let hasListed = false;
     while (this.#isOpen) {
-      // The first listing is every VM's own: it must not wait for others to be found.
+      // Every VM makes the first listing itself: it must not wait until it has found other VMs.
       if (this.#replica.rev > 0 && !this.#options.isReader()) {
         this.#failures = 0;
         this.#failingSinceMonoMs = undefined;
@@ -173,7 +173,7 @@
     const { entries, rev, more } = listing.value;
     if (rev < askedAtRev) this.#logRegression(rev);
     this.#replica.applyListing({
-      entries: entries.map((entry) => this.#sealEntry(entry)),
+      entries: entries.map((entry) => this.#redact(entry)),
       rev,
       more,
     });
@@ -192,7 +192,7 @@
     this.#noteAnswer();
     const { events, rev } = changes.value;
     const result = this.#replica.applyChanges(
-      events.map((event) => this.#sealEvent(event)),
+      events.map((event) => this.#redactEvent(event)),
       rev,
     );
     this.#logStaleKeys(result, rev, "store");
@@ -200,17 +200,17 @@
     return true;
   }
 
-  #sealEntry(entry: Entry): Entry {
-    return this.#options.seal?.(entry) ?? entry;
+  #redact(entry: Entry): Entry {
+    return this.#options.redact?.(entry) ?? entry;
   }
 
-  #sealEvent(event: WatchEvent): WatchEvent {
+  #redactEvent(event: WatchEvent): WatchEvent {
     return event.type === "put"
-      ? { type: "put", entry: this.#sealEntry(event.entry) }
+      ? { type: "put", entry: this.#redact(event.entry) }
       : event;
   }
 
-  /** Without this line nothing shows that a VM was told what is no longer so, nor by whom. */
+  /** Logs outdated state that this VM was told, and who told it; nothing else would show that. */
   #logStaleKeys({ staleKeys }: ApplyResult, rev: number, from: string): void {
     if (staleKeys.length === 0) return;
     this.#options.log.info("old word left out", {
@@ -223,7 +223,9 @@
     });
   }
 
-  /** Nothing of a store that starts its revisions anew can be told from old word: VMs have to start anew too. */
+  /**
+   * Logs a store whose revisions went back. Its answers can't be told from stale ones, so VMs have to be restarted too.
+   */
   #logRegression(rev: number): void {
     this.#options.log.error("store went back", {
       prefix: this.#options.prefix,
--- a/src/gateway/follower_test.ts
+++ b/src/gateway/follower_test.ts
@@ -17,7 +17,7 @@
   return { key, rev, value };
 }
 
-/** A store whose one listing and changes are given; afterwards questions wait. */
+/** A store with one given listing and given batches of changes; later polls wait forever. */
 class ScriptedStore {
   readonly #listing: Listing;
   readonly #batches: WatchEvent[][];
@@ -46,8 +46,8 @@
   readonly rev: number;
 }
 
-/** A store that lists once and answers questions for changes when the test says so. */
-class SlowStore {
+/** A store that lists once, and answers polls for changes when the test says so. */
+class ManualStore {
   readonly #listing: Listing;
   readonly #waiting: ((answer: Answer) => void)[] = [];
 
@@ -66,16 +66,16 @@
     return ok(answer);
   }
 
-  /** Answers the oldest question. */
+  /** Answers the oldest poll. */
   async answer(events: WatchEvent[], rev: number): Promise<void> {
     this.#waiting.shift()!({ events, rev });
     await settle();
   }
 }
 
-/** A follower, and the keys that it believes in. */
-function follow(store: ScriptedStore | SlowStore) {
-  const believed = new Map<string, string>();
+/** A follower, and the entries that it reported. */
+function createFollower(store: ScriptedStore | ManualStore) {
+  const known = new Map<string, string>();
   const follower = new Follower({
     store,
     prefix: "",
@@ -84,37 +84,37 @@
     waitMs: 1,
     pauseMs: 0,
     isReader: () => true,
-    isNews: ({ key, value }) => believed.get(key) !== value,
+    isNews: ({ key, value }) => known.get(key) !== value,
     isRenewed: true,
-    onPut: ({ key, value }) => void believed.set(key, value),
-    onDelete: (key) => void believed.delete(key),
+    onPut: ({ key, value }) => void known.set(key, value),
+    onDelete: (key) => void known.delete(key),
   });
-  return { follower, believed };
+  return { follower, known };
 }
 
-/** Lets the follower take what its store has to say. */
+/** Lets the follower process the answers of its store. */
 async function settle(): Promise<void> {
   for (let i = 0; i < 20; i++) await new Promise(setImmediate);
 }
 
 const put = (item: Entry): WatchEvent => ({ type: "put", entry: item });
-const gone = (key: string, rev: number): WatchEvent => ({
+const deletion = (key: string, rev: number): WatchEvent => ({
   type: "delete",
   key,
   rev,
 });
 
 describe("follower", () => {
-  describe("news for a VM that does not ask the store itself", () => {
-    // Every upstream writes each second that it lives. Told on, that would be the whole list a second and VM, which
-    // took a tenth of a small VM's link.
-    it("leaves out entries that say nothing new", async (t) => {
+  describe("news for a VM that does not poll the store itself", () => {
+    // Every upstream rewrites its entry each second as a heartbeat. If these were passed on, each VM would get the
+    // whole list every second, which took a tenth of a small VM's link.
+    it("leaves out entries that have not changed", async (t) => {
       const store = new ScriptedStore([entry("a", 1), entry("b", 2)], 2, [
         [put(entry("a", 3)), put(entry("b", 4))],
         [put(entry("b", 5, "leaves"))],
         [put(entry("a", 6))],
       ]);
-      const { follower } = follow(store);
+      const { follower } = createFollower(store);
       follower.start();
       await settle();
       t.is(follower.announcedRev, 5);
@@ -125,48 +125,51 @@
       follower.close();
     });
 
-    it("brings it to the same beliefs, deletions included", async (t) => {
-      const teller = follow(
+    it("brings it to the same entries, deletions included", async (t) => {
+      const sender = createFollower(
         new ScriptedStore([entry("a", 1), entry("b", 2)], 2, [
-          [gone("a", 3), put(entry("c", 4)), put(entry("b", 5, "leaves"))],
+          [deletion("a", 3), put(entry("c", 4)), put(entry("b", 5, "leaves"))],
         ]),
       );
-      const listener = follow(
+      const receiver = createFollower(
         new ScriptedStore([entry("a", 1), entry("b", 2)], 2),
       );
-      teller.follower.start();
-      listener.follower.start();
+      sender.follower.start();
+      receiver.follower.start();
       await settle();
-      const since = listener.follower.newsRev;
+      const since = receiver.follower.newsRev;
       t.true(
-        listener.follower.adopt(teller.follower.newsSince(since), "teller"),
+        receiver.follower.adopt(sender.follower.newsSince(since), "teller"),
       );
-      t.deepEqual([...listener.believed].sort(), [...teller.believed].sort());
+      t.deepEqual([...receiver.known].sort(), [...sender.known].sort());
       t.false(
-        listener.follower.adopt(teller.follower.newsSince(since), "teller"),
+        receiver.follower.adopt(sender.follower.newsSince(since), "teller"),
       );
-      teller.follower.close();
-      listener.follower.close();
+      sender.follower.close();
+      receiver.follower.close();
     });
 
-    it("that is further behind than the teller remembers names all keys there are", async (t) => {
-      const teller = follow(new ScriptedStore([entry("b", 8)], 9));
-      const listener = follow(new ScriptedStore([entry("a", 1)], 2));
-      teller.follower.start();
-      listener.follower.start();
+    it("lists all existing keys if the VM is further behind than the sender remembers", async (t) => {
+      const sender = createFollower(new ScriptedStore([entry("b", 8)], 9));
+      const receiver = createFollower(new ScriptedStore([entry("a", 1)], 2));
+      sender.follower.start();
+      receiver.follower.start();
       await settle();
-      const news = teller.follower.newsSince(listener.follower.newsRev);
+      const news = sender.follower.newsSince(receiver.follower.newsRev);
       t.deepEqual(news.present, ["b"]);
       t.deepEqual(news.entries, [entry("b", 8)]);
-      listener.follower.adopt(news, "teller");
-      t.deepEqual([...listener.believed.keys()], ["b"]);
-      teller.follower.close();
-      listener.follower.close();
+      receiver.follower.adopt(news, "teller");
+      t.deepEqual([...receiver.known.keys()], ["b"]);
+      sender.follower.close();
+      receiver.follower.close();
     });
 
-    // A VM that has just started finds everything new. If it said so, its whole region would ask it for everything.
-    it("is not announced by a VM that has only just listed", async (t) => {
-      const { follower } = follow(new ScriptedStore([entry("a", 70)], 80));
+    // To a VM that has just started, everything is new. If it announced that, its whole region would ask it for
+    // everything.
+    it("is not announced by a VM that has only made its first listing", async (t) => {
+      const { follower } = createFollower(
+        new ScriptedStore([entry("a", 70)], 80),
+      );
       follower.start();
       await settle();
       t.is(follower.announcedRev, 1);
@@ -174,10 +177,11 @@
       follower.close();
     });
 
-    // All entries lapse in an outage and are back in two seconds. Whoever forgets them at once has no upstream left.
-    it("says that the store is just back, so that lapsed entries are waited for", async (t) => {
-      const listener = follow(new ScriptedStore([entry("a", 1)], 1));
-      listener.follower.start();
+    // All entries lapse in an outage and are back within two seconds. A VM that removed them at once would have no
+    // upstream left.
+    it("tells when the store recovered, so that lapsed entries are kept for a while", async (t) => {
+      const receiver = createFollower(new ScriptedStore([entry("a", 1)], 1));
+      receiver.follower.start();
       await settle();
       const news: News = {
         entries: [],
@@ -186,17 +190,18 @@
         newsRev: 2,
         recoveredAgoMs: 100,
       };
-      listener.follower.adopt(news, "teller");
+      receiver.follower.adopt(news, "teller");
       const sinceMs = systemClock.monoMs() -
-        listener.follower.recoveredMonoMs;
+        receiver.follower.recoveredMonoMs;
       t.true(sinceMs >= 100 && sinceMs < 5_000);
-      listener.follower.close();
+      receiver.follower.close();
     });
   });
 
-  // A VM used no upstream of its region for good: the store's answer about an evacuation came after its end.
-  describe("an answer of the store that comes later than a peer's newer news", () => {
-    const told = (news: Partial<News>): News => ({
+  // The store's answer that reports an evacuation may arrive after a peer's news of its end. A VM that applied it used
+  // no upstream of its region for good.
+  describe("an answer of the store that arrives after newer news from a peer", () => {
+    const makeNews = (news: Partial<News>): News => ({
       entries: [],
       deleted: [],
       rev: 26,
@@ -204,86 +209,86 @@
       ...news,
     });
 
-    async function behind(held: Entry[], news: News) {
-      const store = new SlowStore(held, 10);
-      const { follower, believed } = follow(store);
+    async function createFollowerBehind(held: Entry[], news: News) {
+      const store = new ManualStore(held, 10);
+      const { follower, known } = createFollower(store);
       follower.start();
       await settle();
       follower.adopt(news, "peer");
-      return { store, follower, believed };
+      return { store, follower, known };
     }
 
-    it("brings back no key that was never held", async (t) => {
-      const { store, follower, believed } = await behind(
+    it("does not restore a deleted key that was never held", async (t) => {
+      const { store, follower, known } = await createFollowerBehind(
         [entry("other", 9)],
-        told({ deleted: [{ key: "a", rev: 24 }] }),
+        makeNews({ deleted: [{ key: "a", rev: 24 }] }),
       );
       await store.answer([put(entry("a", 18))], 20);
-      t.deepEqual([...believed.keys()], ["other"]);
+      t.deepEqual([...known.keys()], ["other"]);
       follower.close();
     });
 
-    it("brings back no key that was held", async (t) => {
-      const { store, follower, believed } = await behind(
+    it("does not restore a deleted key that was held", async (t) => {
+      const { store, follower, known } = await createFollowerBehind(
         [entry("a", 9)],
-        told({ deleted: [{ key: "a", rev: 24 }] }),
+        makeNews({ deleted: [{ key: "a", rev: 24 }] }),
       );
       await store.answer([put(entry("a", 18))], 20);
-      t.deepEqual([...believed.keys()], []);
+      t.deepEqual([...known.keys()], []);
       follower.close();
     });
 
-    it("brings back no key that is missing among all keys there are", async (t) => {
-      const { store, follower, believed } = await behind(
+    it("does not restore a key that is missing from the list of existing keys", async (t) => {
+      const { store, follower, known } = await createFollowerBehind(
         [entry("a", 9), entry("b", 10)],
-        told({ entries: [entry("b", 25)], present: ["b"] }),
+        makeNews({ entries: [entry("b", 25)], present: ["b"] }),
       );
       await store.answer([put(entry("a", 18))], 20);
-      t.deepEqual([...believed.keys()], ["b"]);
+      t.deepEqual([...known.keys()], ["b"]);
       follower.close();
     });
 
-    it("brings back no key although thousands ended meanwhile", async (t) => {
-      const ended = Array.from(
+    it("does not restore a deleted key after thousands of further deletions", async (t) => {
+      const otherDeletions = Array.from(
         { length: 2_000 },
         (_, i) => ({ key: `k${i}`, rev: 100 + i }),
       );
-      const { store, follower, believed } = await behind(
+      const { store, follower, known } = await createFollowerBehind(
         [entry("a", 9)],
-        told({
-          deleted: [{ key: "a", rev: 24 }, ...ended],
+        makeNews({
+          deleted: [{ key: "a", rev: 24 }, ...otherDeletions],
           rev: 3_000,
           newsRev: 2_999,
         }),
       );
       await store.answer([put(entry("a", 18))], 20);
-      t.deepEqual([...believed.keys()], []);
+      t.deepEqual([...known.keys()], []);
       follower.close();
     });
 
-    it("ends no key that began anew since", async (t) => {
-      const { store, follower, believed } = await behind(
+    it("does not delete a key that was created again since", async (t) => {
+      const { store, follower, known } = await createFollowerBehind(
         [entry("a", 9)],
-        told({ entries: [entry("a", 25)] }),
+        makeNews({ entries: [entry("a", 25)] }),
       );
-      await store.answer([gone("a", 18)], 20);
-      t.deepEqual([...believed.keys()], ["a"]);
+      await store.answer([deletion("a", 18)], 20);
+      t.deepEqual([...known.keys()], ["a"]);
       follower.close();
     });
 
-    it("says what came after that news too", async (t) => {
-      const { store, follower, believed } = await behind(
+    it("still applies the changes that are newer than that news", async (t) => {
+      const { store, follower, known } = await createFollowerBehind(
         [entry("a", 9)],
-        told({ deleted: [{ key: "a", rev: 24 }] }),
+        makeNews({ deleted: [{ key: "a", rev: 24 }] }),
       );
       await store.answer([put(entry("a", 18)), put(entry("a", 30))], 31);
-      t.deepEqual([...believed.keys()], ["a"]);
+      t.deepEqual([...known.keys()], ["a"]);
       follower.close();
     });
   });
 
-  it("takes no key back from a peer that is behind its own listing", async (t) => {
-    const { follower, believed } = follow(
+  it("does not restore a key from a peer that is behind its own listing", async (t) => {
+    const { follower, known } = createFollower(
       new ScriptedStore([entry("b", 8)], 40),
     );
     follower.start();
@@ -294,7 +299,7 @@
       rev: 26,
       newsRev: 25,
     }, "peer");
-    t.deepEqual([...believed.keys()], ["b"]);
+    t.deepEqual([...known.keys()], ["b"]);
     follower.close();
   });
 });
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -30,10 +30,13 @@
 /** Time for the services to close after the last answer. */
 const CLOSE_TIMEOUT_MS = 200;
 
-/** Part of the time in which keys must be taken away that a quiet question to the store may wait; the rest is for telling. */
+/**
+ * Share of the time within which revoked keys must be refused that a poll of the store without changes may wait; the
+ * rest is for passing the change on.
+ */
 const STRICT_REVOKE_WAIT_SHARE = 0.4;
 
-/** An open gateway. */
+/** A running gateway. */
 export class Gateway {
   readonly #kernel: Kernel;
   readonly #context: GatewayContext;
@@ -55,7 +58,7 @@
     this.#storeView = storeView;
   }
 
-  /** Starts all services; the listeners of callers come last. Fails if an address is taken. */
+  /** Starts all services, the listeners for callers last. Fails if an address is taken. */
   static async open(
     settings: GatewaySettings,
     log: Log,
@@ -106,7 +109,7 @@
           (service) => upstreams.candidates(service),
           (service) => upstreams.paceOf(service),
         ),
-      onHeld: (held, isNear) => upstreams.noteHeldParts(held, isNear),
+      onHeld: (held, isOwnRegion) => upstreams.noteHeldParts(held, isOwnRegion),
       onOutcomes: (vmId, seen) => upstreams.noteOutcomes(vmId, seen),
     });
     const upstreams = new Upstreams(storeView.fleet, members, vm);
@@ -156,7 +159,7 @@
       settings,
       clock,
       log,
-      beliefs: storeView,
+      storeView,
       members,
       upstreams,
       relays,
@@ -186,14 +189,14 @@
     return new Gateway(kernel, context, listeners, store, storeView);
   }
 
-  /** Each service's state by name. */
+  /** The state of each service, by name. */
   dump(): Record<string, unknown> {
     return this.#kernel.dump();
   }
 
   /**
-   * Takes in changed settings. Bounds, memory and failure domains are in force at once; identity and addresses need a
-   * restart, and a change of them is logged and left aside.
+   * Applies changed settings. Bounds, memory and failure domains take effect at once; identity and addresses need a
+   * restart, and a change of them is logged and ignored.
    */
   reload(settings: GatewaySettings): void {
     const { settings: previous, log } = this.#context;
@@ -225,7 +228,7 @@
     log.info("settings in force", { needsRestart });
   }
 
-  /** A planned stop: serves on as long as callers may come, then closes. */
+  /** Stops as planned: serves as long as callers may come, then closes. */
   async drain(): Promise<void> {
     await drain(this.#context, this.#listeners);
     await Promise.race([
@@ -234,7 +237,7 @@
     ]);
   }
 
-  /** Stops at once; what is under way breaks. */
+  /** Stops at once; requests in flight are cut off. */
   async close(): Promise<void> {
     await this.#kernel.close(this.#context.clock.nowMs());
     await this.#store.close();
--- a/src/gateway/http_listeners.ts
+++ b/src/gateway/http_listeners.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' listener, and the one on which other VMs hand requests over.
+ * The HTTP listeners: one for callers, one for relayed requests and calls of other VMs.
  *
  * @module
  */
@@ -23,28 +23,31 @@
 import { CallerReply, PeerReply, RELAY_HEADERS, type Reply } from "./reply.ts";
 
 /**
- * How long a request waits at a VM that has just started and has no configuration yet. Callers still hold its address; the
- * store answers in two ways of 80 ms each from the furthest region, and the shortest objective is 0.4 s.
+ * How long a request waits at a VM that has just started and has no configuration yet. Callers still have its address;
+ * the store answers the furthest region in a round trip of 2 x 80 ms, and the shortest objective is 0.4 s.
  */
 const CONFIG_WAIT_MS = 250;
 const CONFIG_CHECK_MS = 20;
-/** When to return to a VM without a configuration: it asks the store and other VMs several times a second. */
+/** Retry delay at a VM without a configuration, which asks the store and other VMs several times a second. */
 const NO_CONFIG_RETRY_MS = 500;
-/** When to return if this VM holds too much: as long as a usual answer takes. */
+/** Retry delay at a VM with too many open requests: as long as a usual answer takes. */
 const OVERLOAD_RETRY_MS = 400;
-/** A request that waits longer for its turn is late elsewhere too by then; callers give up unread ones after a second. */
-const MAX_TURN_WAIT_MS = 400;
-/** When to return after meeting a VM that is about to stop: at once, elsewhere. */
+/**
+ * Longest wait in the start queue at which requests are still accepted. After a longer one a request would be late at
+ * another VM too, and callers give up requests that are not read within a second.
+ */
+const MAX_START_WAIT_MS = 400;
+/** Retry delay at a draining VM: the caller may go to another VM at once. */
 const DRAINING_RETRY_MS = 20;
-/** Largest head that is parsed at all; the configured limit, usually lower, is applied to what was parsed. */
+/** Most header bytes that Node parses; the configured limit, usually lower, applies to the parsed headers. */
 const MAX_HEADER_BYTES = 65_536;
-/** Descriptors kept free for files, listeners, the store and other VMs. */
+/** File descriptors reserved for files, listeners, the store and other VMs. */
 const RESERVED_DESCRIPTORS = 600;
-/** An open request holds up to three connections: the caller's, the upstream's, one that is being replaced. */
+/** An open request has up to three connections: to the caller, to the upstream, and one that is being replaced. */
 const DESCRIPTORS_PER_REQUEST = 3;
-/** Links between VMs are kept longer than the other side uses them idle. */
+/** Idle connections between VMs stay open here longer than the other side reuses them. */
 const PEER_IDLE_MS = 60_000;
-/** How often timeouts of the listener are looked at. */
+/** How often Node checks the listener's timeouts. */
 const TIMEOUT_CHECK_MS = 500;
 
 function countHeaderBytes(request: IncomingMessage): number {
@@ -54,19 +57,22 @@
   );
 }
 
-/** Answers questions of other VMs that are not requests of callers; see `peer_rpc.ts`. */
+/** Handles calls of other VMs that are not relayed requests; see `peer_rpc.ts`. */
 export interface PeerRpcHandler {
   readonly path: string;
   handle(request: IncomingMessage, response: ServerResponse): void;
 }
 
-/** See the module. */
+/**
+ * Accepts requests of callers and other VMs, refuses those that can't be served here, and starts a {@link Call} for
+ * each of the others.
+ */
 export class HttpListeners extends Task {
   readonly name = "front";
   readonly #context: GatewayContext;
   readonly #peerRpc: PeerRpcHandler;
   protected readonly handlers: Handlers<Messages> = {};
-  /** Connections on which a request was read before. */
+  /** Connections on which an earlier request arrived. */
   readonly #usedSockets = new WeakSet<Socket>();
   #callerServer!: Server;
   #peerServer!: Server;
@@ -105,12 +111,12 @@
     };
   }
 
-  /** Closes connections on which nothing is under way. */
+  /** Closes callers' connections without a request in flight. */
   closeIdleConnections(): void {
     this.#callerServer.closeIdleConnections();
   }
 
-  /** Connections of callers. */
+  /** Counts the connections of callers. */
   countConnections(): Promise<number> {
     return new Promise((resolve) =>
       this.#callerServer.getConnections((_, count) => resolve(count ?? 0))
@@ -118,26 +124,26 @@
   }
 
   #onCallerRequest(request: IncomingMessage, response: ServerResponse): void {
-    const { clock, beliefs } = this.#context;
+    const { clock, storeView } = this.#context;
     const arrivedMs = clock.monoMs();
-    if (beliefs.config) return this.#routeRequest(request, response, arrivedMs);
+    if (storeView.config) return this.#admit(request, response, arrivedMs);
     const poll = clock.every(CONFIG_CHECK_MS, () => {
       const isTimedOut = clock.monoMs() - arrivedMs >= CONFIG_WAIT_MS;
-      if (!beliefs.config && !isTimedOut && !response.closed) return;
+      if (!storeView.config && !isTimedOut && !response.closed) return;
       poll.close();
-      if (!response.closed) this.#routeRequest(request, response, arrivedMs);
+      if (!response.closed) this.#admit(request, response, arrivedMs);
     });
   }
 
-  #routeRequest(
+  #admit(
     request: IncomingMessage,
     response: ServerResponse,
     arrivedMs: number,
   ): void {
-    const { beliefs, settings } = this.#context;
+    const { storeView, settings } = this.#context;
     const head = decodeHead(request);
     const reply = new CallerReply(response, () => this.#context.isDraining);
-    const { config } = beliefs;
+    const { config } = storeView;
     if (!config) {
       return this.#refuse(
         head,
@@ -160,7 +166,7 @@
     const maxOpen = (settings.vm.mostDescriptors - RESERVED_DESCRIPTORS) /
       DESCRIPTORS_PER_REQUEST;
     const isFull = this.#context.openRequests >= maxOpen ||
-      this.#context.turns.waitMs > MAX_TURN_WAIT_MS;
+      this.#context.turns.waitMs > MAX_START_WAIT_MS;
     if (isFull) {
       return this.#refuse(
         head,
@@ -205,16 +211,16 @@
     if (request.url === this.#peerRpc.path) {
       return this.#peerRpc.handle(request, response);
     }
-    const { clock, beliefs } = this.#context;
+    const { clock, storeView } = this.#context;
     const keyDigest = request.headers[RELAY_HEADERS.keyDigest];
     const head = {
       ...decodeHead(request),
       keyDigest: typeof keyDigest === "string" ? keyDigest : undefined,
     };
     const reply = new PeerReply(response);
-    const { config } = beliefs;
+    const { config } = storeView;
     const route = config?.match(head.host, head.target);
-    // A VM that does not know the sender's configuration yet must not decide on an older one.
+    // A VM that doesn't have the sender's configuration yet must not decide by an older one.
     const isBehind = Number(request.headers[RELAY_HEADERS.configVersion]) >
       (config?.version ?? 0);
     if (!config || !route || isBehind) {
@@ -240,16 +246,16 @@
     };
     const mostUpstreams =
       Number(request.headers[RELAY_HEADERS.mostUpstreams]) || 1;
-    const isOnTrial = request.headers[RELAY_HEADERS.onTrial] !== undefined;
+    const isTrialRun = request.headers[RELAY_HEADERS.onTrial] !== undefined;
     this.#startCall({
       ...input,
       relayed: true,
-      isTrialRun: isOnTrial,
+      isTrialRun,
       mostUpstreams,
     }, reply);
   }
 
-  /** Finds out who calls, or refuses. */
+  /** Identifies the caller, or refuses the request. */
   #authenticate(
     config: GatewayConfig,
     route: Route,
@@ -261,7 +267,7 @@
     if (caller.type === "known") {
       if (!caller.workspace || this.#hasRecentKeys()) return caller;
       const cause = failure("noTable", {
-        message: "whether the key was taken away can't be known here",
+        message: "this VM can't tell whether the key was revoked",
       });
       this.#refuse(head, request, reply, cause, NO_CONFIG_RETRY_MS);
       return undefined;
@@ -275,13 +281,16 @@
     return undefined;
   }
 
-  /** Whether operators would rather have a caller refused than one served whose key was taken away, and it may have been. */
+  /**
+   * Whether the configuration is recent enough to rule out that a key was revoked. Operators who set `strictRevokeMs`
+   * prefer a refused caller to one that is served with a revoked key.
+   */
   #hasRecentKeys(): boolean {
-    const { settings, beliefs, members } = this.#context;
+    const { settings, storeView, members } = this.#context;
     const { strictRevokeMs } = settings.bounds;
     if (strictRevokeMs === undefined) return true;
-    return beliefs.configAgeMs < strictRevokeMs ||
-      members.configAgeMs(beliefs.revisions.operators) < strictRevokeMs;
+    return storeView.configAgeMs < strictRevokeMs ||
+      members.configAgeMs(storeView.revisions.operators) < strictRevokeMs;
   }
 
   #startCall(partialInput: Omit<CallInput, "isFirst">, reply: Reply): void {
@@ -309,12 +318,12 @@
       outcome: cause.code,
       reason: cause.message,
       comeBackMs: retryAfterMs,
-      configVersion: this.#context.beliefs.config?.version,
+      configVersion: this.#context.storeView.config?.version,
     });
     reply.fail(cause, retryAfterMs);
   }
 
-  /** The configuration may change what callers are allowed; new connections and requests follow it. */
+  /** Applies the configured timeouts, which may change, to new connections and requests. */
   #applyLimits({ limits }: GatewayConfig): void {
     this.#callerServer.keepAliveTimeout = limits.idleMs;
     this.#callerServer.headersTimeout = limits.headerWaitMs;
--- a/src/gateway/keep_alive_agent.ts
+++ b/src/gateway/keep_alive_agent.ts
@@ -1,5 +1,5 @@
 /**
- * Kept connections to one upstream or VM.
+ * Keep-alive connections to one upstream or VM.
  *
  * @module
  */
@@ -8,9 +8,12 @@
 import type { Duplex } from "node:stream";
 import type { Socket } from "node:net";
 
-/** Idle connections are used no longer than this before the other side's own limit: a request that crosses its close is lost. */
+/**
+ * An idle connection is closed this long before the other side's own timeout: a request that crosses the other side's
+ * close is lost.
+ */
 const IDLE_MARGIN_MS = 1_200;
-/** Idle time where the other side names no limit. */
+/** Idle timeout if the other side announces none. */
 const DEFAULT_IDLE_MS = 4_000;
 
 interface SocketWithMessage {
@@ -19,7 +22,7 @@
   };
 }
 
-/** How long the other side keeps an idle connection, as its last answer says. */
+/** How long the other side keeps an idle connection, as its last response announced. */
 function advertisedIdleMs(socket: Duplex): number | undefined {
   const text = (socket as unknown as SocketWithMessage)._httpMessage?.res
     ?.headers["keep-alive"];
@@ -28,14 +31,14 @@
 }
 
 /**
- * Bytes that arrive on an idle connection belong to no request: a second answer, or more of the last. The connection is
- * closed at once, so that they are never read as the answer to the next request.
+ * Closes an idle connection on which bytes arrive. They belong to no request: they are a second response, or more of
+ * the last one, and must never be read as the response to the next request.
  */
 function closeOnUnexpectedData(this: Socket): void {
   this.destroy();
 }
 
-/** An agent that keeps connections with the safeguards above. */
+/** An agent that closes idle connections before the other side does, and those on which unexpected bytes arrive. */
 export class KeepAliveAgent extends Agent {
   readonly #defaultIdleMs: number;
 
@@ -44,7 +47,7 @@
     this.#defaultIdleMs = options.defaultIdleMs ?? DEFAULT_IDLE_MS;
   }
 
-  /** Connections that are kept for a next request. */
+  /** Number of idle connections that are kept for further requests. */
   get idleCount(): number {
     return Object.values(this.freeSockets)
       .reduce((sum, sockets) => sum + (sockets?.length ?? 0), 0);
--- a/src/gateway/line_log.ts
+++ b/src/gateway/line_log.ts
@@ -1,5 +1,5 @@
 /**
- * Logs that never block: key=value lines to standard output, bounded in rate and in bytes waiting.
+ * A log that never blocks: key=value lines to standard output, bounded in rate and in unread bytes.
  *
  * @module
  */
@@ -8,23 +8,23 @@
 import { hash32 } from "../base/mod.ts";
 import { type Log, quote } from "../kernel/mod.ts";
 
-/** Where lines go. `write` must not block; `waitingBytes` is what the reader has not taken yet. */
+/** Where lines are written. `write` must not block; `waitingBytes` is what the reader has not taken yet. */
 export interface LineSink {
   write(line: string): void;
   waitingBytes(): number;
 }
 
-/** Standard output as a socket: a pipe's reader that stalls leaves bytes waiting here and blocks nothing. */
+/** Opens standard output as a socket: if a pipe's reader stalls, bytes wait here and nothing blocks. */
 export function openStandardOutput(): LineSink {
   let stream: { write(text: string): unknown; readonly writableLength: number };
   try {
     const socket = new Socket({ fd: 1, readable: false, writable: true });
-    // A reader that went away must not end the process.
+    // A reader that closed the pipe must not end the process.
     socket.on("error", () => {});
     socket.unref();
     stream = socket;
   } catch {
-    // A file or a device; these do not stall.
+    // Standard output is a file or a device; these do not stall.
     stream = process.stdout;
   }
   return {
@@ -33,20 +33,29 @@
   };
 }
 
-/** Bytes that may wait for a reader; some 1,000 lines. */
+/** Most bytes that wait for a reader; about 1,000 lines. */
 const MAX_WAITING_BYTES = 256 * 1024;
-/** Lines a second of plain good outcomes; a VM's busiest second has some 400 requests, and a line costs some 20 µs. */
+/** Most lines per second on successful requests: a VM's busiest second has some 400, and a line costs some 20 µs. */
 const MAX_OUTCOMES_PER_S = 300;
-/** Lines a second on what the VM believes: a region of 100 upstreams that all change at once is told in a second. */
+/**
+ * Most lines per second on changes of this VM's state: if all 100 upstreams of a region change at once, the lines fit
+ * into one second.
+ */
 const MAX_STATE_LINES_PER_S = 200;
-/** Warnings and errors have a budget of their own, so that good outcomes cannot crowd them out. */
+/** Warnings and errors have a budget of their own, so that lines on successful requests can't crowd them out. */
 const MAX_PROBLEMS_PER_S = 600;
-/** The share that is kept aims below the budget: beyond it the order of lines would decide, which differs by VM. */
+/**
+ * Sampling aims at this share of the budget. Beyond the budget the order of lines decides which are written, and that
+ * order differs by VM.
+ */
 const TARGET_SHARE = 0.85;
 const HASH_RANGE = 2 ** 32;
 const SECOND_MS = 1_000;
 
-/** What competes for the same budget: good outcomes of requests, other ordinary lines, warnings and errors. */
+/**
+ * Lines of a kind share one budget: `outcome` are successful requests, `belief` other ordinary lines, `problem`
+ * warnings and errors.
+ */
 type LineKind = "outcome" | "belief" | "problem";
 
 const BUDGETS: Readonly<Record<LineKind, number>> = {
@@ -61,9 +70,9 @@
 }
 
 /**
- * See the module. Good outcomes beyond their budget are sampled by the hash of the attempt's id, so that every VM that
- * had a part in a request keeps or drops it alike. What is left out is counted, and told with the next line that gets
- * through.
+ * Writes lines within the budgets. Successful requests beyond their budget are sampled by the hash of the attempt's id,
+ * so that every VM that had a part in a request keeps or drops it alike. Dropped lines are counted, and the next line
+ * that is written tells how many.
  */
 export class LineLog implements Log {
   readonly #sink: LineSink;
@@ -72,7 +81,7 @@
   #secondStartMs = -Infinity;
   #seen: Record<LineKind, number> = { outcome: 0, belief: 0, problem: 0 };
   #written: Record<LineKind, number> = { outcome: 0, belief: 0, problem: 0 };
-  /** Share of the good outcomes that is kept, from the second before. */
+  /** Share of successful requests that is kept, computed from the second before. */
   #keptShare = 1;
   #droppedLines = 0;
 
--- a/src/gateway/line_log_test.ts
+++ b/src/gateway/line_log_test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from "../base/describe.ts";
 import { LineLog } from "./line_log.ts";
 
-/** A sink that keeps what is written. */
+/** A sink that keeps the written lines. */
 function memorySink() {
   const lines: string[] = [];
   return {
@@ -19,10 +19,10 @@
 }
 
 describe("line log", () => {
-  describe("a VM that serves more than its lines allow", () => {
-    // An engineer looks up one good request on two VMs and finds it on one only: half of the story. Both VMs wrote the
-    // first lines of each second, and those were different requests.
-    it("keeps the same requests on every VM", (t) => {
+  describe("a VM with more requests than its log budget", () => {
+    // If every VM writes the first lines of each second, these are different requests on two VMs. An engineer who looks
+    // up a successful request then finds it on only one of the two VMs that had a part in it.
+    it("logs the same requests on every VM", (t) => {
       const near = memorySink();
       const far = memorySink();
       let nowMs = 0;
@@ -46,7 +46,7 @@
       t.deepEqual(ofLastSecond(near.lines), ofLastSecond(far.lines));
     });
 
-    it("never crowds out failures, nor what it believes, and counts what is left out", (t) => {
+    it("still logs failures and state changes, and counts the dropped lines", (t) => {
       const { lines, sink } = memorySink();
       const log = new LineLog(sink, {}, () => 0);
       for (let i = 0; i < 5_000; i++) log.info("request", { attempt: `a${i}` });
--- a/src/gateway/listen.ts
+++ b/src/gateway/listen.ts
@@ -30,7 +30,7 @@
   const { host, port } = splitAddress(address);
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
-    // A burst of new connections beyond the queue is dropped and comes back only seconds later.
+    // New connections that exceed the queue in a burst are dropped, and retried by the client only seconds later.
     server.listen({ host, port, backlog: 1024 }, () => {
       server.off("error", reject);
       resolve();
@@ -39,7 +39,7 @@
   return server;
 }
 
-/** Closes a listener and whatever is still open on it. */
+/** Closes a listener and all connections that are still open on it. */
 export async function closeServer(server: Server): Promise<void> {
   await new Promise<void>((resolve) => {
     server.close(() => resolve());
--- a/src/gateway/main.ts
+++ b/src/gateway/main.ts
@@ -15,7 +15,7 @@
 const USAGE_EXIT_CODE = 2;
 const SETTINGS_CHECK_MS = 1_000;
 
-function exitWithErrors(lines: readonly string[]): never {
+function failWith(lines: readonly string[]): never {
   for (const line of lines) {
     process.stderr.write(`ibisgap-gateway: ${line}\n`);
   }
@@ -24,9 +24,7 @@
 
 function settingsPath(): string {
   const path = process.argv[2] ?? process.env[SETTINGS_VARIABLE];
-  if (!path) {
-    exitWithErrors([`name a settings file, or set ${SETTINGS_VARIABLE}`]);
-  }
+  if (!path) failWith([`pass a settings file, or set ${SETTINGS_VARIABLE}`]);
   return path;
 }
 
@@ -45,7 +43,7 @@
   }
 }
 
-/** Looks at the settings file each second, as it may change without a signal, and takes in what is valid. */
+/** Checks the settings file every second, as it may change without a signal, and applies valid changes. */
 function watchSettings(
   path: string,
   firstText: string,
@@ -67,12 +65,12 @@
   process.on("SIGHUP", checkFile);
 }
 
-/** Serves until a planned stop, which ends with exit code 0. */
+/** Runs until a planned stop, which ends with exit code 0. */
 async function main(): Promise<void> {
   const path = settingsPath();
   const text = readText(path);
   const parsed = text.andThen(parseGatewaySettings);
-  if (parsed.isErr()) exitWithErrors(formatProblems(path, parsed.error));
+  if (parsed.isErr()) failWith(formatProblems(path, parsed.error));
   const settings = parsed.value;
   const { id, region, failureDomain, ip } = settings.vm;
   const log = new LineLog(openStandardOutput(), { vm: id }, Date.now);
--- a/src/gateway/members.ts
+++ b/src/gateway/members.ts
@@ -1,5 +1,5 @@
 /**
- * The VMs that are there: sends and takes in what they tell each other; whom it tells what is decided in `region`.
+ * Membership: sends and receives the messages by which VMs learn of each other; `region` decides who is sent what.
  *
  * @module
  */
@@ -46,23 +46,23 @@
   readonly datagrams: Datagrams;
   readonly store: KeyValue;
   readonly leastLeaseMs: number;
-  /** Addresses of some VMs. */
+  /** Addresses of some VMs, through which this one finds the others. */
   readonly seedIps: readonly string[];
-  /** What this VM says of itself. */
+  /** What this VM reports about itself. */
   readonly state: () => VmState;
   readonly load: () => VmLoad;
-  /** Shared parts of prompts that engines read for this VM in the last `ms`. */
+  /** Shared prompt parts that engines cached for this VM in the last `ms`. */
   readonly held: (ms: number) => readonly HeldPart[];
-  /** The same for all VMs of the region, as far as they told this one. */
+  /** The same for all VMs of the region, as far as they reported it to this one. */
   readonly regionHeld: (ms: number) => readonly HeldPart[];
-  /** Places that the region offers to others. */
+  /** Free capacity that the region offers to other regions. */
   readonly room: () => Room;
-  /** Called with what another VM, of this region or not, says that engines have read. */
+  /** Called with prompt parts that engines cached, as reported by a VM of this region or of another one. */
   readonly onHeld: (
     held: readonly HeldPart[] | undefined,
     isOwnRegion: boolean,
   ) => void;
-  /** Called with the outcomes of sends that another VM has seen. */
+  /** Called with the outcomes of sends that another VM observed. */
   readonly onOutcomes: (vmId: string, seen: readonly SeenOutcome[]) => void;
 }
 
@@ -73,16 +73,16 @@
   readonly isLead: boolean;
 }
 
-/** A lead looks this often who has fallen silent. */
+/** Tick interval of a lead, which has to notice soon that a VM stopped reporting. */
 const LEAD_TICK_MS = 100;
 const TICK_MS = 250;
-/** Upstreams whose load a roster tells: those with the most, in about two kilobytes. */
+/** Most upstreams whose load a roster carries, the busiest first: about two kilobytes. */
 const MAX_ROSTER_LOADS = 64;
 
-/** See the module. */
+/** Sends reports and, on a lead, rosters and digests; applies those of other VMs. */
 export class Members extends Task {
   readonly name = "members";
-  /** What the other VMs of the region have under way, as far as they report here. */
+  /** Load of the region's other VMs, as far as they report to this one. */
   readonly book = new LoadTracker();
   readonly #options: MemberOptions;
   readonly #nextNote = new PendingLoadNote();
@@ -95,7 +95,7 @@
   #timerMs = Infinity;
   #lagMs = 0;
   #saidLoad: Load = {};
-  /** Who leads, as of the last message or tick: it is asked for on each request. */
+  /** Who leads, as of the last message or tick; cached because every request asks for it. */
   #leadState: LeadState = {
     order: [],
     leads: [],
@@ -148,7 +148,7 @@
     return Promise.resolve();
   }
 
-  /** Removes the VM's entry and stops; the VMs that were told of the leaving need not wait for silence. */
+  /** Removes the VM's store entry and stops. VMs that were told of the drain don't have to wait for a timeout. */
   async close(_deadlineMs: number): Promise<void> {
     this.#closing = true;
     this.#timer?.close();
@@ -166,27 +166,27 @@
     };
   }
 
-  /** Calls `run` when a lead has told something. */
+  /** Calls `run` after each roster that a lead sends. */
   onRosterReceived(run: () => void): void {
     this.#onRosterReceived = run;
   }
 
-  /** VMs that callers of a region can be told of, without this one. */
+  /** VMs that may be named to callers of a region, without this one. */
   vmsForCallers(region: string): DirectoryVm[] {
     return this.#view.named(region, this.#clock.monoMs());
   }
 
-  /** VMs that may know more of the store. */
+  /** VMs that may have newer store data than this one. */
   newsSources(): NewsSource[] {
     return this.#view.known.newsSources(this.#clock.monoMs());
   }
 
-  /** Other regions that were heard lately. */
+  /** Other regions that sent a digest recently. */
   otherRegions(): RemoteRegion[] {
     return this.#view.known.remote.fresh(this.#clock.monoMs());
   }
 
-  /** The head of the region's order of leads. */
+  /** The head of the region's lead order: leads and standbys. */
   get order(): readonly LeadRecord[] {
     return this.#leadState.order;
   }
@@ -195,7 +195,7 @@
     return this.#leadState.leads;
   }
 
-  /** Whether all VMs of the region hear each other's loads; else its leads place the requests. */
+  /** Whether all VMs of the region receive each other's load reports; otherwise its leads place the requests. */
   get hearsAll(): boolean {
     return this.#leadState.hearsAll;
   }
@@ -213,54 +213,54 @@
     );
   }
 
-  /** What a lead told last; `undefined` for a lead. */
+  /** The latest roster of a lead; `undefined` on a lead. */
   roster(): Roster | undefined {
     return this.#view.latestRoster(this.#clock.monoMs());
   }
 
-  /** What this VM said last of its own load. */
+  /** This VM's own load as it last reported it. */
   get saidLoad(): Load {
     return this.#saidLoad;
   }
 
-  /** How many VMs there are, this one included; silent ones count until they are forgotten. */
+  /** Number of VMs in all regions, this one included; silent ones count until they are forgotten. */
   vmCount(): number {
     return this.#view.vmCount;
   }
 
-  /** How long ago a lead surely knew that no configuration is newer than revision `rev`. */
+  /** Time since a lead knew for certain that no configuration is newer than revision `rev`. */
   configAgeMs(rev: number): number {
     return this.#view.known.configAgeMs(rev, this.#clock.monoMs());
   }
 
-  /** How late this VM's last tick came: how far the process is behind its work. */
+  /** Delay of this VM's last tick: how far the process is behind its work. */
   get lagMs(): number {
     return this.#lagMs;
   }
 
-  /** VMs of the region as far as any lead knows, silent ones included. */
+  /** Number of VMs in the region as far as any lead knows, silent ones included. */
   get regionVmCount(): number {
     return this.#view.known.regionVmCount;
   }
 
-  /** Tells every VM at once, out of turn. */
+  /** Sends reports and rosters at once, ahead of their schedule. */
   reportNow(): void {
     this.#view.sendSoon();
     this.#tick();
   }
 
-  /** A prompt that waited at an upstream has been read: the first lead is told soon. */
+  /** Records that a prompt waiting at an upstream was prefilled; the first lead is told soon. */
   notePromptRead(): void {
     this.#tickAt(this.#nextNote.noteRead(this.#canSkip, this.#clock.monoMs()));
   }
 
-  /** A send is over; `seen` is what became of it. */
+  /** Records the end of a send; `seen` is its outcome. */
   noteSendEnd(seen?: SeenOutcome): void {
     const nowMs = this.#clock.monoMs();
     this.#tickAt(this.#nextNote.noteSendEnd(this.#canSkip, nowMs, seen));
   }
 
-  /** Whether nobody else has to know this VM's load sooner than by its reports. */
+  /** Whether no other VM has to know this VM's load sooner than by its reports. */
   get #canSkip(): boolean {
     const { hearsAll, leads } = this.#leadState;
     return hearsAll || leads[0]?.id === this.#options.self.id;
@@ -278,7 +278,7 @@
     );
   }
 
-  /** A timer that is due sooner already stands; an overdue one runs next, and set anew it would hide the lag. */
+  /** Keeps a timer that is due sooner. An overdue one runs next; setting it again would hide the lag. */
   #tickAt(dueMs: number): void {
     if (this.#closing || dueMs === Infinity) return;
     const nowMs = this.#clock.monoMs();
@@ -349,9 +349,9 @@
     datagrams.send("load", note, [first.ip]);
   }
 
-  /** What all VMs of the region have under way, this one included. */
+  /** Load of all VMs of the region, this one included. */
   #sumRegionLoad(): Load {
-    // Where all hear all, each adds up for itself.
+    // When all VMs receive each other's reports, each one sums them itself.
     if (this.#view.hearsAll) return {};
     const sums = new Map<string, [number, number]>();
     for (const load of [this.book.load, this.#options.load().load]) {
@@ -379,7 +379,7 @@
 
   #onLoadNote(note: LoadNote | undefined): void {
     if (!note || this.#closing) return;
-    // Who does not report here takes this VM for a lead wrongly, and will learn who is.
+    // A VM that doesn't report here takes this VM for a lead by mistake, and will learn who leads.
     if (!this.#view.isLead) return;
     this.book.update(note.id, note, this.#clock.monoMs());
     this.#options.onOutcomes(note.id, note.seen);
--- a/src/gateway/metrics.ts
+++ b/src/gateway/metrics.ts
@@ -6,11 +6,11 @@
 
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** Longest time told apart, in ms. */
+/** Longest time that is recorded, in ms; a longer one counts as this. */
 const MAX_TIME_MS = 60_000;
 const QUANTILES = [0.5, 0.95, 0.99];
 
-/** What is timed. */
+/** The times that are recorded. */
 export type TimedMetric =
   | "first_byte"
   | "between_chunks"
@@ -18,7 +18,7 @@
   | "relay_first_byte"
   | "place";
 
-/** See the module. Names and labels are listed in docs/OPERATIONS.md. */
+/** Collects the counters and histograms. Names and labels are listed in docs/OPERATIONS.md. */
 export class GatewayMetrics {
   readonly #counters = new Map<string, number>();
   readonly #histograms = new Map<string, Histogram>();
@@ -44,7 +44,7 @@
     histogram.recordValue(Math.min(MAX_TIME_MS, Math.max(0, Math.round(ms))));
   }
 
-  /** The page. */
+  /** Renders the Prometheus text page. */
   renderPage(): string {
     const lines = [...this.#counters].map(([key, value]) => `${key} ${value}`);
     for (const [key, histogram] of this.#histograms) {
--- a/src/gateway/mod.ts
+++ b/src/gateway/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway's services: I/O around the decisions of `routing`.
+ * The gateway's services: they do the I/O around the decisions of `routing`.
  *
  * @module
  */
--- a/src/gateway/peer_rpc.ts
+++ b/src/gateway/peer_rpc.ts
@@ -1,5 +1,6 @@
 /**
- * Questions between VMs, as JSON-RPC 2.0 over HTTP: what is known of the store's matters, for a VM that is behind.
+ * Calls between VMs, as JSON-RPC 2.0 over HTTP: a VM that is behind gets news of the store's entries from one that is
+ * ahead.
  *
  * @module
  */
@@ -27,25 +28,26 @@
 import type { Members } from "./members.ts";
 import type { Relays } from "./relays.ts";
 
-/** Path of the questions on the peers' listener; no route of a caller is asked for there. */
+/** Path of the calls on the peers' listener; relayed requests of callers never use it. */
 export const RPC_PATH = "/ibisgap/rpc";
-/** How often a VM looks whether another knows more, besides when it is told so. */
+/** How often a VM checks whether another one is ahead, besides the check after each roster. */
 const PULL_INTERVAL_MS = 500;
 /**
- * How long a lead is behind another region before it asks there. Its own readers bring the same news sooner, unless the
- * store turns them all away; upstreams are read with a pause.
+ * How long a lead has to be behind another region before it asks there. The readers of its own region bring the same
+ * news sooner unless the store refuses all of them; for upstreams the delay is longer since readers pause between
+ * polls.
  */
 const OTHER_REGION_DELAY_MS: Readonly<Record<NewsTopic, number>> = {
   operators: 600,
   upstreams: 2_000,
 };
-/** A question unanswered by then is asked elsewhere next time. */
+/** Timeout of a call; the next one may go to another VM. */
 const ANSWER_TIMEOUT_MS = 1_000;
 type NewsRequest = StoreViewMessages["news"]["in"];
 
 const NEWS_TOPICS: readonly NewsTopic[] = ["operators", "upstreams"];
 
-/** See the module. */
+/** Answers calls of other VMs, and pulls news from VMs that are ahead. */
 export class PeerRpc extends Task implements PeerRpcHandler {
   readonly name = "peerRpc";
   readonly path = RPC_PATH;
@@ -61,7 +63,7 @@
   #clock!: Clock;
   #timer: Timer | undefined;
   #isPulling = false;
-  /** Since when a VM of another region knows more. */
+  /** Since when a VM of another region is ahead, by topic. */
   readonly #behindSinceMs = new Map<NewsTopic, number>();
 
   constructor(
@@ -106,12 +108,12 @@
       response.setHeader("content-type", "application/json");
       response.end(answer === null ? "" : JSON.stringify(answer));
     }).catch((error) => {
-      this.#log.warn("question failed", { reason: String(error) });
+      this.#log.warn("answering a peer failed", { reason: String(error) });
       response.destroy();
     });
   }
 
-  /** Asks a VM that is ahead, for each matter on which there is one. */
+  /** Pulls each topic from a VM that is ahead, if there is one. */
   async #pull(): Promise<void> {
     if (this.#isPulling) return;
     this.#isPulling = true;
@@ -126,8 +128,8 @@
   }
 
   /**
-   * Some VM that knows more: one of this region, so that the news crosses to each region once; one of another only if
-   * nobody here could have read it.
+   * Picks a VM that is ahead: one of this region, so that news crosses to each region only once; one of another region
+   * only if no VM here could have read the news from the store.
    */
   #pickSource(topic: NewsTopic): NewsSource | undefined {
     const ownRev = this.#storeView.newsRev(topic);
--- a/src/gateway/quota_wire.ts
+++ b/src/gateway/quota_wire.ts
@@ -1,5 +1,5 @@
 /**
- * What leads tell each other of the workspaces' limits.
+ * Encoding of the messages that leads send each other about the workspaces' limits.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   StandbyRow,
 } from "../quota/mod.ts";
 
-/** Rows go as lists: there is one a workspace, four times a second. */
+/** Rows are sent as arrays, since there is one per workspace four times a second. */
 type WireShareRow = readonly [
   workspace: string,
   demandPerS: number,
@@ -27,7 +27,7 @@
   level: number,
 ];
 
-/** Encodes what another region is told. */
+/** Encodes the shares that another region is sent. */
 export function encodeShares({ region, rows }: ShareReport): unknown {
   const list: WireShareRow[] = rows.map((
     { workspace, demandPerS, share, given, taken },
@@ -39,23 +39,23 @@
   return typeof value === "number" && Number.isFinite(value) && value >= 0;
 }
 
-/** Reads a datagram; `undefined` if it is no note. Rows that can't be read are left out. */
+/** Decodes a datagram; `undefined` if it is malformed. Malformed rows are skipped. */
 export function decodeShares(params: unknown): ShareReport | undefined {
-  const note = params as { region?: unknown; rows?: unknown } | null;
-  if (typeof note?.region !== "string" || !Array.isArray(note.rows)) {
+  const report = params as { region?: unknown; rows?: unknown } | null;
+  if (typeof report?.region !== "string" || !Array.isArray(report.rows)) {
     return undefined;
   }
-  const rows = note.rows.flatMap((row: unknown): ShareRow[] => {
+  const rows = report.rows.flatMap((row: unknown): ShareRow[] => {
     if (!Array.isArray(row) || typeof row[0] !== "string") return [];
     const [workspace, demandPerS, share, given, taken] = row;
     return [demandPerS, share, given, taken].every(isCounter)
       ? [{ workspace, demandPerS, share, given, taken }]
       : [];
   });
-  return { region: note.region, rows };
+  return { region: report.region, rows };
 }
 
-/** Encodes what the leads of the own region are told. */
+/** Encodes the state that the other leads of this region are sent. */
 export function encodeStandby(rows: readonly StandbyRow[]): unknown {
   const list: WireStandbyRow[] = rows.map((
     { workspace, given, taken, level },
@@ -68,7 +68,7 @@
     Object.values(value).every(isCounter);
 }
 
-/** Reads a datagram; rows that can't be read are left out. */
+/** Decodes a datagram; malformed rows are skipped. */
 export function decodeStandby(params: unknown): StandbyRow[] {
   const rows = (params as { rows?: unknown } | null)?.rows;
   if (!Array.isArray(rows)) return [];
@@ -81,7 +81,7 @@
   });
 }
 
-/** Reads what a request uses of its workspace's limit; `undefined` if it is nothing. */
+/** Decodes what a request uses of its workspace's limit; `undefined` if it is malformed. */
 export function decodeUse(value: unknown): QuotaUse | undefined {
   const use = value as Partial<QuotaUse> | null | undefined;
   return typeof use?.workspace === "string" && isCounter(use.units)
--- a/src/gateway/quotas.ts
+++ b/src/gateway/quotas.ts
@@ -1,8 +1,10 @@
 /**
- * The limits of workspaces: counts what requests use, for the region as its first lead, or by this VM's own part.
+ * Enforces the limits of workspaces: counts what requests use, for the region as its first lead, or against this VM's
+ * local quota.
  *
- * The first lead of a region counts exactly what all of its VMs send, in the question that asks it for a place anyhow. It
- * tells the first leads of other regions what its callers want, and they move shares of the limits between them.
+ * The first lead of a region counts exactly what all of its VMs send, as part of the placement request that they send
+ * to it anyway. It reports its callers' demand to the first leads of other regions, and they move shares of the limits
+ * among themselves.
  *
  * @module
  */
@@ -39,7 +41,7 @@
   | "region"
   /** Another VM that is the first lead. */
   | "lead"
-  /** This VM, from its own part. */
+  /** This VM, against its local quota. */
   | "own";
 
 /** Options of {@link Quotas}. */
@@ -47,7 +49,7 @@
   readonly self: { readonly id: string; readonly region: string };
   /** All regions. */
   readonly regions: readonly string[];
-  /** Whether there are other VMs, heard or not. */
+  /** Whether there are other VMs, heard from or not. */
   readonly hasOthers: boolean;
   readonly slack: QuotaSlack;
   readonly datagrams: Datagrams;
@@ -55,27 +57,30 @@
   readonly storeView: StoreView;
 }
 
-/** How often shares move: a quarter of the time in which demand is averaged. */
+/** How often shares move: a quarter of the time over which demand is averaged. */
 const TICK_MS = 250;
-/** A VM that has just become the first lead may only not have heard of another one; it counts for all after this long. */
+/**
+ * How long a VM has to be the first lead before it counts for the region: a newer one may only not have heard of
+ * another lead yet.
+ */
 const AUTHORITY_DELAY_MS = 750;
-/** VMs that a VM which has heard nobody since its start takes to share the limits. */
+/** Number of VMs that are assumed to share the limits while this VM has heard of no other since its start. */
 const ASSUMED_VM_COUNT = 128;
-/** A caller that this VM's own part has no room for is better off at another VM, soon. */
-const MAX_OWN_WAIT_MS = 200;
+/** Longest retry delay if this VM's local quota is used up: the caller is better off at another VM, soon. */
+const MAX_LOCAL_WAIT_MS = 200;
 
-/** See the module. */
+/** Counts the use of each workspace's limit and exchanges shares with other VMs. */
 export class Quotas extends Task {
   readonly name = "quotas";
   readonly #options: QuotasOptions;
   protected readonly handlers: Handlers<Messages> = {};
   #shares!: Shares;
   #regionQuota!: RegionQuota;
-  #ownPart!: LocalQuota;
+  #localQuota!: LocalQuota;
   #clock!: Clock;
   #timer: Timer | undefined;
   #firstLeadSinceMs: number | undefined;
-  /** Part of the region's VMs that this one hears, itself included. */
+  /** Share of the region's VMs that report to this one, itself included. */
   #heardShare = 1;
   #vmCount = ASSUMED_VM_COUNT;
 
@@ -93,11 +98,11 @@
       storeView.config?.workspaces.get(workspace)?.quota;
     this.#shares = new MovingShares(self.region, regions, nowMs);
     this.#regionQuota = new RegionQuota(this.#shares, limitOf, slack, nowMs);
-    this.#ownPart = new LocalQuota(self.id, limitOf, slack, nowMs);
+    this.#localQuota = new LocalQuota(self.id, limitOf, slack, nowMs);
     if (!hasOthers) this.#vmCount = 1;
     datagrams.on("shares", (params) => {
-      const note = decodeShares(params);
-      if (note) this.#shares.applyReport(note, this.#clock.monoMs());
+      const report = decodeShares(params);
+      if (report) this.#shares.applyReport(report, this.#clock.monoMs());
     });
     datagrams.on("standby", (params) => {
       if (this.isAuthority) return;
@@ -141,17 +146,17 @@
       this.#clock.monoMs() - this.#firstLeadSinceMs >= AUTHORITY_DELAY_MS;
   }
 
-  /** Who counts here. */
+  /** Who counts the requests that this VM decides on. */
   get countedBy(): Exclude<CountedBy, "lead"> {
     return this.isAuthority ? "region" : "own";
   }
 
-  /** When the use fits, in ms from now; 0 if it does. */
+  /** Time until the use fits within the limit, in ms; 0 if it fits now. */
   waitMs(use: QuotaUse): number {
     const nowMs = this.#clock.monoMs();
     if (!this.isAuthority) {
-      const waitMs = this.#ownPart.waitMs(use, this.#vmCount, nowMs);
-      return Math.min(waitMs, MAX_OWN_WAIT_MS);
+      const waitMs = this.#localQuota.waitMs(use, this.#vmCount, nowMs);
+      return Math.min(waitMs, MAX_LOCAL_WAIT_MS);
     }
     const waitMs = this.#regionQuota.waitMs(use, this.#heardShare, nowMs);
     if (waitMs > 0) this.#regionQuota.noteDemand(use, nowMs);
@@ -162,7 +167,7 @@
   take(use: QuotaUse): CountedBy {
     const nowMs = this.#clock.monoMs();
     if (!this.isAuthority) {
-      this.#ownPart.take(use, this.#vmCount, nowMs);
+      this.#localQuota.take(use, this.#vmCount, nowMs);
       return "own";
     }
     this.#regionQuota.noteDemand(use, nowMs);
@@ -170,9 +175,9 @@
     return "region";
   }
 
-  /** A request that was counted has not run, and never will. */
+  /** Returns the use of a counted request that has not run and never will. */
   refund(use: QuotaUse, by: CountedBy): void {
-    if (by === "own") this.#ownPart.refund(use);
+    if (by === "own") this.#localQuota.refund(use);
     else if (by === "region") this.#regionQuota.refund(use);
     else {
       const { datagrams, members } = this.#options;
@@ -216,9 +221,9 @@
     const { datagrams, members } = this.#options;
     for (const { digest } of members.otherRegions()) {
       const [first] = digest.leads;
-      const note = this.#shares.buildReport(digest.from.region, nowMs);
-      if (first && note) {
-        datagrams.send("shares", encodeShares(note), [first.ip]);
+      const report = this.#shares.buildReport(digest.from.region, nowMs);
+      if (first && report) {
+        datagrams.send("shares", encodeShares(report), [first.ip]);
       }
     }
   }
--- a/src/gateway/relays.ts
+++ b/src/gateway/relays.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to VMs of other regions, over which requests are handed over.
+ * Connections to VMs of other regions, over which requests are relayed.
  *
  * @module
  */
@@ -15,25 +15,25 @@
 import type { OfferedCapacity, RegionCapacity } from "../routing/mod.ts";
 import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
-/** Idle time of links between VMs; the listener keeps them longer. */
+/** Idle timeout of connections between VMs; the listener keeps them longer. */
 const IDLE_MS = 20_000;
-/** A VM to which a connection failed is left aside until its region no longer names it, if it is gone. */
+/** How long a VM is avoided after a connection to it failed; by then its region no longer names it, if it is gone. */
 const CONNECT_FAILURE_PAUSE_MS = 3_000;
 
-const NO_ROOM: OfferedCapacity = { free: 0, queue: 0 };
+const NO_CAPACITY: OfferedCapacity = { free: 0, queue: 0 };
 
-/** A VM of another region that takes requests. */
+/** A VM of another region that accepts requests. */
 export interface RelayTarget {
   readonly ip: string;
   readonly region: string;
 }
 
-/** What is known of other regions. */
+/** Source of what is known of other regions. */
 export interface OtherRegions {
   otherRegions(): readonly RemoteRegion[];
 }
 
-/** See the module. */
+/** Picks VMs of other regions for requests, and keeps the connections to them. */
 export class Relays extends Task {
   readonly name = "relays";
   readonly #regionSource: OtherRegions;
@@ -65,31 +65,31 @@
     return { idleConnections: Object.fromEntries(idle) };
   }
 
-  /** A connection to a VM could not be made: nothing more is handed to it for a while. */
+  /** Records that a connection to a VM failed; nothing more is relayed to it for a while. */
   noteConnectFailure(ip: string): void {
     this.#connectFailedMonoMs.set(ip, this.#clock.monoMs());
   }
 
-  /** Other regions with a VM that can be reached and takes requests, and their room for a service. */
+  /** Other regions with a reachable VM that accepts requests, and their free capacity for a service. */
   reachableRegions(
     service: string,
     isAllowed: (region: string) => boolean,
     isScarce: (region: string) => boolean,
   ): RegionCapacity[] {
-    const rooms: RegionCapacity[] = [];
+    const capacities: RegionCapacity[] = [];
     for (const other of this.#regionSource.otherRegions()) {
       const { region } = other.digest.from;
       if (!isAllowed(region) || this.#readyIps(other).length === 0) continue;
-      rooms.push({
+      capacities.push({
         region,
-        ...(other.digest.room?.[service] ?? NO_ROOM),
+        ...(other.digest.room?.[service] ?? NO_CAPACITY),
         isScarce: isScarce(region),
       });
     }
-    return rooms;
+    return capacities;
   }
 
-  /** A VM of a region to hand a request to, at random among those that take requests. */
+  /** Picks a VM of a region to relay a request to, at random among those that accept requests. */
   pickTarget(region: string, random: Random): RelayTarget | undefined {
     const other = this.#regionSource.otherRegions()
       .find(({ digest }) => digest.from.region === region);
@@ -107,7 +107,7 @@
     return agent;
   }
 
-  /** The port that VMs take requests of others on. */
+  /** The port on which VMs accept requests of other VMs. */
   get port(): number {
     return this.#port;
   }
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -1,75 +1,76 @@
 /**
- * The entries under a prefix of the store as one VM knows them, whole up to a revision.
+ * One VM's copy of the entries under a prefix of the store, complete up to a revision.
  *
- * Four ways bring word of a key: listings, changes, and other VMs' news, in full or in part. They overtake each other. Each
- * says up to which revision it holds; whatever holds no further than what is known already is old word and changes nothing.
+ * Updates of a key come in four ways: listings, changes, and other VMs' news, full or partial. They may arrive out of
+ * order. Each states the revision up to which it holds; an update that holds no further than what is already known is
+ * stale and changes nothing.
  *
  * @module
  */
 
 import type { Entry, Listing, WatchEvent } from "../adapters/mod.ts";
 
-/** A key that is gone, and the revision at which it surely was. */
+/** A deleted key, and a revision at which it was certainly gone. */
 export interface DeletedKey {
   readonly key: string;
   readonly rev: number;
 }
 
-/** What changed under a prefix since a revision, as one VM tells another. */
+/** What changed under a prefix since a revision, as one VM sends it to another. */
 export interface News {
-  /** Entries that said something new since. */
+  /** Entries whose content changed since. */
   readonly entries: readonly Entry[];
-  /** Keys that ended since, as far as the teller remembers. */
+  /** Keys that were deleted since, as far as the sender remembers. */
   readonly deleted: readonly DeletedKey[];
-  /** All keys there are, if the teller does not remember all that ended since. */
+  /** All existing keys, if the sender doesn't remember all deletions since. */
   readonly present?: readonly string[];
-  /** The store's revision that the teller had got to. */
+  /** The store's revision that the sender had reached. */
   readonly rev: number;
-  /** Revision of the teller's last news. */
+  /** Revision of the sender's latest news. */
   readonly newsRev: number;
-  /** Since when the store answers the teller again after an outage, in ms before the telling; absent if it never failed. */
+  /** Time since the store answered the sender again after an outage, as of the sending; absent if it never failed. */
   readonly recoveredAgoMs?: number;
 }
 
 /** Options of {@link Replica}. */
 export interface ReplicaOptions {
-  /** Whether an entry says anything that the one before did not; what does not is not told to other VMs. */
+  /** Whether an entry's content differs from the one before; an entry without a difference is not sent to other VMs. */
   readonly isNews: (entry: Entry) => boolean;
   /**
-   * Whether entries are renewed again and again without news, so that all of a first listing looks new. Saying so would
-   * make each VM of the region ask this one for everything.
+   * Whether entries are rewritten regularly without a change, so that all of a first listing looks new. Announcing that
+   * as news would make each VM of the region ask this one for everything.
    */
   readonly isRenewed: boolean;
   readonly onPut: (entry: Entry) => void;
   readonly onDelete: (key: string) => void;
 }
 
-/** What came of taking something in. */
+/** Result of applying an update. */
 export interface ApplyResult {
-  /** Whether it was looked at; what holds no further than what is known is not. */
+  /** Whether it was applied; an update that holds no further than what is known is not. */
   readonly isNewer: boolean;
-  /** Keys of which it said what is no longer so. */
+  /** Keys for which the update held outdated state. */
   readonly staleKeys: readonly string[];
 }
 
-/** Ends that are remembered to be told; a VM that is further behind is told which keys there are. */
+/** Most deletions that are remembered for other VMs; one that is further behind is sent all existing keys. */
 const MAX_DELETED_KEYS = 500;
 
-/** An entry with the revision at which it last said something new. */
+/** An entry with the revision at which its content last changed. */
 interface HeldEntry {
   readonly entry: Entry;
   readonly newsRev: number;
 }
 
-/** See the module. */
+/** Applies updates in any order, and tells other VMs what they lack. */
 export class Replica {
   readonly #options: ReplicaOptions;
   readonly #entries = new Map<string, HeldEntry>();
-  /** Keys that are gone, with the revision of their end. */
+  /** Deleted keys, with the revision of their deletion. */
   readonly #deletedRevs = new Map<string, number>();
-  /** Ends up to this revision may not be remembered. */
+  /** Deletions up to this revision may be forgotten. */
   #forgottenRev = 0;
-  /** Last news of a first listing of renewed entries, in which nothing tells what is new. */
+  /** Latest news of a first listing of renewed entries, which doesn't show what is new. */
   #firstNewsRev = 0;
   #newsRev = 0;
   #rev = 0;
@@ -83,19 +84,19 @@
     return this.#rev;
   }
 
-  /** Revision of the last change that said anything and is known for sure: whoever says a higher one knows more. */
+  /** Revision of the last change of content that is known for certain; a VM that announces a higher one knows more. */
   get newsRev(): number {
     return Math.min(this.#newsRev, this.#rev);
   }
 
-  /** What this VM says of its news to others. */
+  /** The revision of its news that this VM announces to others. */
   get announcedRev(): number {
     return this.newsRev > this.#firstNewsRev
       ? this.newsRev
       : Math.min(1, this.newsRev);
   }
 
-  /** What another VM that is at the news `sinceNewsRev` lacks. */
+  /** Returns what a VM lacks that has all news up to revision `sinceNewsRev`. */
   newsSince(sinceNewsRev: number): News {
     const held = [...this.#entries.values()];
     const isForgotten = sinceNewsRev < this.#forgottenRev;
@@ -110,14 +111,14 @@
     };
   }
 
-  /** Takes in a listing of all entries. */
+  /** Applies a listing of all entries. */
   applyListing({ entries, rev }: Listing): ApplyResult {
     if (rev < this.#rev) return { isNewer: false, staleKeys: [] };
     const isFirst = this.#rev === 0;
     this.#deleteMissing(entries.map(({ key }) => key), rev);
     for (const entry of entries) this.#put(entry);
     this.#rev = rev;
-    // A key that came and went between two listings is in neither of them.
+    // A key that was created and deleted between two listings is in neither of them.
     this.#forgottenRev = rev;
     this.#newsRev = Math.max(this.#newsRev, 1);
     if (isFirst && this.#options.isRenewed) {
@@ -126,7 +127,7 @@
     return { isNewer: true, staleKeys: [] };
   }
 
-  /** Takes in all changes up to a revision. */
+  /** Applies all changes up to a revision. */
   applyChanges(events: readonly WatchEvent[], rev: number): ApplyResult {
     const staleKeys: string[] = [];
     for (const event of events) {
@@ -143,7 +144,7 @@
     return { isNewer, staleKeys };
   }
 
-  /** Takes in what another VM told. */
+  /** Applies news from another VM. */
   adopt(news: News): ApplyResult {
     if (news.rev <= this.#rev) return this.#reannounceDeletions(news);
     for (const { key, rev } of news.deleted) this.#delete(key, rev);
@@ -155,7 +156,10 @@
     return { isNewer: true, staleKeys: [] };
   }
 
-  /** A VM that tells of entries which are gone has missed their ends, and whoever told it may be gone too: say it anew. */
+  /**
+   * Records the deletion of entries that a VM sends although they are gone, and so announces it again: the VM has
+   * missed the deletions, and the VMs that could have told it may be gone too.
+   */
   #reannounceDeletions({ entries, newsRev }: News): ApplyResult {
     const staleKeys = entries.filter(({ key, rev }) =>
       rev <= this.#rev && !this.#entries.has(key) && !this.#deletedRevs.has(key)
@@ -186,7 +190,7 @@
     if (existing) this.#options.onDelete(key);
   }
 
-  /** Remembers an end also of a key that was never held: another VM may hold it. */
+  /** Remembers the deletion also of a key that was never held here: another VM may hold it. */
   #recordDeletion(key: string, rev: number): void {
     this.#deletedRevs.delete(key);
     this.#deletedRevs.set(key, rev);
--- a/src/gateway/replica_test.ts
+++ b/src/gateway/replica_test.ts
@@ -7,135 +7,136 @@
   return { key, rev, value };
 }
 
-/** A replica, and the keys that it believes in with their values. */
-function open(isRenewed: boolean) {
-  const believed = new Map<string, string>();
+/** A replica, and the entries that it reported. */
+function createVm(isRenewed: boolean) {
+  const known = new Map<string, string>();
   const replica = new Replica({
-    isNews: ({ key, value }) => believed.get(key) !== value,
+    isNews: ({ key, value }) => known.get(key) !== value,
     isRenewed,
-    onPut: ({ key, value }) => void believed.set(key, value),
-    onDelete: (key) => void believed.delete(key),
+    onPut: ({ key, value }) => void known.set(key, value),
+    onDelete: (key) => void known.delete(key),
   });
-  return { replica, believed };
+  return { replica, known };
 }
 
-type Vm = ReturnType<typeof open>;
+type Vm = ReturnType<typeof createVm>;
 
-function listed(entries: Entry[], rev: number, isRenewed = false): Vm {
-  const vm = open(isRenewed);
+function createListed(entries: Entry[], rev: number, isRenewed = false): Vm {
+  const vm = createVm(isRenewed);
   vm.replica.applyListing({ entries, rev, more: false });
   return vm;
 }
 
-function tell(from: Vm, to: Vm): void {
+function sendNews(from: Vm, to: Vm): void {
   to.replica.adopt(from.replica.newsSince(to.replica.newsRev));
 }
 
 const put = (item: Entry): WatchEvent => ({ type: "put", entry: item });
-const gone = (key: string, rev: number): WatchEvent => ({
+const deletion = (key: string, rev: number): WatchEvent => ({
   type: "delete",
   key,
   rev,
 });
 
 describe("replica", () => {
-  describe("an end that the teller never saw", () => {
-    it("before its first listing reaches a VM that holds the key", (t) => {
-      const behind = listed([entry("a", 72), entry("b", 70)], 75);
-      const teller = listed([entry("b", 70)], 80);
-      teller.replica.applyChanges([put(entry("c", 85))], 85);
-      tell(teller, behind);
-      t.deepEqual([...behind.believed.keys()], ["b", "c"]);
+  describe("a deletion reaches a VM that still holds the key", () => {
+    it("if it came before the sender's first listing", (t) => {
+      const behind = createListed([entry("a", 72), entry("b", 70)], 75);
+      const sender = createListed([entry("b", 70)], 80);
+      sender.replica.applyChanges([put(entry("c", 85))], 85);
+      sendNews(sender, behind);
+      t.deepEqual([...behind.known.keys()], ["b", "c"]);
     });
 
-    it("in a gap of its history reaches a VM that holds the key", (t) => {
-      const teller = listed([entry("b", 8)], 10);
-      const behind = listed([entry("b", 8)], 10);
+    it("if it fell into a gap of the sender's history", (t) => {
+      const sender = createListed([entry("b", 8)], 10);
+      const behind = createListed([entry("b", 8)], 10);
       behind.replica.applyChanges([put(entry("a", 12))], 13);
-      teller.replica.applyListing({
+      sender.replica.applyListing({
         entries: [entry("b", 8)],
         rev: 20,
         more: false,
       });
-      teller.replica.applyChanges([put(entry("c", 21))], 21);
-      tell(teller, behind);
-      t.deepEqual([...behind.believed.keys()], ["b", "c"]);
+      sender.replica.applyChanges([put(entry("c", 21))], 21);
+      sendNews(sender, behind);
+      t.deepEqual([...behind.known.keys()], ["b", "c"]);
     });
 
-    it("but was told of reaches a VM that holds the key", (t) => {
-      const first = listed([], 10);
-      const second = listed([], 10);
-      const behind = listed([], 10);
+    it("if the sender learned it from another VM", (t) => {
+      const first = createListed([], 10);
+      const second = createListed([], 10);
+      const behind = createListed([], 10);
       for (const { replica } of [first, behind]) {
         replica.applyChanges([put(entry("a", 12))], 12);
       }
-      first.replica.applyChanges([gone("a", 15)], 15);
-      tell(first, second);
-      tell(second, behind);
-      t.deepEqual([...behind.believed.keys()], []);
+      first.replica.applyChanges([deletion("a", 15)], 15);
+      sendNews(first, second);
+      sendNews(second, behind);
+      t.deepEqual([...behind.known.keys()], []);
     });
 
-    it("and more ends than are remembered reach a VM that holds them", (t) => {
+    it("if the sender saw more deletions than it remembers", (t) => {
       const keys = Array.from({ length: 2_000 }, (_, i) => `k${i}`);
       const entries = keys.map((key, i) => entry(key, i + 1));
-      const teller = listed(entries, 3_000);
-      const behind = listed(entries, 3_000);
-      for (const { replica } of [teller, behind]) {
+      const sender = createListed(entries, 3_000);
+      const behind = createListed(entries, 3_000);
+      for (const { replica } of [sender, behind]) {
         replica.applyChanges([put(entry("b", 3_001))], 3_001);
       }
-      teller.replica.applyChanges(
-        keys.map((key, i) => gone(key, 3_002 + i)),
+      sender.replica.applyChanges(
+        keys.map((key, i) => deletion(key, 3_002 + i)),
         6_000,
       );
-      tell(teller, behind);
-      t.deepEqual([...behind.believed.keys()], ["b"]);
+      sendNews(sender, behind);
+      t.deepEqual([...behind.known.keys()], ["b"]);
     });
 
-    it("nor whoever told the teller reaches a VM that holds the key", (t) => {
-      const restarted = listed([entry("b", 18)], 20);
-      const teller = listed([], 10);
-      const behind = listed([], 10);
+    it("if neither the sender nor the VM that told it saw it", (t) => {
+      const restarted = createListed([entry("b", 18)], 20);
+      const sender = createListed([], 10);
+      const behind = createListed([], 10);
       behind.replica.applyChanges([put(entry("a", 12))], 12);
-      tell(restarted, teller);
-      tell(teller, behind);
-      t.deepEqual([...behind.believed.keys()], ["b"]);
+      sendNews(restarted, sender);
+      sendNews(sender, behind);
+      t.deepEqual([...behind.known.keys()], ["b"]);
     });
   });
 
-  // All that saw the end restart before they told it. Without a correction the others hold the key for good.
-  it("that restarts corrects a VM which still holds a key that ended", (t) => {
-    const behind = listed([entry("config", 90)], 95);
+  // All VMs that saw the deletion restart before they passed it on. Without a correction the other VMs would hold the
+  // key for good.
+  it("of a restarted VM corrects one that still holds a deleted key", (t) => {
+    const behind = createListed([entry("config", 90)], 95);
     behind.replica.applyChanges([put(entry("a", 100))], 100);
-    const restarted = listed([entry("config", 90)], 160);
+    const restarted = createListed([entry("config", 90)], 160);
     t.true(behind.replica.announcedRev > restarted.replica.announcedRev);
-    tell(behind, restarted);
-    t.deepEqual([...restarted.believed.keys()], ["config"]);
+    sendNews(behind, restarted);
+    t.deepEqual([...restarted.known.keys()], ["config"]);
     t.true(restarted.replica.announcedRev > behind.replica.announcedRev);
-    tell(restarted, behind);
-    t.deepEqual([...behind.believed.keys()], ["config"]);
+    sendNews(restarted, behind);
+    t.deepEqual([...behind.known.keys()], ["config"]);
   });
 
-  it("says what it has listed, unless entries are renewed all the time", (t) => {
-    t.is(listed([entry("a", 70)], 80).replica.announcedRev, 70);
-    t.is(listed([entry("a", 70)], 80, true).replica.announcedRev, 1);
+  it("announces what it has listed, unless entries are renewed regularly", (t) => {
+    t.is(createListed([entry("a", 70)], 80).replica.announcedRev, 70);
+    t.is(createListed([entry("a", 70)], 80, true).replica.announcedRev, 1);
   });
 
   describe("with answers and news in any order", () => {
     const KEYS = ["a", "b", "c"];
     const VMS = 4;
 
-    /** A store, VMs that follow it, and answers that are still under way. */
+    /** A store, VMs that follow it, and answers that are in flight. */
     class World {
       readonly vms: Vm[];
       readonly #isRenewed: boolean;
       readonly #events: WatchEvent[] = [];
-      readonly #underWay: (() => void)[] = [];
+      readonly #inFlight: (() => void)[] = [];
       #rev = 1;
       #forgottenRev = 0;
 
       constructor(isRenewed: boolean) {
         this.#isRenewed = isRenewed;
-        this.vms = Array.from({ length: VMS }, () => open(isRenewed));
+        this.vms = Array.from({ length: VMS }, () => createVm(isRenewed));
       }
 
       write(key: string, value: string | undefined): void {
@@ -143,16 +144,16 @@
         if (value !== undefined) {
           this.#events.push(put(entry(key, this.#rev, value)));
         } else if (this.at(this.#rev).has(key)) {
-          this.#events.push(gone(key, this.#rev));
+          this.#events.push(deletion(key, this.#rev));
         }
       }
 
-      forget(): void {
+      compact(): void {
         this.#forgottenRev = this.#rev;
       }
 
       restart(vm: number): void {
-        this.vms[vm] = open(this.#isRenewed);
+        this.vms[vm] = createVm(this.#isRenewed);
       }
 
       /** The entries as they were at a revision. */
@@ -168,7 +169,7 @@
         return state;
       }
 
-      /** Asks the store as of now; the answer is under way. */
+      /** Asks the store; the answer holds the current state and is in flight. */
       ask(index: number, isList: boolean): void {
         const vm = this.vms[index];
         const rev = this.#rev;
@@ -176,36 +177,36 @@
         if (isList || sinceRev < Math.max(1, this.#forgottenRev)) {
           const entries = [...this.at(rev).values()];
           const listing: Listing = { entries, rev, more: false };
-          this.#underWay.push(() => vm.replica.applyListing(listing));
+          this.#inFlight.push(() => vm.replica.applyListing(listing));
           return;
         }
         const events = this.#events.filter((event) =>
           event.type !== "lost" &&
           (event.type === "put" ? event.entry.rev : event.rev) > sinceRev
         );
-        this.#underWay.push(() => vm.replica.applyChanges(events, rev));
+        this.#inFlight.push(() => vm.replica.applyChanges(events, rev));
       }
 
-      /** Asks another VM as of now; the answer is under way. */
-      askVm(index: number, teller: number): void {
+      /** Asks another VM; the answer holds its current state and is in flight. */
+      askVm(index: number, sender: number): void {
         const vm = this.vms[index];
         const since = vm.replica.newsRev;
-        const news: News = this.vms[teller].replica.newsSince(since);
-        this.#underWay.push(() => vm.replica.adopt(news));
+        const news: News = this.vms[sender].replica.newsSince(since);
+        this.#inFlight.push(() => vm.replica.adopt(news));
       }
 
       deliver(pick: number): void {
-        if (this.#underWay.length === 0) return;
-        const [answer] = this.#underWay.splice(
-          pick % this.#underWay.length,
+        if (this.#inFlight.length === 0) return;
+        const [answer] = this.#inFlight.splice(
+          pick % this.#inFlight.length,
           1,
         );
         answer();
       }
 
-      /** All answers arrive, one VM reads on, and the others ask whoever says that it knows more. */
+      /** Delivers all answers, lets one VM poll the store, and lets each VM ask those that announce newer news. */
       settle(): void {
-        while (this.#underWay.length > 0) this.deliver(0);
+        while (this.#inFlight.length > 0) this.deliver(0);
         this.ask(0, false);
         this.deliver(0);
         for (let round = 0; round < 2 * VMS; round++) {
@@ -220,13 +221,13 @@
         }
       }
 
-      /** Index of a VM that believes anything else than what was so at its revision; -1 if none does. */
-      wrong(): number {
-        return this.vms.findIndex(({ replica, believed }) => {
+      /** Index of a VM whose entries differ from the store's at its revision; -1 if there is none. */
+      findMismatch(): number {
+        return this.vms.findIndex(({ replica, known }) => {
           const state = this.at(replica.rev);
-          return believed.size !== state.size ||
+          return known.size !== state.size ||
             [...state.values()].some(({ key, value }) =>
-              believed.get(key) !== value
+              known.get(key) !== value
             );
         });
       }
@@ -245,24 +246,24 @@
       fc.nat(20).map((pick): Step => (w) => w.deliver(pick)),
       fc.nat(20).map((pick): Step => (w) => w.deliver(pick)),
       vm.map((i): Step => (w) => w.restart(i)),
-      fc.constant<Step>((w) => w.forget()),
+      fc.constant<Step>((w) => w.compact()),
     );
     const run = fc.record({
       isRenewed: fc.boolean(),
       steps: fc.array(step, { minLength: 1, maxLength: 60 }),
     });
 
-    it("holds what was so at its revision, and never goes back", (t) => {
+    it("holds the store's state at its revision, and never goes back", (t) => {
       fc.assert(
         fc.property(run, ({ isRenewed, steps }) => {
           const world = new World(isRenewed);
-          for (const play of steps) {
+          for (const applyStep of steps) {
             const before = world.vms.map(({ replica }) => ({
               replica,
               rev: replica.rev,
             }));
-            play(world);
-            if (world.wrong() >= 0) return false;
+            applyStep(world);
+            if (world.findMismatch() >= 0) return false;
             for (const { replica, rev } of before) {
               if (replica.rev < rev) return false;
             }
@@ -274,19 +275,19 @@
       t.pass();
     });
 
-    it("is the same everywhere after the next news", (t) => {
+    it("is the same on all VMs after the next news", (t) => {
       fc.assert(
         fc.property(run, ({ isRenewed, steps }) => {
           const world = new World(isRenewed);
-          for (const play of steps) play(world);
+          for (const applyStep of steps) applyStep(world);
           world.settle();
           world.write("news", "z");
           world.settle();
           const [first] = world.vms;
-          return world.wrong() < 0 &&
-            world.vms.every(({ believed }) =>
-              believed.size === first.believed.size &&
-              [...first.believed].every(([k, v]) => believed.get(k) === v)
+          return world.findMismatch() < 0 &&
+            world.vms.every(({ known }) =>
+              known.size === first.known.size &&
+              [...first.known].every(([k, v]) => known.get(k) === v)
             );
         }),
         { numRuns: 3_000 },
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway's settings: one JSON file, checked field by field.
+ * The gateway's settings: one JSON file, validated field by field.
  *
  * @module
  */
@@ -17,14 +17,14 @@
 const schema = z.object({
   vm: z.object({
     id: text,
-    /** Where other VMs and callers reach this one. */
+    /** Address at which other VMs and callers reach this one. */
     ip: text,
     region: text,
     failureDomain: text,
-    /** Memory that the process may take. */
+    /** Memory that the process may use. */
     memoryMb: nonNegative,
     mostDescriptors: nonNegative,
-    /** Share of a core that the process may take, and how fast the core is; strong VMs lead their region. */
+    /** Share of a core that the process may use, and how fast the core is; strong VMs lead their region. */
     coreShare: z._default(nonNegative, 1),
     coreSpeed: z._default(nonNegative, 1),
   }),
@@ -32,9 +32,9 @@
     callers: address,
     ready: address,
     directory: address,
-    /** HTTP between VMs: relayed requests and questions. */
+    /** HTTP between VMs: relayed requests and JSON-RPC calls. */
     peers: address,
-    /** UDP between VMs: who is there, and where requests go. */
+    /** UDP between VMs: membership, and where requests are placed. */
     beats: port,
     metrics: port,
   }),
@@ -44,23 +44,26 @@
   failureDomains: z.record(z.string(), text),
   store: z.object({ address, leastLeaseMs: nonNegative }),
   bounds: z.object({
-    /** From the signal to stop until the process is killed. */
+    /** Time from the stop signal until the process is killed. */
     graceMs: nonNegative,
-    /** How long a fault may be over before a VM must be up to date again. */
+    /** How long after the end of a fault a VM has to be up to date again. */
     contactMs: nonNegative,
     repeatRatio: nonNegative,
     repeatSlack: nonNegative,
     repeatWindowMs: nonNegative,
-    /** How far a workspace may pass its limit in each window, as a share of the limit, and in units beside that. */
+    /** How far a workspace may exceed its limit in each window: as a share of the limit, plus a number of units. */
     quotaExcess: z._default(nonNegative, 0),
     quotaSlack: z._default(nonNegative, 0),
     quotaWindowMs: z._default(nonNegative, 1_000),
-    /** A VM that can't know whether a key was taken away for this long refuses; serves on if absent. */
+    /**
+     * A VM that has been unable to tell for this long whether a key was revoked refuses requests; if absent, it keeps
+     * serving.
+     */
     strictRevokeMs: z.optional(nonNegative),
   }),
 });
 
-/** See the module. */
+/** The validated settings of a gateway. */
 export type GatewaySettings = z.infer<typeof schema>;
 
 /** What is wrong with one field. */
@@ -69,7 +72,7 @@
   readonly message: string;
 }
 
-/** Checks settings; unknown fields are ignored, since newer platforms may add some. */
+/** Parses and validates settings; unknown fields are ignored, since newer platforms may add some. */
 export function parseGatewaySettings(
   json: string,
 ): Result<GatewaySettings, SettingsProblem[]> {
--- a/src/gateway/store_view.ts
+++ b/src/gateway/store_view.ts
@@ -1,6 +1,6 @@
 /**
- * What this VM believes of the configuration, the evacuations and the upstreams, and where it learns it: from the store,
- * or from another VM while the store does not serve this one.
+ * This VM's view of the configuration, the evacuations and the upstreams. It comes from the store, or from another VM
+ * while the store does not serve this one.
  *
  * @module
  */
@@ -23,17 +23,17 @@
 import { type FollowedStore, Follower } from "./follower.ts";
 import type { News } from "./replica.ts";
 
-/** The two matters that are followed. */
+/** The two sets of entries that are followed. */
 export type NewsTopic = keyof Revisions;
 
-/** What the beliefs service answers; its name is `beliefs`. */
+/** Messages of the service; its name is `beliefs`. */
 export type StoreViewMessages = {
-  /** What a VM lacks that has got to the revision `since` of the matter's news. */
+  /** Returns what a VM lacks that has all news of the topic up to revision `since`. */
   news: {
     in: { readonly matter: NewsTopic; readonly since: number };
     out: News;
   };
-  /** What another VM told. */
+  /** Applies news from another VM. */
   adopt: {
     in: {
       readonly matter: NewsTopic;
@@ -49,40 +49,44 @@
   readonly store: FollowedStore;
   /** Region of each failure domain. */
   readonly failureDomains: Readonly<Record<string, string>>;
-  /** Whether this VM asks the store what changes, for others of its region too. */
+  /** Whether this VM polls the store for changes, on behalf of other VMs of its region too. */
   readonly isReader: () => boolean;
-  /** How long a question for changes of the configuration waits; a usual time if left out. */
+  /** How long a poll for configuration changes waits; {@link OPERATOR_POLL_WAIT_MS} if absent. */
   readonly operatorPollWaitMs?: number;
 }
 
 /**
- * How long a question for changes of the configuration waits, usually. A connection that has gone silent is found only after
- * that, but another VM tells of a newer revision within a second.
+ * Default time that a poll for configuration changes waits. A dead connection is noticed only after it, but another VM
+ * announces a newer revision within a second.
  */
 const OPERATOR_POLL_WAIT_MS = 4_000;
-/** The same for upstreams, which write about every second each, so that an answer comes at once. */
+/** The same for upstreams. Each writes about every second, so an answer comes at once. */
 const UPSTREAM_POLL_WAIT_MS = 1_000;
 /**
- * A reader whose last answer is older than this is taken for cut off by the others. Usual are 1.2 s of pause and some
- * tens of ms; its own call gives up only after three seconds.
+ * Other VMs take a reader for cut off from the store if its last answer is older than this. Usually 1.2 s of pause and
+ * some tens of ms pass between answers; the reader's own call times out only after 3 s.
  */
 const MAX_ANSWER_AGE_MS = 2_500;
 /**
- * Pause between questions about upstreams. Each upstream writes every 1.2 s; without a pause every write would cost every
- * VM a call. What is learnt late by this much must be within the time that leaving upstreams still serve, seconds.
+ * Pause between polls for upstream changes. Each upstream writes every 1.2 s; without a pause every write would cost
+ * every VM a call. The pause delays changes, so it must be shorter than the seconds for which a draining upstream still
+ * serves.
  */
 const UPSTREAM_POLL_PAUSE_MS = 1_200;
 /**
- * Entries that lapsed in an outage are back within two seconds of its end. Until then they are used on: without this
- * the end of each outage would leave no upstream at all for a second.
+ * How long lapsed entries stay in use after the end of a store outage. Upstreams write them again within 2 s; without
+ * the grace time no upstream at all would be left for a second after each outage.
  */
 const LAPSED_GRACE_MS = 2_300;
-/** A lapsed entry is forgotten late by up to this much. */
+/** How often lapsed entries are checked; one is removed late by up to this much. */
 const SWEEP_INTERVAL_MS = 500;
-/** A cold time that ends later by more than this is a new one, and no delay of the news of the old. */
+/**
+ * A cold time that ends later than the known one by more than this is a new one; a smaller difference is only delayed
+ * news of the old one.
+ */
 const MIN_COLD_EXTENSION_MS = 1_000;
 
-/** See the module; {@link StoreView.config} and {@link StoreView.fleet} are read on each request. */
+/** Follows the store's entries and holds their decoded state: `config` and `fleet` are read on each request. */
 export class StoreView extends Task<StoreViewMessages> {
   readonly name = "beliefs";
   readonly fleet: Fleet;
@@ -114,7 +118,7 @@
     return this.#config;
   }
 
-  /** What this VM says of its news to others. */
+  /** Revisions of the news that this VM announces to others. */
   get revisions(): Revisions {
     return {
       operators: this.#followers.operators.announcedRev,
@@ -122,22 +126,22 @@
     };
   }
 
-  /** How long ago the store itself told this VM the newest configuration. */
+  /** Time since the store itself told this VM the newest configuration. */
   get configAgeMs(): number {
     return this.#clock.monoMs() - this.#followers.operators.answeredMonoMs;
   }
 
-  /** Revision up to which nothing of a matter's news is missing here. */
+  /** Revision up to which this VM lacks no news of a topic. */
   newsRev(topic: NewsTopic): number {
     return this.#followers[topic].newsRev;
   }
 
-  /** Takes in changed settings; upstreams of a new failure domain are used from their next entry on. */
+  /** Applies changed settings. Upstreams of a new failure domain are used from their next entry on. */
   setFailureDomains(failureDomains: Readonly<Record<string, string>>): void {
     this.#failureDomains = failureDomains;
   }
 
-  /** Whether the store answers this VM's questions about upstreams at the moment. */
+  /** Whether the store currently answers this VM's polls for upstreams. */
   get isServed(): boolean {
     const { isFailing, answeredMonoMs } = this.#followers.upstreams;
     return !isFailing &&
@@ -159,7 +163,7 @@
         isReader: this.#options.isReader,
         isNews: () => true,
         isRenewed: false,
-        seal: hashApiKeys,
+        redact: hashApiKeys,
         onPut: (entry) => this.#onOperatorPut(entry),
         onDelete: (key) => this.#onOperatorDelete(key),
       }),
@@ -218,7 +222,7 @@
     });
   }
 
-  /** Upstreams write every second to show that they live; only a change of what they say is told on. */
+  /** Upstreams rewrite their entries every second as a heartbeat; only a changed entry is passed on. */
   #isUpstreamNews(entry: Entry): boolean {
     const before = this.fleet.get(decodeUpstreamId(entry.key));
     try {
@@ -239,7 +243,7 @@
     if (entry.key !== CONFIG_KEY) return;
     try {
       const config = decodeConfig(entry.value);
-      // Versions only go up within a process, whatever a late answer or a peer says.
+      // Within a process the version only goes up: a late answer or another VM may bring an older one.
       if (this.#config && config.version <= this.#config.version) return;
       this.#config = config;
       this.#log.info("config in force", {
@@ -300,7 +304,7 @@
     const id = decodeUpstreamId(key);
     const sinceRecoveryMs = this.#clock.monoMs() -
       this.#followers.upstreams.recoveredMonoMs;
-    // A leaving upstream whose entry goes has left; only a ready one may have lapsed.
+    // A draining upstream whose entry is gone has left; only a ready one may have lapsed.
     if (
       sinceRecoveryMs < LAPSED_GRACE_MS && this.fleet.get(id)?.state === "ready"
     ) {
@@ -329,7 +333,10 @@
     for (const [id, untilMs] of this.#lapsed) {
       if (nowMs < untilMs) continue;
       this.#lapsed.delete(id);
-      this.#removeUpstream(id, "lapsed in an outage and not back");
+      this.#removeUpstream(
+        id,
+        "entry lapsed in a store outage and did not return",
+      );
     }
   }
 }
--- a/src/gateway/suspects.ts
+++ b/src/gateway/suspects.ts
@@ -1,5 +1,6 @@
 /**
- * Requests under which upstreams ended: what this VM saw of them and what others told, and who may run them.
+ * Requests under which upstreams crashed: what this VM saw, what other VMs reported, and who may run such a request
+ * again.
  *
  * @module
  */
@@ -30,11 +31,11 @@
 import type { Members } from "./members.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 
-/** What was told may be lost on the way: it is told again this often. */
+/** How often reported crashes are sent again, since datagrams may be lost. */
 const RESEND_INTERVAL_MS = 2_000;
-/** What had begun as it was given up has ended its upstream by then, if it does. */
+/** Wait after a request was given up: if it had begun and crashes its upstream, it has done so by then. */
 const CRASH_WAIT_MS = 200;
-/** How often the store is asked after a start until it answers. */
+/** How often the store is read after a start, until it answers. */
 const STORE_RETRY_MS = 1_000;
 
 /** Options of {@link Suspects}. */
@@ -49,15 +50,15 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** See the module. */
+/** Records the crashes that this VM sees, and exchanges crashes with other VMs. */
 export class Suspects extends Task {
   readonly name = "suspects";
   readonly #options: SuspectOptions;
   readonly #store: SuspectStore;
   protected readonly handlers: Handlers<Messages> = {};
-  #keeper!: SuspectTracker;
-  #teller!: CrashNotifier;
-  #lateSigns!: RestartWatch;
+  #tracker!: SuspectTracker;
+  #notifier!: CrashNotifier;
+  #restartWatch!: RestartWatch;
   #clock!: Clock;
   #timer: Timer | undefined;
   #isOpen = true;
@@ -79,21 +80,21 @@
     this.#clock = kernel.clock;
     const { clock } = kernel;
     const { datagrams, members, metrics, self } = this.#options;
-    this.#teller = new CrashNotifier(self.region, datagrams, members, clock);
-    this.#lateSigns = new RestartWatch(
+    this.#notifier = new CrashNotifier(self.region, datagrams, members, clock);
+    this.#restartWatch = new RestartWatch(
       this.#options.fleet,
       clock,
-      (digest, loss, lostMs) => void this.#noteEnd(digest, loss, lostMs),
+      (digest, loss, lostMs) => void this.#noteCrash(digest, loss, lostMs),
     );
-    this.#keeper = new SuspectTracker(
-      new SuspectNotifier(this.#teller, metrics, kernel.log),
+    this.#tracker = new SuspectTracker(
+      new SuspectNotifier(this.#notifier, metrics, kernel.log),
       this.#store,
       () => clock.monoMs(),
     );
     datagrams.on("ends", (params) => this.#onCrashes(params));
     this.#timer = clock.every(
       RESEND_INTERVAL_MS,
-      () => this.#keeper.republish(members.leads[0]?.id === self.id),
+      () => this.#tracker.republish(members.leads[0]?.id === self.id),
     );
     void this.#loadRecords();
     return Promise.resolve();
@@ -102,45 +103,45 @@
   close(_deadlineMs: number): Promise<void> {
     this.#isOpen = false;
     this.#timer?.close();
-    this.#teller.close();
-    this.#lateSigns.close();
+    this.#notifier.close();
+    this.#restartWatch.close();
     return Promise.resolve();
   }
 
   dump(): unknown {
-    return this.#keeper.dump();
+    return this.#tracker.dump();
   }
 
-  /** What is known and decided. */
+  /** Holds the known suspects and decides who may run them. */
   get keeper(): SuspectTracker {
-    return this.#keeper;
+    return this.#tracker;
   }
 
   /**
-   * Looks whether an upstream ended under a request that had just begun there, and tells the others. Resolves to the name
-   * of the end if so.
+   * Checks whether an upstream crashed under a request that had just begun there, and tells the other VMs if so.
+   * Resolves to the key of that upstream, or to `undefined`.
    */
   async noteLoss(digest: string, loss: Loss): Promise<string | undefined> {
     const { upstream } = loss;
     const lostMs = this.#clock.monoMs();
-    // An upstream that leaves ends by plan, whatever still runs there.
+    // A draining upstream stops as planned, whatever still runs there.
     const isDraining = this.#options.fleet.get(upstream.id)?.state ===
       "draining";
     if (loss.isGivenUp) await this.#clock.sleep(CRASH_WAIT_MS);
     const reach = await this.#options.losses.probe(upstream);
     if (isDraining || !canBeCause(loss)) return undefined;
-    if (reach === "refused") return this.#noteEnd(digest, loss, lostMs);
-    if (reach === "open") this.#lateSigns.watch(digest, loss, lostMs);
+    if (reach === "refused") return this.#noteCrash(digest, loss, lostMs);
+    if (reach === "open") this.#restartWatch.watch(digest, loss, lostMs);
     return undefined;
   }
 
-  #noteEnd(
+  #noteCrash(
     digest: string,
     { upstream, sentAgoMs }: Loss,
     lostMs: number,
   ): string {
     const sinceLostMs = this.#clock.monoMs() - lostMs;
-    return this.#keeper.noteCrash(
+    return this.#tracker.noteCrash(
       digest,
       upstream.key,
       sentAgoMs + sinceLostMs,
@@ -149,7 +150,7 @@
 
   async #loadRecords(): Promise<void> {
     while (this.#isOpen) {
-      if (await this.#keeper.loadRecords()) return;
+      if (await this.#tracker.loadRecords()) return;
       await this.#clock.sleep(STORE_RETRY_MS);
     }
   }
@@ -157,28 +158,28 @@
   #onCrashes(params: unknown): void {
     const message = decodeCrashes(params);
     if (!message) return;
-    const rows = this.#keeper.merge(message.rows);
+    const rows = this.#tracker.merge(message.rows);
     const { members, self } = this.#options;
     if (rows.length === 0 || !members.isLead) return;
-    this.#teller.notify(rows, message.region === self.region);
+    this.#notifier.notify(rows, message.region === self.region);
   }
 }
 
-/** This VM's ways to the others and the log. */
+/** Passes the tracker's output on to other VMs, the metrics and the log. */
 class SuspectNotifier extends SuspectPublisher {
-  readonly #teller: CrashNotifier;
+  readonly #notifier: CrashNotifier;
   readonly #metrics: GatewayMetrics;
   readonly #log: Log;
 
-  constructor(teller: CrashNotifier, metrics: GatewayMetrics, log: Log) {
+  constructor(notifier: CrashNotifier, metrics: GatewayMetrics, log: Log) {
     super();
-    this.#teller = teller;
+    this.#notifier = notifier;
     this.#metrics = metrics;
     this.#log = log;
   }
 
   publish(rows: readonly CrashRow[]): void {
-    this.#teller.notify(rows, true);
+    this.#notifier.notify(rows, true);
   }
 
   noteEvent({ type, ...fields }: SuspectEvent): void {
@@ -187,7 +188,7 @@
   }
 }
 
-/** The log's line of each event. */
+/** The log event of each suspect event. */
 const SUSPECT_EVENTS: Readonly<Record<SuspectEvent["type"], string>> = {
   ended: "upstream ended under",
   cleared: "suspect cleared",
--- a/src/gateway/vm_registration.ts
+++ b/src/gateway/vm_registration.ts
@@ -1,6 +1,6 @@
 /**
- * The entries in the store by which VMs find each other where no seed answers. Only leads write one, so that neither
- * the entries nor the calls grow with the fleet.
+ * Entries in the store by which VMs find each other if no seed answers. Only leads write one, so that neither the
+ * entries nor the calls grow with the number of VMs.
  *
  * @module
  */
@@ -11,16 +11,19 @@
 import { VM_PREFIX } from "../platform/mod.ts";
 import { isVmRecord, type VmRecord } from "../region/mod.ts";
 
-/** An entry lives this long after its last renewal; who finds an old one asks its VM in vain, and loses nothing. */
+/** Lease time of an entry. A VM that finds an outdated entry contacts its VM in vain, which does no harm. */
 const LEASE_MS = 20_000;
 const RENEW_INTERVAL_MS = 5_000;
-/** A VM that starts leads until it has heard of others; it does not write for that. */
+/** How long a VM has to lead before it writes an entry: a VM that starts leads until it has heard of others. */
 const MIN_LEAD_MS = 3_000;
-/** A lead reads the others' entries this often, so that parts of a region that don't know of each other are joined. */
+/** How often a lead lists the other entries, so that parts of a region that don't know of each other are joined. */
 const LEAD_LIST_INTERVAL_MS = 15_000;
-/** A VM without any other reads them this often: all may be starting, and the first leads are about to write theirs. */
+/**
+ * How often a VM that hears no other lists them: all VMs may be starting, and the first leads are about to write their
+ * entries.
+ */
 const ALONE_LIST_INTERVAL_MS = 1_500;
-/** A seed answers in two ways through the longest link; only then is the store asked. */
+/** Time for a seed's answer, a round trip over the longest link; only then is the store asked. */
 const SEED_WAIT_MS = 400;
 const CHECK_INTERVAL_MS = 500;
 
@@ -34,12 +37,12 @@
   /** Whether there are seeds that may answer before the store is asked. */
   readonly hasSeeds: boolean;
   readonly isLead: () => boolean;
-  /** Whether this VM hears no other of its region. */
+  /** Whether this VM hears from no other VM of its region. */
   readonly isAlone: () => boolean;
   readonly onFound: (vms: readonly VmRecord[]) => void;
 }
 
-/** See the module. */
+/** Maintains this VM's entry while it leads, and lists the entries of other VMs. */
 export class VmRegistration {
   readonly #options: VmRegistrationOptions;
   #leaseId: string | undefined;
@@ -52,7 +55,7 @@
     this.#options = options;
   }
 
-  /** Starts to look after the entry; never throws. */
+  /** Starts to maintain the entry; never throws. */
   start(): void {
     void this.#run();
   }
@@ -91,7 +94,7 @@
   async #discover(nowMs: number): Promise<void> {
     const { store, log, onFound } = this.#options;
     const listing = await store.list(VM_PREFIX, {}, "membership");
-    // A failed reading is made good by the next one; the store's loss is logged by who follows it.
+    // The next listing makes up for a failed one; the followers of the store log its outage.
     if (listing.isErr() || !this.#isOpen) return;
     this.#listedMs = nowMs;
     const found: VmRecord[] = [];
