--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP request to an upstream or another VM, which tells whether any of it was sent.
+ * One HTTP request to an upstream or another VM, with the information whether any of it was sent.
  *
  * @module
  */
--- a/src/gateway/follower.ts
+++ b/src/gateway/follower.ts
@@ -210,7 +210,7 @@
       : event;
   }
 
-  /** Logs outdated state that this VM was told, and who told it; nothing else would show that. */
+  /** Logs outdated state that this VM received, and its sender; nothing else would show that. */
   #logStaleKeys({ staleKeys }: ApplyResult, rev: number, from: string): void {
     if (staleKeys.length === 0) return;
     this.#options.log.info("old word left out", {
@@ -224,7 +224,8 @@
   }
 
   /**
-   * Logs a store whose revisions went back. Its answers can't be told from stale ones, so VMs have to be restarted too.
+   * Logs a store whose revisions went back. Its answers can't be distinguished from stale ones, so VMs have to be
+   * restarted too.
    */
   #logRegression(rev: number): void {
     this.#options.log.error("store went back", {
--- a/src/gateway/line_log.ts
+++ b/src/gateway/line_log.ts
@@ -71,8 +71,8 @@
 
 /**
  * Writes lines within the budgets. Successful requests beyond their budget are sampled by the hash of the attempt's id,
- * so that every VM that had a part in a request keeps or drops it alike. Dropped lines are counted, and the next line
- * that is written tells how many.
+ * so that every VM that had a part in a request keeps or drops it alike. Dropped lines are counted, and the next
+ * written line states their number.
  */
 export class LineLog implements Log {
   readonly #sink: LineSink;
--- a/src/gateway/quotas.ts
+++ b/src/gateway/quotas.ts
@@ -49,7 +49,7 @@
   readonly self: { readonly id: string; readonly region: string };
   /** All regions. */
   readonly regions: readonly string[];
-  /** Whether there are other VMs, heard from or not. */
+  /** Whether there are other VMs, whether or not this one hears them. */
   readonly hasOthers: boolean;
   readonly slack: QuotaSlack;
   readonly datagrams: Datagrams;
@@ -60,13 +60,13 @@
 /** How often shares move: a quarter of the time over which demand is averaged. */
 const TICK_MS = 250;
 /**
- * How long a VM has to be the first lead before it counts for the region: a newer one may only not have heard of
- * another lead yet.
+ * How long a VM has to be the first lead before it counts for the region. Before that, it may lead only because it has
+ * not heard of another lead yet.
  */
 const AUTHORITY_DELAY_MS = 750;
 /** Number of VMs that are assumed to share the limits while this VM has heard of no other since its start. */
 const ASSUMED_VM_COUNT = 128;
-/** Longest retry delay if this VM's local quota is used up: the caller is better off at another VM, soon. */
+/** Longest retry delay if this VM's local quota is used up: the caller should soon try another VM. */
 const MAX_LOCAL_WAIT_MS = 200;
 
 /** Counts the use of each workspace's limit and exchanges shares with other VMs. */
--- a/src/gateway/relays.ts
+++ b/src/gateway/relays.ts
@@ -28,7 +28,7 @@
   readonly region: string;
 }
 
-/** Source of what is known of other regions. */
+/** Source of the latest digests of other regions. */
 export interface OtherRegions {
   otherRegions(): readonly RemoteRegion[];
 }
