--- a/src/gateway/http_listeners.ts
+++ b/src/gateway/http_listeners.ts
@@ -267,7 +267,7 @@
     if (caller.type === "known") {
       if (!caller.workspace || this.#hasRecentKeys()) return caller;
       const cause = failure("noTable", {
-        message: "this VM can't tell whether the key was revoked",
+        message: "whether the key was taken away can't be known here",
       });
       this.#refuse(head, request, reply, cause, NO_CONFIG_RETRY_MS);
       return undefined;
