--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -13,23 +13,14 @@
   type Step,
 } from "../routing/mod.ts";
 import { readBody } from "./body.ts";
-import {
-  BODY_ERROR_CODES,
-  type CallInput,
-  REFUSAL_CODES,
-} from "./call_input.ts";
+import { BODY_CODES, type CallInput, REFUSAL_CODES } from "./call_input.ts";
 import { CallPlacement } from "./call_placement.ts";
 import { CallRecord } from "./call_record.ts";
 import { CallSends, type SendState } from "./call_sends.ts";
 import { CallSuspicion } from "./call_suspicion.ts";
 import type { GatewayContext } from "./context.ts";
 import { waitForNextPoll } from "./next_poll.ts";
-import {
-  type BodyForwarder,
-  createForwarder,
-  EventForwarder,
-  type ForwardResult,
-} from "./body_forwarder.ts";
+import { type BodyPipe, createPipe, EventPipe, type PipeEnd } from "./pipe.ts";
 import type { Reply } from "./reply.ts";
 import { RelaySend } from "./relay_send.ts";
 import type { Answered, Send, Unanswered } from "./send.ts";
@@ -46,7 +37,7 @@
 const MAX_TRIES = 4;
 
 /** What another VM knows against a request holds here too, though this one was not told yet. */
-const NO_RETRY_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
+const FINAL_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
   "endsUpstreams",
   "onTrialElsewhere",
 ]);
@@ -64,7 +55,7 @@
   readonly #suspicion: CallSuspicion;
   #body: Buffer = Buffer.alloc(0);
   #send: Send | undefined;
-  #forwarder: BodyForwarder | undefined;
+  #pipe: BodyPipe | undefined;
   readonly #mover: StreamMover;
   #moveResult: MoveResult | undefined;
   #mayHaveRun = false;
@@ -115,7 +106,7 @@
         bodies,
         (run) => this.#reply.onClosed(run),
       );
-      if (body.isErr()) this.#fail(failure(BODY_ERROR_CODES[body.error]), 0);
+      if (body.isErr()) this.#fail(failure(BODY_CODES[body.error]), 0);
       else {
         this.#body = body.value;
         this.#suspicion.body = body.value;
@@ -179,9 +170,7 @@
   /** Does a step; returns the send that it began. */
   #startStep(step: Step<LinkedCandidate>): Send | undefined {
     if (step.type === "wait") return undefined;
-    if (step.type !== "refuse") {
-      return this.#sends.open(step, this.#sendState());
-    }
+    if (step.type !== "refuse") return this.#sends.open(step, this.#state());
     this.#refuse(step);
     return undefined;
   }
@@ -190,23 +179,17 @@
   async #continueMoved({ candidate, goesOnFrom }: MoveResult): Promise<void> {
     this.#moveResult = undefined;
     this.#mayHaveRun = true;
-    const send = this.#sends.continueMoved(
-      candidate,
-      goesOnFrom,
-      this.#sendState(),
-    );
-    if (!send) {
-      return this.#handleBrokenStream("the engine that it moved to is gone");
-    }
+    const send = this.#sends.continueAt(candidate, goesOnFrom, this.#state());
+    if (!send) return this.#handleBreak("the engine that it moved to is gone");
     await this.#runSend(send);
   }
 
   /** What the next send of the request carries. */
-  #sendState(): SendState {
+  #state(): SendState {
     return {
       body: this.#body,
-      lastEventId: this.#forwarder instanceof EventForwarder
-        ? this.#forwarder.lastEventId
+      lastEventId: this.#pipe instanceof EventPipe
+        ? this.#pipe.lastEventId
         : undefined,
       onStreamCheck: this.#onStreamCheck,
       isSuspect: this.#suspicion.isSuspect,
@@ -232,9 +215,9 @@
         return;
       }
       if (this.#reply.hasStarted && head.decoded.status !== 200) {
-        return this.#handleBrokenStream(`resumed with ${head.decoded.status}`);
+        return this.#handleBreak(`resumed with ${head.decoded.status}`);
       }
-      const result = await this.#forwardBody(send, head);
+      const result = await this.#pipeBody(send, head);
       if (this.#isOver) return;
       if (result === "whole") {
         this.#reply.end();
@@ -245,7 +228,7 @@
       if (this.#isOver || this.#moveResult) return;
       send.noteBroken();
       await this.#noteLoss(send);
-      if (!this.#isOver) this.#handleBrokenStream("upstream broke off");
+      if (!this.#isOver) this.#handleBreak("upstream broke off");
     } finally {
       send.close();
     }
@@ -257,30 +240,21 @@
     return this.#suspicion.noteLoss(send, isRepeatable(route) || relayed);
   }
 
-  #forwardBody(
-    send: Send,
-    { answer, decoded }: Answered,
-  ): Promise<ForwardResult> {
-    if (!this.#forwarder) {
+  #pipeBody(send: Send, { answer, decoded }: Answered): Promise<PipeEnd> {
+    if (!this.#pipe) {
       this.#reply.start(decoded.status, decoded.headers, decoded.bodyBytes);
-      this.#forwarder = createForwarder(
-        this.#reply,
-        this.#canResumeElsewhere(),
-        () => {
-          this.#send?.noteChunk();
-          this.#record.noteChunk();
-          this.#suspicion.noteChunk();
-        },
-      );
-    } else if (this.#forwarder instanceof EventForwarder) {
-      this.#forwarder.dropPartial();
-    }
+      this.#pipe = createPipe(this.#reply, this.#canResume(), () => {
+        this.#send?.noteChunk();
+        this.#record.noteChunk();
+        this.#suspicion.noteChunk();
+      });
+    } else if (this.#pipe instanceof EventPipe) this.#pipe.dropPartial();
     this.#send = send;
-    return this.#forwarder.run(answer);
+    return this.#pipe.run(answer);
   }
 
   /** Whether the answer may go on from another upstream. */
-  #canResumeElsewhere(): boolean {
+  #canResume(): boolean {
     const { route, relayed } = this.#input;
     const { engine } = this.#service;
     // The VM that the caller is connected to resumes; a second one would count its sends from zero.
@@ -293,24 +267,19 @@
   readonly #onStreamCheck = (): void => {
     const send = this.#send;
     if (this.#suspicion.isSuspect) return;
-    if (
-      !(send instanceof UpstreamSend &&
-        this.#forwarder instanceof EventForwarder)
-    ) {
+    if (!(send instanceof UpstreamSend && this.#pipe instanceof EventPipe)) {
       return;
     }
     this.#mover.considerMove(
       send.candidate,
-      this.#forwarder.events,
+      this.#pipe.events,
       () => this.#placement.candidatesExcept(send.candidate),
     );
   };
 
   /** Whether a failed answer is left aside for another send. */
   #retryFailedAnswer({ answer, decoded }: Answered): boolean {
-    if (!this.#placement.hasLocalAlternative() || !this.#tryTakeRetry(true)) {
-      return false;
-    }
+    if (!this.#placement.hasRoomHere() || !this.#takeRetry(true)) return false;
     answer.resume();
     this.#mayHaveRun = true;
     this.#record.noteRetry(`upstream answered ${decoded.status}`);
@@ -322,8 +291,8 @@
     if (send instanceof RelaySend && !head.wasSent) {
       this.#placement.forgetTriedRegion(send.region);
     }
-    if (head.endedUpstream !== undefined) {
-      this.#suspicion.noteEndElsewhere(head.endedUpstream);
+    if (head.crashedUpstream !== undefined) {
+      this.#suspicion.noteRemoteCrash(head.crashedUpstream);
     }
     if (head.wasAccepted) this.#record.sends++;
     this.#record.arrivals += head.arrivals;
@@ -331,9 +300,7 @@
     // A moved stream that its new engine turns away has run all the same.
     const mayHaveRun = head.mayHaveRun || this.#reply.hasStarted;
     this.#mayHaveRun ||= mayHaveRun;
-    if (
-      !NO_RETRY_CODES.has(head.failure.code) && this.#tryTakeRetry(mayHaveRun)
-    ) {
+    if (!FINAL_CODES.has(head.failure.code) && this.#takeRetry(mayHaveRun)) {
       return this.#record.noteRetry(head.reason);
     }
     this.#fail(
@@ -346,20 +313,17 @@
   }
 
   /** A stream broke in the middle: it goes on at another upstream, or the caller's connection breaks too. */
-  #handleBrokenStream(reason: string): void {
+  #handleBreak(reason: string): void {
     this.#mayHaveRun = true;
     const { relayed } = this.#input;
-    if (
-      this.#forwarder instanceof EventForwarder && !relayed &&
-      this.#tryTakeRetry(true)
-    ) {
+    if (this.#pipe instanceof EventPipe && !relayed && this.#takeRetry(true)) {
       return this.#record.noteRetry(reason);
     }
     this.#finish("streamBroken", reason);
     this.#reply.abort();
   }
 
-  #tryTakeRetry(mayHaveRun: boolean): boolean {
+  #takeRetry(mayHaveRun: boolean): boolean {
     const { route } = this.#input;
     const { clock, members } = this.#context;
     const isAllowed = this.#record.tries < MAX_TRIES && canRetry({
@@ -406,8 +370,8 @@
     this.#finish(cause.code, reason, comeBackMs);
     if (this.#reply.hasStarted) this.#reply.abort();
     else {
-      const { arrivals, endedUpstream } = this.#record;
-      this.#reply.fail(cause, comeBackMs, { arrivals, endedUpstream });
+      const { arrivals, crashedUpstream } = this.#record;
+      this.#reply.fail(cause, comeBackMs, { arrivals, crashedUpstream });
     }
   }
 
--- a/src/gateway/call_input.ts
+++ b/src/gateway/call_input.ts
@@ -12,7 +12,7 @@
 import type { BodyError } from "./body.ts";
 
 /** The result code of each {@link BodyError}. */
-export const BODY_ERROR_CODES: Record<BodyError, CodeName> = {
+export const BODY_CODES: Record<BodyError, CodeName> = {
   tooLarge: "bodyTooLarge",
   noMemory: "queueFull",
   broken: "canceled",
--- a/src/gateway/call_placement.ts
+++ b/src/gateway/call_placement.ts
@@ -148,7 +148,7 @@
    * Whether an upstream of this region has room for one more try. An upstream's own failure is passed on otherwise: a
    * caller that comes back with a new attempt is served sooner than by a hand-over, and the answer is true.
    */
-  hasLocalAlternative(): boolean {
+  hasRoomHere(): boolean {
     const step = this.nextLocally();
     return step.type === "send" &&
       hasRoom(step.candidate, this.#placeTerms());
--- a/src/gateway/call_record.ts
+++ b/src/gateway/call_record.ts
@@ -33,7 +33,7 @@
   /** Sends that were tried, connections that failed included. */
   tries = 0;
   /** The upstream that ended as the request began to run there. */
-  endedUpstream: string | undefined;
+  crashedUpstream: string | undefined;
   /** Times that the stream went on at another engine, with its memory. */
   moves = 0;
   #refusalFields: Readonly<Record<string, unknown>> = {};
@@ -115,11 +115,15 @@
 
   /** Upstreams ended under it before. */
   noteSuspect(
-    standing: SuspectStatus,
+    status: SuspectStatus,
     digest: string,
-    ends: readonly string[],
+    crashes: readonly string[],
   ): void {
-    this.#suspicionFields = { request: digest, standing, ends: ends.join() };
+    this.#suspicionFields = {
+      request: digest,
+      standing: status,
+      ends: crashes.join(),
+    };
   }
 
   /** The request is sent once more. */
--- a/src/gateway/call_sends.ts
+++ b/src/gateway/call_sends.ts
@@ -70,7 +70,7 @@
   }
 
   /** A stream that was stopped in order to move goes on; `undefined` if its new engine is gone. */
-  continueMoved(
+  continueAt(
     candidate: LinkedCandidate,
     goesOnFrom: string,
     state: SendState,
@@ -171,6 +171,6 @@
     const { clock, members } = context;
     return context.retryBudget(service.name)
       .canTake(clock.monoMs(), members.vmCount()) &&
-      (places.nextLocally().type === "relay" || places.hasLocalAlternative());
+      (places.nextLocally().type === "relay" || places.hasRoomHere());
   }
 }
--- a/src/gateway/call_suspicion.ts
+++ b/src/gateway/call_suspicion.ts
@@ -40,7 +40,7 @@
 
   /** Whether it is placed where an end harms least. */
   get isSuspect(): boolean {
-    return this.#hasEarlyRelayLoss || this.#standing !== "clear";
+    return this.#hasEarlyRelayLoss || this.#status !== "clear";
   }
 
   /** Whether this VM, or the one that handed it over, has the leave to run it although it is on trial. */
@@ -50,17 +50,17 @@
 
   /** Whether it may be placed now. */
   async checkMayRun(): Promise<SuspectVerdict> {
-    const standing = this.#standing;
-    if (standing === "clear") {
+    const status = this.#status;
+    if (status === "clear") {
       return { type: "runs", hasLeave: this.#isTrialRun };
     }
     const { metrics } = this.#context;
-    const ends = this.#keeper.crashedUpstreams(this.#digest);
-    this.#record.noteSuspect(standing, this.#digest, ends);
-    const verdict = await this.#keeper.decide(this.#digest, this.#isTrialRun);
+    const crashes = this.#tracker.crashedUpstreams(this.#digest);
+    this.#record.noteSuspect(status, this.#digest, crashes);
+    const verdict = await this.#tracker.decide(this.#digest, this.#isTrialRun);
     if (verdict.type === "runs") this.#isTrialRun = verdict.hasLeave;
     const outcome = verdict.type === "runs" ? verdict.type : verdict.code;
-    metrics.count("suspects", `standing="${standing}",outcome="${outcome}"`);
+    metrics.count("suspects", `standing="${status}",outcome="${outcome}"`);
     return verdict;
   }
 
@@ -73,33 +73,35 @@
   noteChunk(): void {
     const nowMs = this.#context.clock.monoMs();
     this.#beganMonoMs ??= nowMs;
-    if (!this.#keeper.hasSuspects) return;
+    if (!this.#tracker.hasSuspects) return;
     if (hasSurvived(nowMs - this.#beganMonoMs)) {
-      this.#keeper.clear(this.#digest);
+      this.#tracker.clear(this.#digest);
     }
   }
 
   /** It was answered whole, by an upstream that is still there. */
   noteServed(): void {
-    if (this.#keeper.hasSuspects) this.#keeper.clear(this.#digest);
+    if (this.#tracker.hasSuspects) this.#tracker.clear(this.#digest);
   }
 
   /** A send was lost. Waits until it is known whether its upstream ended, where the request may go on elsewhere. */
-  async noteLoss(send: Send, mayGoOn: boolean): Promise<void> {
+  async noteLoss(send: Send, canContinue: boolean): Promise<void> {
     const { loss } = send;
     if (loss) {
       if (!loss.isGivenUp) this.#record.noteLoss(loss, this.#digest);
       const noted = this.#context.suspects.noteLoss(this.#digest, loss);
       // What was given up for want of time must not wait longer to learn why.
-      if (mayGoOn && !loss.isGivenUp) this.#record.endedUpstream = await noted;
+      if (canContinue && !loss.isGivenUp) {
+        this.#record.crashedUpstream = await noted;
+      }
     } else if (send instanceof RelaySend) {
       this.#hasEarlyRelayLoss ||= this.#mayBeCause;
     }
   }
 
   /** The VM that the request was handed to says that an upstream ended under it. */
-  noteEndElsewhere(upstreamKey: string): void {
-    this.#keeper.noteRemoteCrash(this.#digest, upstreamKey);
+  noteRemoteCrash(upstreamKey: string): void {
+    this.#tracker.noteRemoteCrash(this.#digest, upstreamKey);
   }
 
   get #mayBeCause(): boolean {
@@ -111,13 +113,13 @@
     );
   }
 
-  get #keeper(): SuspectTracker {
+  get #tracker(): SuspectTracker {
     return this.#context.suspects.keeper;
   }
 
-  get #standing(): SuspectStatus {
-    return this.#keeper.hasSuspects
-      ? this.#keeper.statusOf(this.#digest)
+  get #status(): SuspectStatus {
+    return this.#tracker.hasSuspects
+      ? this.#tracker.statusOf(this.#digest)
       : "clear";
   }
 
--- a/src/gateway/body_forwarder.ts
+++ b/src/gateway/pipe.ts
@@ -9,7 +9,7 @@
 import type { Reply } from "./reply.ts";
 
 /** Whether an answer came to its end. */
-export type ForwardResult = "whole" | "broken";
+export type PipeEnd = "whole" | "broken";
 
 /** Whether the answer says itself where it ends; otherwise it ends with its connection. */
 function isFramed({ headers }: IncomingMessage): boolean {
@@ -30,7 +30,7 @@
 }
 
 /** Passes one reply's bytes on, from one answer or, after a break, from several. It neither ends nor breaks the reply. */
-export abstract class BodyForwarder {
+export abstract class BodyPipe {
   readonly #reply: Reply;
   readonly #onChunk: () => void;
 
@@ -47,10 +47,10 @@
   protected abstract flush(): Buffer | undefined;
 
   /** Passes an answer's body on until it ends or breaks. */
-  run(answer: IncomingMessage): Promise<ForwardResult> {
+  run(answer: IncomingMessage): Promise<PipeEnd> {
     return new Promise((resolve) => {
       let isOver = false;
-      const finish = (result: ForwardResult) => {
+      const finish = (result: PipeEnd) => {
         if (isOver) return;
         isOver = true;
         if (result === "whole") this.#write(answer, this.flush());
@@ -80,7 +80,7 @@
 }
 
 /** Passes bytes on as they come. */
-export class RawForwarder extends BodyForwarder {
+export class RawPipe extends BodyPipe {
   protected takeChunk(chunk: Buffer): Buffer {
     return chunk;
   }
@@ -97,7 +97,7 @@
  * Passes whole events on and remembers the last one's id. An upstream may stop in the middle of an event; the part is
  * dropped, so that another upstream can go on after the last whole one.
  */
-export class EventForwarder extends BodyForwarder {
+export class EventPipe extends BodyPipe {
   #partial: Buffer = Buffer.alloc(0);
   #lastEventId: string | undefined;
   /** Whole events that were passed on. */
@@ -138,12 +138,12 @@
 }
 
 /** Passes an answer on; `needsEvents` if it may go on from another upstream after a break. */
-export function createForwarder(
+export function createPipe(
   reply: Reply,
   isResumable: boolean,
   onChunk: () => void,
-): BodyForwarder {
+): BodyPipe {
   return isResumable
-    ? new EventForwarder(reply, onChunk)
-    : new RawForwarder(reply, onChunk);
+    ? new EventPipe(reply, onChunk)
+    : new RawPipe(reply, onChunk);
 }
--- a/src/gateway/placer.ts
+++ b/src/gateway/placer.ts
@@ -56,9 +56,9 @@
 const MAX_ADMIT_TRIES = 3;
 
 /** A caller that came back sooner would spend most of the time on its new connection. */
-const MIN_RETRY_AFTER_MS = 50;
+const MIN_RETRY_MS = 50;
 /** A limit of next to nothing frees in hours; callers may look again after this long. */
-const MAX_RETRY_AFTER_MS = 60_000;
+const MAX_RETRY_MS = 60_000;
 /** Spreads the return of callers beyond their limit over this much of the time that they wait. */
 const RETRY_JITTER_SHARE = 0.5;
 
@@ -106,7 +106,7 @@
   readonly #pending = new Map<number, PendingQuery>();
   /** Questions whose answer does not show yet in what this VM has under way. */
   readonly #unsettled = new Set<number>();
-  readonly #leadHealth = new Map<string, LeadHealth>();
+  readonly #leads = new Map<string, LeadHealth>();
   protected readonly handlers: Handlers<Messages> = {};
   #context!: PlacementContext;
   #clock!: Clock;
@@ -150,7 +150,7 @@
     return {
       open: this.#pending.size,
       asked: this.settledQueryId,
-      leads: Object.fromEntries(this.#leadHealth),
+      leads: Object.fromEntries(this.#leads),
     };
   }
 
@@ -189,12 +189,8 @@
       const isCounted = "counted" in verdict && verdict.counted === true;
       const counted: CountedStep = isCounted
         ? { step, countedBy: "lead" }
-        : this.#countUse(step, request);
-      return {
-        ...this.#recordPlacement("lead", counted.step),
-        ...counted,
-        settle,
-      };
+        : this.#charge(step, request);
+      return { ...this.#record("lead", counted.step), ...counted, settle };
     }
     settle();
     return this.#placeWithoutLead(verdict ? "behind" : "mute", request);
@@ -202,15 +198,12 @@
 
   #placeWithoutLead(by: string, request: PlacementRequest): PlacedStep {
     const counted = this.#checkQuota(request) ??
-      this.#countUse(this.placeLocally(request), request);
-    return { ...this.#recordPlacement(by, counted.step), ...counted };
+      this.#charge(this.placeLocally(request), request);
+    return { ...this.#record(by, counted.step), ...counted };
   }
 
   /** Counts the use of a request that is sent; one that does not fit is refused. */
-  #countUse(
-    step: Step<LinkedCandidate>,
-    request: PlacementRequest,
-  ): CountedStep {
+  #charge(step: Step<LinkedCandidate>, request: PlacementRequest): CountedStep {
     const { quota } = request;
     if (!quota || (step.type !== "send" && step.type !== "relay")) {
       return { step };
@@ -232,8 +225,7 @@
         type: "refuse",
         reason: "overQuota",
         comeBackMs: Math.ceil(
-          Math.min(Math.max(waitMs, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS) *
-            spread,
+          Math.min(Math.max(waitMs, MIN_RETRY_MS), MAX_RETRY_MS) * spread,
         ),
         here: 0,
         elsewhere: [],
@@ -241,7 +233,7 @@
     };
   }
 
-  #recordPlacement(by: string, step: Step<LinkedCandidate>): PlacedStep {
+  #record(by: string, step: Step<LinkedCandidate>): PlacedStep {
     this.#options.metrics.count("placed", `by="${by}"`);
     return { step, settle: () => {} };
   }
@@ -255,7 +247,7 @@
     if (members.hearsAll && !quota) return undefined;
     const nowMs = this.#clock.monoMs();
     const lead = members.leads.find(({ id }) =>
-      (this.#leadHealth.get(id)?.muteUntilMs ?? 0) <= nowMs
+      (this.#leads.get(id)?.muteUntilMs ?? 0) <= nowMs
     );
     return lead?.id === self.id ? undefined : lead;
   }
@@ -281,7 +273,7 @@
       const query = encodeQuery(request, {
         question: queryId,
         from: self.id,
-        lost: upstreams.aside(),
+        lost: upstreams.asideKeys(),
         nowMs: this.#clock.monoMs(),
       });
       datagrams.send("place", query, [lead.ip]);
@@ -290,16 +282,15 @@
 
   #noteLeadAnswer(leadId: string, hasAnswered: boolean): void {
     if (hasAnswered) {
-      this.#leadHealth.delete(leadId);
+      this.#leads.delete(leadId);
       return;
     }
-    const health = this.#leadHealth.get(leadId) ??
-      { misses: 0, muteUntilMs: 0 };
+    const health = this.#leads.get(leadId) ?? { misses: 0, muteUntilMs: 0 };
     health.misses++;
     if (health.misses >= MISSES_BEFORE_BACKOFF) {
       health.muteUntilMs = this.#clock.monoMs() + LEAD_BACKOFF_MS;
     }
-    this.#leadHealth.set(leadId, health);
+    this.#leads.set(leadId, health);
   }
 
   /** `undefined` if the lead chose an upstream that is not known here. */
@@ -349,7 +340,7 @@
     const countsQuota = quota !== undefined && quotas.isAuthority;
     const refusal = countsQuota ? this.#checkQuota(request) : undefined;
     if (refusal) return { ...refusal.step, counted: true };
-    const countUse = () => {
+    const charge = () => {
       if (!countsQuota) return {};
       quotas.take(quota);
       return { counted: true } as const;
@@ -360,19 +351,13 @@
         const waitMs = Math.max(MIN_WAIT_MS, step.untilMs - nowMs);
         return { type: "wait", waitMs };
       }
-      if (step.type === "relay") return { ...step, ...countUse() };
+      if (step.type === "relay") return { ...step, ...charge() };
       if (step.type !== "send") return step;
       const { candidate } = step;
       if (!upstreams.tryAdmit(candidate, service, prompt)) continue;
       const { key, running, waitingTokens } = candidate;
       const unreadTokens = service.engine ? candidate.unreadTokens : 0;
-      members.book.grant(
-        query.from,
-        query.question,
-        key,
-        unreadTokens,
-        nowMs,
-      );
+      members.book.grant(query.from, query.question, key, unreadTokens, nowMs);
       const fetchFrom = upstreams.pickFetchSource(
         candidate,
         service,
@@ -383,7 +368,7 @@
         type: "send",
         upstreamKey: key,
         grant: { running, waitingTokens, unreadTokens, fetchFrom },
-        ...countUse(),
+        ...charge(),
       };
     }
     return { type: "wait", waitMs: MIN_WAIT_MS };
--- a/src/gateway/placer_test.ts
+++ b/src/gateway/placer_test.ts
@@ -49,7 +49,7 @@
         },
       },
       members: { hearsAll: false, leads: [{ id: "vm-2", ip: "10.0.0.2" }] },
-      upstreams: { aside: () => [] },
+      upstreams: { asideKeys: () => [] },
       metrics,
     } as unknown as PlacerOptions);
     await placer.start({ clock: systemClock } as unknown as Kernel);
--- a/src/gateway/relay_send.ts
+++ b/src/gateway/relay_send.ts
@@ -100,7 +100,7 @@
       mayHaveRun,
       wasAccepted: mayHaveRun,
       arrivals: peerFailure.arrivals,
-      endedUpstream: peerFailure.endedUpstream,
+      crashedUpstream: peerFailure.crashedUpstream,
       reason: `${this.#target.ip} answered ${peerFailure.failure.code}`,
       failure: peerFailure.failure,
       comeBackMs: peerFailure.comeBackMs,
--- a/src/gateway/reply.ts
+++ b/src/gateway/reply.ts
@@ -102,7 +102,7 @@
   /** How many upstreams the request came to. */
   readonly arrivals: number;
   /** The upstream that ended as it began to run there. */
-  readonly endedUpstream: string | undefined;
+  readonly crashedUpstream: string | undefined;
 }
 
 /** A reply to a caller. */
@@ -160,9 +160,9 @@
   fail(
     failure: Failure,
     comeBackMs: number,
-    { arrivals, endedUpstream }: FailureDetails = {
+    { arrivals, crashedUpstream }: FailureDetails = {
       arrivals: 0,
-      endedUpstream: undefined,
+      crashedUpstream: undefined,
     },
   ): void {
     this.response.writeHead(codes[failure.code].httpStatus, [
@@ -174,9 +174,9 @@
       String(comeBackMs),
       RELAY_HEADERS.arrivals,
       String(arrivals),
-      ...(endedUpstream === undefined
+      ...(crashedUpstream === undefined
         ? []
-        : [RELAY_HEADERS.endedUpstream, endedUpstream]),
+        : [RELAY_HEADERS.endedUpstream, crashedUpstream]),
       "Content-Length",
       "0",
     ]);
@@ -191,7 +191,7 @@
   /** How many upstreams the request came to there. */
   readonly arrivals: number;
   /** The upstream that ended under it there. */
-  readonly endedUpstream: string | undefined;
+  readonly crashedUpstream: string | undefined;
 }
 
 /** Reads a failure that another VM answered with; `undefined` if it passed an upstream's answer on. */
@@ -211,6 +211,6 @@
     },
     comeBackMs: Number(headers[RELAY_HEADERS.comeBackMs]) || 0,
     arrivals: Number(headers[RELAY_HEADERS.arrivals]) || 0,
-    endedUpstream: typeof ended === "string" ? ended : undefined,
+    crashedUpstream: typeof ended === "string" ? ended : undefined,
   };
 }
--- a/src/gateway/send.ts
+++ b/src/gateway/send.ts
@@ -68,7 +68,7 @@
   /** How many upstreams it came to, those included that turned it away. */
   readonly arrivals: number;
   /** The upstream that ended under it, by the VM that the request was handed to. */
-  readonly endedUpstream?: string | undefined;
+  readonly crashedUpstream?: string | undefined;
   readonly reason: string;
   readonly failure: Failure;
   readonly comeBackMs: number;
--- a/src/gateway/upstreams.ts
+++ b/src/gateway/upstreams.ts
@@ -217,7 +217,7 @@
   }
 
   /** Upstreams that this VM itself has lost a moment ago. */
-  aside(): string[] {
+  asideKeys(): string[] {
     const nowMs = this.#clock.monoMs();
     return [...this.#links].filter(([, { health }]) => health.isAside(nowMs))
       .map(([key]) => key);
