--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -1,5 +1,5 @@
 /**
- * The life of one request on this VM: read, placed, sent, perhaps sent again or handed over, answered.
+ * Handles one request: reads its body, places and sends it, retries or relays it if needed, and forwards the answer.
  *
  * @module
  */
@@ -29,20 +29,20 @@
 import type { LinkedCandidate } from "./upstream_link.ts";
 
 /**
- * A process that is further behind than this reads requests whose callers have left meanwhile; it looks whether they have
- * before it sends them on, as an upstream would work for nobody.
+ * Event loop lag above which callers may have left before their requests are read. The process then checks for that
+ * before it sends a request, so that no upstream works for a caller that has left.
  */
 const HIGH_LAG_MS = 50;
-/** Tries of one request, connections that failed included: each costs up to a quarter of a second. */
+/** Maximum sends of one request, failed connects included. Each costs up to a quarter of a second. */
 const MAX_TRIES = 4;
 
-/** What another VM knows against a request holds here too, though this one was not told yet. */
+/** Final failures: what another VM knows against a request holds here too, even if this VM was not told yet. */
 const FINAL_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
   "endsUpstreams",
   "onTrialElsewhere",
 ]);
 
-/** See the module. */
+/** Runs one request of a caller, or one that another VM relayed. */
 export class Call {
   readonly #context: GatewayContext;
   readonly #input: CallInput;
@@ -91,7 +91,7 @@
     });
   }
 
-  /** Runs the request to its end; never throws. */
+  /** Runs the request to its end. Never rejects. */
   async run(): Promise<void> {
     const { clock, bodies } = this.#context;
     const timer = clock.after(
@@ -129,7 +129,7 @@
     }
   }
 
-  /** The other side left: whatever is under way is given up, so that no upstream works for nobody. */
+  /** Cancels the request because the other side has left, so that no upstream keeps working for it. */
   cancel(): void {
     if (this.#isOver) return;
     this.#finish("canceled", "caller left");
@@ -158,7 +158,7 @@
     }
   }
 
-  /** Node takes one new connection a turn, so that a busy process reads a first request seconds after it was sent. */
+  /** Whether the caller may have left before its request was read; see {@link CallInput.isFirst}. */
   get #mayBeStale(): boolean {
     return this.#input.isFirst || this.#isLagging;
   }
@@ -167,7 +167,7 @@
     return this.#context.members.lagMs > HIGH_LAG_MS;
   }
 
-  /** Does a step; returns the send that it began. */
+  /** Executes a step; returns the send that it started, if any. */
   #startStep(step: Step<LinkedCandidate>): Send | undefined {
     if (step.type === "wait") return undefined;
     if (step.type !== "refuse") return this.#sends.open(step, this.#state());
@@ -175,7 +175,7 @@
     return undefined;
   }
 
-  /** A stream that was stopped in order to move goes on at its new engine. */
+  /** Continues a stream that was stopped in order to move, at its new engine. */
   async #continueMoved({ candidate, goesOnFrom }: MoveResult): Promise<void> {
     this.#moveResult = undefined;
     this.#mayHaveRun = true;
@@ -184,7 +184,7 @@
     await this.#runSend(send);
   }
 
-  /** What the next send of the request carries. */
+  /** Returns the state of the request that its next send depends on. */
   #state(): SendState {
     return {
       body: this.#body,
@@ -197,7 +197,7 @@
     };
   }
 
-  /** Follows one send to its end; returns with the call over, or ready for the next step. */
+  /** Runs one send to its end. Returns when the request is over, or ready for its next step. */
   async #runSend(send: Send): Promise<void> {
     this.#record.tries++;
     this.#send = send;
@@ -215,7 +215,7 @@
         return;
       }
       if (this.#reply.hasStarted && head.decoded.status !== 200) {
-        return this.#handleBreak(`resumed with ${head.decoded.status}`);
+        return this.#handleBreak(`resumed with status ${head.decoded.status}`);
       }
       const result = await this.#pipeBody(send, head);
       if (this.#isOver) return;
@@ -234,7 +234,7 @@
     }
   }
 
-  /** A send was lost; what may go on elsewhere waits until it is known whether it has ended its upstream. */
+  /** Notes a lost send. What may continue elsewhere waits until it is known whether the send crashed its upstream. */
   #noteLoss(send: Send): Promise<void> {
     const { route, relayed } = this.#input;
     return this.#suspicion.noteLoss(send, isRepeatable(route) || relayed);
@@ -253,17 +253,17 @@
     return this.#pipe.run(answer);
   }
 
-  /** Whether the answer may go on from another upstream. */
+  /** Whether the answer may be continued by another upstream. */
   #canResume(): boolean {
     const { route, relayed } = this.#input;
     const { engine } = this.#service;
-    // The VM that the caller is connected to resumes; a second one would count its sends from zero.
+    // Only the VM that the caller is connected to resumes; a second one would count its sends from zero.
     const isResumable = route.resumable && !relayed;
     return route.kind === "stream" &&
       (engine?.moves === true || isResumable);
   }
 
-  /** Looks whether a stream is better off at another engine. */
+  /** Checks whether a stream should move to another engine. */
   readonly #onStreamCheck = (): void => {
     const send = this.#send;
     if (this.#suspicion.isSuspect) return;
@@ -277,7 +277,7 @@
     );
   };
 
-  /** Whether a failed answer is left aside for another send. */
+  /** Discards a failed answer if another send is allowed and likely to be served. Returns whether it does. */
   #retryFailedAnswer({ answer, decoded }: Answered): boolean {
     if (!this.#placement.hasRoomHere() || !this.#takeRetry(true)) return false;
     answer.resume();
@@ -287,7 +287,7 @@
   }
 
   #handleUnanswered(send: Send, head: Unanswered): void {
-    // A VM that is gone says nothing of its region: another one there may take the request.
+    // A VM that can't be reached says nothing about its region: another VM there may take the request.
     if (send instanceof RelaySend && !head.wasSent) {
       this.#placement.forgetTriedRegion(send.region);
     }
@@ -297,7 +297,7 @@
     if (head.wasAccepted) this.#record.sends++;
     this.#record.arrivals += head.arrivals;
     this.#lastFailure = head.failure;
-    // A moved stream that its new engine turns away has run all the same.
+    // A moved stream has run, even if its new engine refuses it.
     const mayHaveRun = head.mayHaveRun || this.#reply.hasStarted;
     this.#mayHaveRun ||= mayHaveRun;
     if (!FINAL_CODES.has(head.failure.code) && this.#takeRetry(mayHaveRun)) {
@@ -312,7 +312,7 @@
     );
   }
 
-  /** A stream broke in the middle: it goes on at another upstream, or the caller's connection breaks too. */
+  /** Handles a stream that broke off: another upstream resumes it, or the caller's connection is aborted too. */
   #handleBreak(reason: string): void {
     this.#mayHaveRun = true;
     const { relayed } = this.#input;
@@ -333,7 +333,7 @@
       mostUpstreams: this.#input.mostUpstreams,
     });
     if (!isAllowed) return false;
-    // Until it came to an upstream, another try is the first arrival anywhere and costs nothing of the budget.
+    // Until an upstream has received it, another send is the first to arrive and takes nothing from the retry budget.
     return this.#record.arrivals === 0 ||
       this.#context.retryBudget(this.#service.name).tryTake(
         clock.monoMs(),
@@ -347,7 +347,7 @@
     this.#refuseRun(REFUSAL_CODES[step.reason], step.comeBackMs);
   }
 
-  /** Refuses to run the request; one that may have run already can't be told that it has not. */
+  /** Refuses the request. One that may have run fails instead, as a refusal would say that it has not run. */
   #refuseRun(code: CodeName, comeBackMs: number): void {
     if (!this.#mayHaveRun) return this.#fail(failure(code), comeBackMs);
     this.#fail(this.#lastFailure ?? failure("upstreamFailed"), 0);
--- a/src/gateway/call_input.ts
+++ b/src/gateway/call_input.ts
@@ -1,5 +1,5 @@
 /**
- * A request as a listener takes it, and how a body that cannot be read is answered.
+ * A request as a listener receives it, and the result codes of unreadable bodies and of refusals.
  *
  * @module
  */
@@ -18,29 +18,32 @@
   broken: "canceled",
 };
 
-/** What a caller is told of each reason to refuse. */
+/** The result code of each reason to refuse a request. */
 export const REFUSAL_CODES = {
   noUpstream: "noUpstream",
   overloaded: "queueFull",
   overQuota: "rateLimited",
 } as const;
 
-/** A request as a listener takes it. */
+/** A request as a listener receives it. */
 export interface CallInput {
   readonly request: IncomingMessage;
   readonly head: CallerHead;
   readonly route: Route;
   readonly config: GatewayConfig;
-  /** Who calls, and what its workspace changes of the route. */
+  /** The caller, and what its workspace changes of the route. */
   readonly caller: KnownCaller;
   /** Deadline on the monotonic clock. */
   readonly deadlineMonoMs: number;
-  /** Whether it is the first on its connection. */
+  /**
+   * Whether it is the first on its connection. Node accepts one new connection per turn of the event loop, so a busy
+   * process reads such a request seconds after it was sent, and its caller may have left.
+   */
   readonly isFirst: boolean;
-  /** Whether another VM handed it over; it then stays in this region. */
+  /** Whether another VM relayed it here; it then stays in this region. */
   readonly relayed: boolean;
-  /** Whether the other VM has the leave to run it although upstreams ended under it. */
+  /** Whether the VM that relayed it holds the permission for its trial run, although upstreams crashed under it. */
   readonly isTrialRun: boolean;
-  /** Upstreams that this VM may send it to; fewer than the route's if another VM has sent it already. */
+  /** Maximum upstreams that this VM may send it to; fewer than the route's if another VM has sent it already. */
   readonly mostUpstreams: number;
 }
--- a/src/gateway/call_placement.ts
+++ b/src/gateway/call_placement.ts
@@ -1,5 +1,5 @@
 /**
- * Where one request may go: what was tried, and what is decided on for its next step.
+ * Places one request: tracks where it was sent, and decides its next step.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 import type { CountedBy } from "./quotas.ts";
 import type { LinkedCandidate } from "./upstream_link.ts";
 
-/** What a request uses of its workspace's limit. */
+/** Returns what a request uses of its workspace's quota. */
 function quotaUseOf({ caller, head }: CallInput): QuotaUse | undefined {
   const { workspace } = caller;
   if (!workspace?.quota) return undefined;
@@ -33,13 +33,13 @@
   };
 }
 
-/** See the module. */
+/** Places one request, and tracks the upstreams and regions that it was sent to. */
 export class CallPlacement {
   readonly #context: GatewayContext;
   readonly #input: CallInput;
   readonly #service: ServiceConfig;
   readonly #record: CallRecord;
-  /** Whether upstreams ended as the request began to run. */
+  /** Whether upstreams crashed as the request began to run. */
   isSuspect = false;
   #request: PlacementRequest;
   #countedUse: { readonly use: QuotaUse; readonly by: CountedBy } | undefined;
@@ -82,22 +82,22 @@
     };
   }
 
-  /** Notes that the request is sent to an upstream, which gets it no second time. */
+  /** Notes that the request is sent to an upstream, which does not get it a second time. */
   noteTried({ key }: LinkedCandidate): void {
     this.#tried.add(key);
   }
 
-  /** Notes that the request is handed to a region. */
+  /** Notes that the request is relayed to a region. */
   noteTriedRegion(region: string): void {
     this.#triedRegions.add(region);
   }
 
-  /** The region did not get it. */
+  /** Makes a region eligible again that did not receive the request. */
   forgetTriedRegion(region: string): void {
     this.#triedRegions.delete(region);
   }
 
-  /** What to do next with the request. Its use of its workspace's limit is counted with its first send. */
+  /** Decides the next step of the request. Its first send is charged to its workspace's quota. */
   async place(): Promise<PlacedStep> {
     this.#request = { ...this.#request, isSuspect: this.isSuspect };
     const placed = await this.#context.placing.place(this.#request);
@@ -111,14 +111,14 @@
     return placed;
   }
 
-  /** The request has not run and never will: it uses nothing of the limit. */
+  /** Refunds the quota of a request that has not run and never will. */
   refundQuota(): void {
     if (!this.#countedUse) return;
     this.#context.quotas.refund(this.#countedUse.use, this.#countedUse.by);
     this.#countedUse = undefined;
   }
 
-  /** The same as far as this VM knows by itself, without doing it. */
+  /** Returns the next step by what this VM knows itself, without charging or executing it. */
   nextLocally(): Step<LinkedCandidate> {
     return this.#context.placing.placeLocally(this.#request);
   }
@@ -130,7 +130,9 @@
     };
   }
 
-  /** In which order an engine should admit the request, of whose prompt it has to read so much. */
+  /**
+   * Returns the request's rank in an engine's admission order, if the engine has to read `promptTokens` of its prompt.
+   */
   urgency(promptTokens: number): number {
     const { clock, upstreams } = this.#context;
     return urgencyRank({
@@ -145,8 +147,8 @@
     isHomeRegion(this.#request, region);
 
   /**
-   * Whether an upstream of this region has room for one more try. An upstream's own failure is passed on otherwise: a
-   * caller that comes back with a new attempt is served sooner than by a hand-over, and the answer is true.
+   * Whether an upstream of this region has room for a retry. Otherwise an upstream's own error is passed on: the
+   * caller's next attempt is served sooner than a relayed retry, and the error is the true answer.
    */
   hasRoomHere(): boolean {
     const step = this.nextLocally();
@@ -154,7 +156,7 @@
       hasRoom(step.candidate, this.#placeTerms());
   }
 
-  /** The other upstreams of this region, for a stream that runs at one. */
+  /** Returns the other upstreams of this region, for a stream that runs at one. */
   candidatesExcept(candidate: LinkedCandidate): LinkedCandidate[] {
     return this.#context.upstreams.candidates(this.#service).filter(({ key }) =>
       key !== candidate.key
--- a/src/gateway/call_record.ts
+++ b/src/gateway/call_record.ts
@@ -1,5 +1,5 @@
 /**
- * What is told of one request: a log line for each decision, and its metrics.
+ * The log lines and metrics of one request: a line for each decision.
  *
  * @module
  */
@@ -13,28 +13,28 @@
 import type { CountedBy } from "./quotas.ts";
 import type { Loss } from "./losses.ts";
 
-/** The longest time between two pieces of an answer. */
+/** The longest time between two chunks of an answer. */
 interface LongestPause {
   readonly ms: number;
-  /** Pieces that came before it. */
+  /** Chunks that came before it. */
   readonly afterChunks: number;
-  /** Prompt tokens that waited at the upstream at its end. */
+  /** Prompt tokens that were waiting at the upstream when the pause ended. */
   readonly waitingTokens: number;
 }
 
-/** See the module. */
+/** Collects what happens to one request, and writes its log lines and metrics. */
 export class CallRecord {
-  /** The upstream or VM that it was sent to last. */
+  /** The upstream or VM that the request was last sent to. */
   place = "";
-  /** Upstreams that got it and took it for their own. */
+  /** Upstreams that received the request and accepted it as addressed to them. */
   sends = 0;
-  /** Upstreams that it came to, those included that turned it away: each beyond the first is a repeat. */
+  /** Upstreams that received the request, including those that refused it. Each beyond the first is a retry. */
   arrivals = 0;
-  /** Sends that were tried, connections that failed included. */
+  /** Sends of the request, including failed connects. */
   tries = 0;
-  /** The upstream that ended as the request began to run there. */
+  /** The upstream that crashed as the request began to run there. */
   crashedUpstream: string | undefined;
-  /** Times that the stream went on at another engine, with its memory. */
+  /** Times that the stream moved to another engine together with its memory. */
   moves = 0;
   #refusalFields: Readonly<Record<string, unknown>> = {};
   #quotaFields: Readonly<Record<string, unknown>> = {};
@@ -61,13 +61,13 @@
     this.#arrivedMonoMs = arrivedMonoMs;
   }
 
-  /** Notes that an upstream took the request for its own. */
+  /** Notes that an upstream received the request and accepted it as addressed to it. */
   noteAccepted(): void {
     this.sends++;
     this.arrivals++;
   }
 
-  /** Notes that bytes of an answer came. */
+  /** Notes that a chunk of the answer arrived. */
   noteChunk(): void {
     const nowMs = this.#context.clock.monoMs();
     if (this.#firstByteMs === undefined) {
@@ -89,7 +89,7 @@
     };
   }
 
-  /** It is refused; `here` and `elsewhere` are what that was decided on. */
+  /** Notes that the request is refused; `here` and `elsewhere` are what the refusal was decided on. */
   noteRefused({ here, elsewhere }: RefusalDetails): void {
     this.#refusalFields = {
       here,
@@ -99,12 +99,12 @@
     };
   }
 
-  /** Its use of its workspace's limit was looked at, and counted or refused. */
+  /** Notes that the request was charged to its workspace's quota, or refused as over quota. */
   noteQuota({ units }: QuotaUse, countedBy: CountedBy): void {
     this.#quotaFields = { quotaUnits: units, countedBy };
   }
 
-  /** An upstream's connection broke under it; `digest` names the request under any attempt. */
+  /** Notes that the connection to the upstream broke. `digest` identifies the request across its attempts. */
   noteLoss({ sentAgoMs, beganAgoMs }: Loss, digest: string): void {
     this.#lossFields = {
       request: digest,
@@ -113,7 +113,7 @@
     };
   }
 
-  /** Upstreams ended under it before. */
+  /** Notes that upstreams crashed under the request before. */
   noteSuspect(
     status: SuspectStatus,
     digest: string,
@@ -126,22 +126,22 @@
     };
   }
 
-  /** The request is sent once more. */
+  /** Notes that the request is sent again. */
   noteRetry(reason: string): void {
     this.#context.log.warn("sent again", this.#logFields({ reason }));
     this.#context.metrics.count("sent_again", `service="${this.#service}"`);
   }
 
-  /** A fault of this program. */
+  /** Logs a fault of this program. */
   noteInternalError(error: unknown): void {
     const reason = (error as Error).stack ?? String(error);
     this.#context.log.error(
-      "request failed inside",
+      "request failed with an internal error",
       this.#logFields({ reason }),
     );
   }
 
-  /** The request is over. */
+  /** Logs and counts the end of the request. */
   finish(
     outcome: CodeName | "ok",
     reason: string | undefined,
@@ -160,7 +160,7 @@
       comeBackMs,
       totalMs: Math.round(totalMs),
     });
-    // What was sent again was warned of already: its end must not be sampled away.
+    // The log has a warning of a retried request already, so its end must not be lost to sampling.
     if (outcome === "ok" && this.tries <= 1) log.info("request", fields);
     else log.warn("request", fields);
   }
--- a/src/gateway/local_placement.ts
+++ b/src/gateway/local_placement.ts
@@ -1,5 +1,6 @@
 /**
- * Where a request goes next, decided by what this VM knows: for itself, or as the region's lead for another VM.
+ * Decides where a request goes next by what this VM knows: for its own requests or, as the region's lead, for another
+ * VM's.
  *
  * @module
  */
@@ -17,33 +18,33 @@
 import type { LinkedCandidate, PromptShape } from "./upstream_link.ts";
 import type { Upstreams } from "./upstreams.ts";
 
-/** A request as placing sees it. */
+/** What is known of a request that is to be placed. */
 export interface PlacementRequest {
   readonly service: ServiceConfig;
   readonly config: GatewayConfig;
   readonly prompt: PromptShape;
   readonly objectiveMs: number;
   readonly eventGapMs: number;
-  /** Gap between events at which the answer still ends in time. */
+  /** Longest gap between events at which the answer still ends in time. */
   readonly endGapMs: number;
-  /** On the monotonic clock, as the deadline. */
+  /** On the monotonic clock, like the deadline. */
   readonly arrivedMs: number;
   readonly deadlineMs: number;
   /** Keys of upstreams that the request was sent to. */
   readonly tried: ReadonlySet<string>;
-  /** Regions that it was handed to. */
+  /** Regions that it was relayed to. */
   readonly triedRegions: ReadonlySet<string>;
   /** Regions that may serve it; empty means all. */
   readonly homeRegions: readonly string[];
-  /** Whether it was handed over already, and stays in this region. */
+  /** Whether another VM relayed it here; it then stays in this region. */
   readonly isRelayed: boolean;
-  /** Whether upstreams ended as it began to run: it then goes where an end harms least. */
+  /** Whether upstreams crashed as it began to run. It then goes where a crash harms the fewest other requests. */
   readonly isSuspect: boolean;
-  /** What it uses of its workspace's limit; absent if that is counted, or there is none. */
+  /** What it uses of its workspace's quota; absent if that is charged already, or there is no quota. */
   readonly quota: QuotaUse | undefined;
 }
 
-/** What placing reads. */
+/** What a placement decision reads. */
 export interface PlacementContext {
   readonly region: string;
   readonly clock: Clock;
@@ -60,7 +61,7 @@
   return homeRegions.length === 0 || homeRegions.includes(region);
 }
 
-/** See the module. */
+/** Returns the next step of a request by what this VM knows. */
 export function placeLocally(
   { region, clock, random, upstreams, relays }: PlacementContext,
   request: PlacementRequest,
--- a/src/gateway/placement_wire.ts
+++ b/src/gateway/placement_wire.ts
@@ -1,5 +1,5 @@
 /**
- * The question of a VM to its region's lead where a request goes, and the answer.
+ * The messages with which a VM asks its region's lead where to send a request, and with which the lead answers.
  *
  * @module
  */
@@ -11,9 +11,9 @@
 import type { PlacementRequest } from "./local_placement.ts";
 import type { Grant } from "./upstream_link.ts";
 
-/** A question; see {@link PlacementRequest} for the fields that it shares with it. */
+/** A query of a VM; see {@link PlacementRequest} for the fields that it shares with it. */
 export interface PlacementQuery {
-  /** The asking VM's number of the question. */
+  /** The query's number at the asking VM. */
   readonly question: number;
   readonly from: string;
   readonly service: string;
@@ -21,29 +21,29 @@
   readonly promptTokens: number;
   readonly objectiveMs: number;
   readonly eventGapMs: number;
-  /** Absent if any gap will do. */
+  /** Absent if there is no limit to the gap. */
   readonly endGapMs?: number;
   readonly waitedMs: number;
   readonly leftMs: number;
   readonly tried: readonly string[];
-  /** Left aside while there is another. */
+  /** Upstreams to avoid while there is another one; see {@link QueryContext.lost}. */
   readonly lost: readonly string[];
   readonly triedRegions: readonly string[];
   readonly homeRegions: readonly string[];
   readonly isRelayed: boolean;
-  /** Absent for requests of which nothing is known. */
+  /** Absent for requests that are not suspected. */
   readonly isSuspect?: true;
   readonly quota?: QuotaUse;
 }
 
-/** What a lead decided. `unknown` if it does not know the service: it may be behind with the configuration. */
+/** What a lead decided. `unknown` if it does not know the service, as its configuration may be older. */
 export type PlacementVerdict =
   | { readonly type: "unknown" }
   | {
     readonly type: "send";
     readonly upstreamKey: string;
     readonly grant: Grant;
-    /** Set if the lead has counted the request's use of its workspace's limit. */
+    /** Set if the lead has charged the request to its workspace's quota. */
     readonly counted?: true;
   }
   | { readonly type: "relay"; readonly region: string; readonly counted?: true }
@@ -57,25 +57,25 @@
     readonly counted?: true;
   };
 
-/** An answer. */
+/** The lead's answer to a query. */
 export interface PlacementAnswer {
   readonly question: number;
   readonly verdict: PlacementVerdict;
 }
 
-/** What a question says besides the request. */
+/** What a query says besides the request. */
 export interface QueryContext {
   readonly question: number;
   readonly from: string;
-  /** Upstreams that the asking VM itself has lost a moment ago; the lead may reach them. */
+  /** Upstreams to which the asking VM itself has just lost connections; the lead may reach them. */
   readonly lost: readonly string[];
   readonly nowMs: number;
 }
 
-/** Most lost upstreams that a question names: who has lost more has lost its own links. */
+/** A VM that has lost more upstreams than this has lost its own links, so that its query names none of them. */
 const MAX_LOST_UPSTREAMS = 8;
 
-/** The question about a request. */
+/** Encodes the query about a request. */
 export function encodeQuery(
   request: PlacementRequest,
   { question, from, lost, nowMs }: QueryContext,
@@ -101,7 +101,7 @@
   };
 }
 
-/** Reads a datagram; `undefined` if it is no question. */
+/** Decodes a datagram; `undefined` if it is no query. */
 export function decodeQuery(params: unknown): PlacementQuery | undefined {
   const query = params as Partial<PlacementQuery> | null;
   return typeof query?.question === "number" &&
@@ -121,7 +121,7 @@
     : undefined;
 }
 
-/** The request that a question is about; `undefined` if the service is not known here. */
+/** Converts a query to the request that it is about; `undefined` if the service is not known here. */
 export function toPlacementRequest(
   query: PlacementQuery,
   config: GatewayConfig | undefined,
@@ -150,7 +150,7 @@
   };
 }
 
-/** Reads a datagram; `undefined` if it is no answer. */
+/** Decodes a datagram; `undefined` if it is no answer. */
 export function decodePlacementAnswer(
   params: unknown,
 ): PlacementAnswer | undefined {
--- a/src/gateway/placer.ts
+++ b/src/gateway/placer.ts
@@ -1,10 +1,11 @@
 /**
- * Asks the region's lead where a request goes, and answers as the lead.
+ * Asks the region's lead where to send a request, and answers such queries when this VM is the lead.
  *
- * A VM alone chooses by counts that are some hundred ms old, and so do its neighbours: all fill the same gap at once. The
- * lead counts what it has granted in the same step, knows who has read which prompt, keeps the pace of cold upstreams for
- * the whole region, and leaves a failing one alone after one failure. A lead that does not answer costs a request
- * {@link ANSWER_TIMEOUT_MS}, and the VM then chooses by what it knows.
+ * A VM that chooses alone uses load counts that are some hundred ms old. The other VMs do the same, so all of them send
+ * to the same upstream that looked free. The lead counts each grant in the step that makes it, knows which engine has
+ * read which prompt, applies the cold-start rate limits for the whole region, and avoids a failing upstream after one
+ * failure. A query that is not answered delays its request by {@link ANSWER_TIMEOUT_MS}; the VM then places it by what
+ * it knows itself.
  *
  * @module
  */
@@ -42,30 +43,36 @@
 import type { Upstreams } from "./upstreams.ts";
 
 /**
- * A lead answers in about a millisecond; this is a tenth of the shortest objectives. What has arrived by then counts, also
- * if this VM is too busy to have read it.
+ * A lead answers in about 1 ms; the timeout is a tenth of the shortest latency objectives. An answer that has arrived
+ * by then counts, even if this VM was too busy to read it in time.
  */
 const ANSWER_TIMEOUT_MS = 50;
-/** Answers in a row that must be missing: datagrams are lost one in forty on the worst links. */
+/**
+ * Unanswered queries in a row after which a lead is not asked for a while. One is too few, as the worst links lose one
+ * datagram in forty.
+ */
 const MISSES_BEFORE_BACKOFF = 2;
-/** A mute lead is asked again after this long; its region finds within it that it is gone. */
+/** How long a lead that does not answer is not asked. Within this time its region detects that it is gone. */
 const LEAD_BACKOFF_MS = 1_000;
-/** A request without a place asks again after this long at the soonest, so that a full region's questions stay few. */
+/** Minimum time until a request without a place asks again, so that a full region's queries stay few. */
 const MIN_WAIT_MS = 40;
-/** Upstreams that a lead tries to take for one question; each but the last was leaving or cold in that very step. */
+/**
+ * Upstreams that a lead tries for one query. A try fails if the upstream has just begun to drain, or is cold and at its
+ * rate limit.
+ */
 const MAX_ADMIT_TRIES = 3;
 
-/** A caller that came back sooner would spend most of the time on its new connection. */
+/** Minimum retry delay of callers; one that came back sooner would spend most of the time on its new connection. */
 const MIN_RETRY_MS = 50;
-/** A limit of next to nothing frees in hours; callers may look again after this long. */
+/** Maximum retry delay of callers: a tiny quota refills only in hours, but callers may check again after this long. */
 const MAX_RETRY_MS = 60_000;
-/** Spreads the return of callers beyond their limit over this much of the time that they wait. */
+/** Jitter of the retry delay of callers over their quota, as a share of the delay. */
 const RETRY_JITTER_SHARE = 0.5;
 
-/** What was decided. `settle` is called when the step was taken or given up: it then shows in what this VM says it does. */
+/** The next step of a request. `settle` is called when it was executed or given up: load reports then include it. */
 export interface PlacedStep {
   readonly step: Step<LinkedCandidate>;
-  /** Who counted the request's use of its workspace's limit, or found it beyond. Absent if it is not looked at now. */
+  /** Who charged the request to its workspace's quota, or refused it; absent if the quota is not checked now. */
   readonly countedBy?: CountedBy;
   settle(): void;
 }
@@ -92,19 +99,19 @@
   readonly onAnswer: (verdict: PlacementVerdict) => void;
 }
 
-/** How well a lead answers. */
+/** Whether a lead answers queries. */
 interface LeadHealth {
   misses: number;
   muteUntilMs: number;
 }
 
-/** See the module. */
+/** Decides the next step of each request of this VM, and answers the queries of other VMs as their lead. */
 export class Placer extends Task {
   readonly name = "placing";
   readonly #options: PlacerOptions;
   readonly #random = new Random(process.pid ^ Date.now());
   readonly #pending = new Map<number, PendingQuery>();
-  /** Questions whose answer does not show yet in what this VM has under way. */
+  /** Queries whose result is not part of this VM's load reports yet. */
   readonly #unsettled = new Set<number>();
   readonly #leads = new Map<string, LeadHealth>();
   protected readonly handlers: Handlers<Messages> = {};
@@ -154,7 +161,7 @@
     };
   }
 
-  /** All questions up to this number show in what this VM has under way, or came to nothing. */
+  /** All queries up to this number are part of this VM's load, or came to nothing. */
   get settledQueryId(): number {
     let settledId = this.#lastQueryId;
     for (const queryId of this.#unsettled) {
@@ -163,12 +170,12 @@
     return settledId;
   }
 
-  /** The next step by what this VM knows. */
+  /** Returns the next step of a request by what this VM knows itself. */
   placeLocally(request: PlacementRequest): Step<LinkedCandidate> {
     return placeLocally(this.#context, request);
   }
 
-  /** The next step of a request, by the lead if there is one that answers. Never fails. */
+  /** Returns the next step of a request, decided by the lead if one answers and else by this VM. Never rejects. */
   async place(request: PlacementRequest): Promise<PlacedStep> {
     const lead = this.#pickLead(request);
     if (!lead) return this.#placeWithoutLead("self", request);
@@ -202,7 +209,7 @@
     return { ...this.#record(by, counted.step), ...counted };
   }
 
-  /** Counts the use of a request that is sent; one that does not fit is refused. */
+  /** Charges a request that is sent to its workspace's quota; refuses it if the quota does not suffice. */
   #charge(step: Step<LinkedCandidate>, request: PlacementRequest): CountedStep {
     const { quota } = request;
     if (!quota || (step.type !== "send" && step.type !== "relay")) {
@@ -212,7 +219,7 @@
       { step, countedBy: this.#options.quotas.take(quota) };
   }
 
-  /** Refuses what is beyond its workspace's limit, before a place is looked for; nothing if it fits. */
+  /** Returns the refusal of a request over its workspace's quota, before it is placed; `undefined` if it fits. */
   #checkQuota({ quota }: PlacementRequest): QuotaRefusal | undefined {
     const waitMs = quota ? this.#options.quotas.waitMs(quota) : 0;
     if (waitMs <= 0) return undefined;
@@ -238,12 +245,12 @@
     return { step, settle: () => {} };
   }
 
-  /** The lead to ask; `undefined` if this VM decides by itself. */
+  /** Returns the lead to ask; `undefined` if this VM decides by itself. */
   #pickLead(
     { quota }: PlacementRequest,
   ): { readonly id: string; readonly ip: string } | undefined {
     const { members, self } = this.#options;
-    // Where all hear all each VM finds a place by itself, but a limit is counted in one place.
+    // Where all VMs hear each other, each places its own requests, but a quota is counted in one place.
     if (members.hearsAll && !quota) return undefined;
     const nowMs = this.#clock.monoMs();
     const lead = members.leads.find(({ id }) =>
@@ -293,7 +300,7 @@
     this.#leads.set(leadId, health);
   }
 
-  /** `undefined` if the lead chose an upstream that is not known here. */
+  /** Converts a verdict; `undefined` if the lead does not know the service, or this VM does not know the upstream. */
   #toStep(
     verdict: PlacementVerdict,
     { service }: PlacementRequest,
@@ -317,7 +324,7 @@
     }
   }
 
-  /** The next step without the upstreams that the asking VM has lost, unless there is nothing else. */
+  /** Returns the next step without the upstreams that the asking VM has lost, unless there is nothing else. */
   #placeAvoiding(
     lost: readonly string[],
     request: PlacementRequest,
--- a/src/gateway/placer_test.ts
+++ b/src/gateway/placer_test.ts
@@ -6,7 +6,7 @@
 import type { PlacementRequest } from "./local_placement.ts";
 import { Placer, type PlacerOptions } from "./placer.ts";
 
-/** Longer than a VM waits for its lead. */
+/** Longer than a VM waits for an answer of its lead. */
 const BLOCKED_MS = 120;
 
 const REQUEST = {
@@ -30,10 +30,11 @@
   while (performance.now() < endMs);
 }
 
-describe("placing", () => {
-  // The VM is busy for longer than it waits for its lead, whose answer has long arrived when it looks at its clock. Taken
-  // for silence, it would have the VM place alone, by old counts, just when the region is at its peak.
-  it("counts an answer that arrived while the VM was busy", async (t) => {
+describe("placer", () => {
+  // The VM's event loop is blocked for longer than the query timeout, and the lead's answer arrives meanwhile. A VM
+  // that took the query for unanswered would place the request alone, by stale load counts, just when the region is at
+  // its peak.
+  it("accepts an answer that arrived while the VM was busy", async (t) => {
     const handlers = new Map<string, DatagramHandler>();
     const metrics = new GatewayMetrics();
     const placer = new Placer({
