--- a/src/gateway/body.ts
+++ b/src/gateway/body.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a request's body whole, within limits, so that it can be sent again elsewhere.
+ * Reads a request's whole body, within limits, so that the request can be sent again elsewhere.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 import type { IncomingMessage } from "node:http";
 import { err, ok, type Result } from "neverthrow";
 
-/** Why there is no body. */
+/** Why a body could not be read. */
 export type BodyError = "tooLarge" | "noMemory" | "broken";
 
-/** Bytes of bodies held at once by this process. */
+/** Limits the bytes of bodies that this process holds at once. */
 export class BodyMemory {
   readonly #maxBytes: number;
   #bytes = 0;
@@ -31,9 +31,9 @@
 }
 
 /**
- * Reads the body; what it took of `memory` is given back by the caller when the request ends. `onClosed` registers what
- * to do when the answer is over: a caller that was answered before it had sent its body sends no more of it, and Node
- * tells that on the answer alone.
+ * Reads the body. The caller of this function releases what it reserved of `memory` when the request ends. `onClosed`
+ * registers what to do when the answer is over: a client that was answered before it had sent its body sends no more of
+ * it, and Node reports that on the response alone.
  */
 export function readBody(
   request: IncomingMessage,
--- a/src/gateway/call_sends.ts
+++ b/src/gateway/call_sends.ts
@@ -1,5 +1,5 @@
 /**
- * The sends of one request: to the upstream or region that a step names.
+ * Opens the sends of one request, to the upstream or region that a step names.
  *
  * @module
  */
@@ -20,15 +20,15 @@
 import { UpstreamSend } from "./upstream_send.ts";
 import type { LinkedCandidate, PromptShape } from "./upstream_link.ts";
 
-/** What a send carries of the state of its request. */
+/** The state of a request that its next send depends on. */
 export interface SendState {
   readonly body: Buffer;
-  /** The last event that the caller has, if its stream broke and goes on. */
+  /** The last event that the caller has, if its stream broke off and is resumed. */
   readonly lastEventId: string | undefined;
   readonly onStreamCheck: () => void;
-  /** Whether upstreams ended as the request began to run. */
+  /** Whether upstreams crashed as the request began to run. */
   readonly isSuspect: boolean;
-  /** Whether it has the leave to run once more. */
+  /** Whether this VM, or the one that relayed the request, holds the permission for its trial run. */
   readonly isTrialRun: boolean;
 }
 
@@ -41,7 +41,7 @@
   readonly record: CallRecord;
 }
 
-/** See the module. */
+/** Opens the sends of one request. */
 export class CallSends {
   readonly #options: CallSendsOptions;
   readonly #prompt: PromptShape;
@@ -59,7 +59,7 @@
     );
   }
 
-  /** Sends, or finds that the place that was chosen is gone. */
+  /** Opens the send of a step; `undefined` if the chosen upstream or region is gone. */
   open(
     step: Step<LinkedCandidate> & { type: "send" | "relay" },
     state: SendState,
@@ -69,7 +69,7 @@
       : this.#sendToRegion(step.region, state);
   }
 
-  /** A stream that was stopped in order to move goes on; `undefined` if its new engine is gone. */
+  /** Continues a stream that was stopped in order to move; `undefined` if its new engine is gone. */
   continueAt(
     candidate: LinkedCandidate,
     goesOnFrom: string,
@@ -92,7 +92,7 @@
       service,
       this.#prompt,
     );
-    // A lead that has not heard that an upstream leaves would choose it again.
+    // The lead would choose the upstream again if it has not heard yet that the upstream is draining.
     if (isAdmitted || candidate.grant) places.noteTried(candidate);
     if (!isAdmitted) return false;
     record.place = candidate.key;
@@ -127,7 +127,8 @@
       configVersion: input.config.version,
       keyDigest: input.head.keyDigest,
       isTrialRun: state.isTrialRun,
-      // One, and no more: this VM cannot tell how many were used if it gives the hand-over up, and may send again itself.
+      // Limited to one: if this VM gives the relayed request up, it can't tell how many upstreams received it, and may
+      // send it again itself.
       mostUpstreams: 1,
     });
   }
@@ -155,7 +156,8 @@
       urgency: service.engine && places.urgency(promptTokens),
       onStreamCheck,
       eventGapMs: route.eventGapMs,
-      // What may have ended an upstream must not run at a second one while its first run is unknown.
+      // A request that may have crashed an upstream must not run at a second one while the outcome of its first run is
+      // unknown.
       answerTimeoutMs: record.tries === 0 && !isSuspect
         ? answerTimeoutMs(route)
         : Infinity,
@@ -165,7 +167,9 @@
     };
   }
 
-  /** Whether giving up an answer that does not come gains anything: a place that is free, and a repeat that is left. */
+  /**
+   * Whether giving up on a missing answer gains anything: there must be a free place, and a retry left in the budget.
+   */
   #hasAlternative(): boolean {
     const { context, service, places } = this.#options;
     const { clock, members } = context;
--- a/src/gateway/call_suspicion.ts
+++ b/src/gateway/call_suspicion.ts
@@ -1,5 +1,5 @@
 /**
- * How one request stands: whether upstreams ended under it, in this attempt or before, and whether it may run.
+ * Whether one request is suspected of crashing upstreams, in this attempt or before, and whether it may run.
  *
  * @module
  */
@@ -18,16 +18,16 @@
 import { RelaySend } from "./relay_send.ts";
 import type { Send } from "./send.ts";
 
-/** See the module. */
+/** Decides whether one request may run, and reports how its runs end. */
 export class CallSuspicion {
-  /** Read whole before anything is asked here. */
+  /** The whole body; set before any other member is used. */
   body: Buffer = Buffer.alloc(0);
   readonly #context: GatewayContext;
   readonly #input: CallInput;
   readonly #record: CallRecord;
   #cachedDigest: string | undefined;
   #isTrialRun: boolean;
-  /** Whether a hand-over broke off at the request's begin: the other VM has no way left to say why. */
+  /** Whether a relayed send broke off as the request began to run: the other VM had no way left to report the cause. */
   #hasEarlyRelayLoss = false;
   #beganMonoMs: number | undefined;
 
@@ -38,17 +38,17 @@
     this.#isTrialRun = input.isTrialRun;
   }
 
-  /** Whether it is placed where an end harms least. */
+  /** Whether the request is placed where a crash harms the fewest others. */
   get isSuspect(): boolean {
     return this.#hasEarlyRelayLoss || this.#status !== "clear";
   }
 
-  /** Whether this VM, or the one that handed it over, has the leave to run it although it is on trial. */
+  /** Whether this VM, or the one that relayed the request, holds the permission for its trial run. */
   get isTrialRun(): boolean {
     return this.#isTrialRun;
   }
 
-  /** Whether it may be placed now. */
+  /** Decides whether the request may be placed now. */
   async checkMayRun(): Promise<SuspectVerdict> {
     const status = this.#status;
     if (status === "clear") {
@@ -64,12 +64,12 @@
     return verdict;
   }
 
-  /** A send begins. */
+  /** Notes that a send begins. */
   noteSend(): void {
     this.#beganMonoMs = undefined;
   }
 
-  /** Bytes of an answer came: a suspect that runs on is cleared before its end. */
+  /** Notes that a chunk of the answer arrived. A suspect that has run for long enough is cleared before its end. */
   noteChunk(): void {
     const nowMs = this.#context.clock.monoMs();
     this.#beganMonoMs ??= nowMs;
@@ -79,18 +79,21 @@
     }
   }
 
-  /** It was answered whole, by an upstream that is still there. */
+  /** Notes that the request was answered completely, by an upstream that still runs. */
   noteServed(): void {
     if (this.#tracker.hasSuspects) this.#tracker.clear(this.#digest);
   }
 
-  /** A send was lost. Waits until it is known whether its upstream ended, where the request may go on elsewhere. */
+  /**
+   * Notes that a send was lost. If the request may continue elsewhere, waits until it is known whether its upstream
+   * crashed.
+   */
   async noteLoss(send: Send, canContinue: boolean): Promise<void> {
     const { loss } = send;
     if (loss) {
       if (!loss.isGivenUp) this.#record.noteLoss(loss, this.#digest);
       const noted = this.#context.suspects.noteLoss(this.#digest, loss);
-      // What was given up for want of time must not wait longer to learn why.
+      // A request that was given up because its time is short must not wait longer to learn the cause.
       if (canContinue && !loss.isGivenUp) {
         this.#record.crashedUpstream = await noted;
       }
@@ -99,7 +102,7 @@
     }
   }
 
-  /** The VM that the request was handed to says that an upstream ended under it. */
+  /** Notes that the VM that the request was relayed to reports a crashed upstream. */
   noteRemoteCrash(upstreamKey: string): void {
     this.#tracker.noteRemoteCrash(this.#digest, upstreamKey);
   }
@@ -123,7 +126,7 @@
       : "clear";
   }
 
-  /** Hashed when it is first asked for: usually nobody is suspected, and no request is. */
+  /** Computed when it is first used: usually no request is suspected, and none is hashed. */
   get #digest(): string {
     this.#cachedDigest ??= requestDigest({
       ...this.#input.head,
--- a/src/gateway/crash_notifier.ts
+++ b/src/gateway/crash_notifier.ts
@@ -1,5 +1,5 @@
 /**
- * Tells ends to the VMs that have to know.
+ * Notifies the VMs concerned of upstreams that crashed under a request.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import type { Datagrams } from "./datagrams.ts";
 import type { Members } from "./members.ts";
 
-/** An upstream breaks all of its connections within this time; what was seen of it goes out together. */
+/** A crashed upstream breaks all of its connections within this time; what was seen of it is sent together. */
 const BATCH_MS = 15;
 
 /**
- * See the module. A VM tells the leads of its region, and a lead all VMs there, and the leads of other regions what is
- * not from one of them.
+ * Sends rows about crashed upstreams in batches. A VM notifies the leads of its region. A lead notifies all VMs of its
+ * region, and the leads of other regions unless the rows came from one of them.
  */
 export class CrashNotifier {
   readonly #region: string;
@@ -37,7 +37,7 @@
     this.#clock = clock;
   }
 
-  /** Tells rows in a moment; `isOwn` if they were seen in this region. */
+  /** Queues rows for the next batch; `isFromThisRegion` if they were seen in this region. */
   notify(rows: readonly CrashRow[], isFromThisRegion: boolean): void {
     this.#regionRows.push(...rows);
     if (isFromThisRegion) this.#otherRegionsRows.push(...rows);
--- a/src/gateway/losses.ts
+++ b/src/gateway/losses.ts
@@ -1,5 +1,6 @@
 /**
- * Why connections to upstreams broke: whether the upstream ended, or only its link or that one connection.
+ * Finds out why connections to upstreams broke: whether the upstream crashed, or only its link or that one connection
+ * failed.
  *
  * @module
  */
@@ -10,15 +11,15 @@
 import type { KnownUpstream } from "../routing/mod.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 
-/** Losses that come within this time have one cause; an upstream that ended needs longer to be back. */
+/** Losses within this time have one cause and share a probe; an upstream that crashed needs longer to be back. */
 const PROBE_TTL_MS = 150;
 
-/** How a request that had reached an upstream lost its connection. */
+/** The loss of a connection to an upstream that had received a request. */
 export interface Loss {
   readonly upstream: KnownUpstream;
   /** Time since the request was sent there. */
   readonly sentAgoMs: number;
-  /** Whether this side closed it, as the upstream said nothing: it may only be about to end. */
+  /** Whether this side closed it because the upstream did not answer; the upstream may only be about to crash. */
   readonly isGivenUp: boolean;
   /** Time since the first bytes of its answer's body; absent if none came. */
   readonly beganAgoMs?: number;
@@ -29,7 +30,7 @@
   readonly untilMs: number;
 }
 
-/** See the module. An upstream that breaks all its connections at once is looked at once. */
+/** Probes upstreams after lost connections. An upstream that breaks all its connections at once is probed once. */
 export class LossProber {
   readonly #clock: Clock;
   readonly #log: Log;
@@ -42,7 +43,7 @@
     this.#metrics = metrics;
   }
 
-  /** Looks what an upstream is like now that a connection to it broke. */
+  /** Probes whether an upstream can be reached after a connection to it broke. */
   probe(upstream: KnownUpstream): Promise<Reach> {
     const nowMs = this.#clock.monoMs();
     for (const [key, { untilMs }] of this.#probes) {
--- a/src/gateway/next_poll.ts
+++ b/src/gateway/next_poll.ts
@@ -1,13 +1,13 @@
 /**
- * Waits until this process has looked at its sockets once more.
+ * Waits until this process has polled its sockets once more.
  *
  * @module
  */
 
 /**
- * See the module. A process that is behind runs what falls due before it reads what has long arrived: an answer, or the end
- * of a caller's connection. `setImmediate` runs after the next look at the sockets if it is set by a timer, and before it if
- * it is set while they are read; the second one comes after it in both cases.
+ * Resolves after the next poll of the sockets. A lagging process runs due timers before it reads what has long arrived:
+ * an answer, or the end of a caller's connection. `setImmediate` runs after the next poll if it is called by a timer,
+ * and before it if it is called while the sockets are read; the second one runs after it in both cases.
  */
 export function waitForNextPoll(): Promise<void> {
   return new Promise((resolve) =>
--- a/src/gateway/other_loads.ts
+++ b/src/gateway/other_loads.ts
@@ -1,5 +1,5 @@
 /**
- * What the other VMs of the region have under way at each upstream.
+ * The load of the region's other VMs at each upstream.
  *
  * @module
  */
@@ -13,7 +13,7 @@
   UpstreamLoad,
 } from "../region/mod.ts";
 
-/** What is known of the region's loads. */
+/** What is known of the load of the region's VMs. */
 export interface RegionLoads {
   readonly hearsAll: boolean;
   readonly isLead: boolean;
@@ -24,11 +24,11 @@
   roster(): Roster | undefined;
 }
 
-/** How long it is used who is there; a request asks several times for each upstream. */
+/** How long the roster and the list of VMs are cached; a request reads them several times for each upstream. */
 const REFRESH_MS = 25;
 const NO_LOAD: UpstreamLoad = [0, 0];
 
-/** See the module. A lead adds up what VMs report to it; other VMs have what a lead told them last. */
+/** The load of the other VMs. A lead adds up what VMs report to it; other VMs have what a lead told them last. */
 export class OtherLoads {
   readonly #region: RegionLoads;
   readonly #selfId: string;
@@ -41,7 +41,7 @@
     this.#selfId = selfId;
   }
 
-  /** What the others have under way at an upstream, by its key. */
+  /** Returns the load of the other VMs at an upstream. */
   loadAt(upstreamKey: string, nowMs: number): UpstreamLoad {
     this.#refresh(nowMs);
     if (!this.#rosterLoad) return this.#region.book.at(upstreamKey);
@@ -51,8 +51,8 @@
   }
 
   /**
-   * The VMs among which the owner of a cold upstream's pace is found: the first lead, which places what all VMs send, or
-   * every VM where each places by itself.
+   * Returns the VMs among which the owner of a cold upstream's rate is chosen: the first lead, which places the
+   * requests of all VMs, or every VM where each places its own.
    */
   coldVmIds(nowMs: number): readonly string[] {
     this.#refresh(nowMs);
--- a/src/gateway/pending_load_note.ts
+++ b/src/gateway/pending_load_note.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM is about to tell its region's first lead of its load, and when.
+ * The next load note of a VM to its region's first lead: what it contains, and when it is due.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import type { SeenOutcome } from "../region/mod.ts";
 
 /**
- * How long a change of load waits to be told, together with others. That a prompt has been read must be known soon, as
+ * How long a change of load waits, so that several go into one note. That a prompt has been read must be known soon, as
  * prompts wait some hundred ms at an engine; that an answer is over changes less.
  */
 const READ_DELAY_MS = 40;
 const END_DELAY_MS = 120;
-/** Outcomes kept for the next note; more than a VM sees between two. */
+/** Maximum outcomes kept for the next note; a VM sees fewer between two notes. */
 const MAX_OUTCOMES = 64;
 
-/** See the module. Its methods return when the next note is due; `Infinity` if none is. */
+/** Collects the next load note. Its `note` methods return when the note is due; `Infinity` if none is. */
 export class PendingLoadNote {
   #dueMs = Infinity;
   #lastTakenMs = -Infinity;
@@ -25,12 +25,12 @@
     return this.#dueMs;
   }
 
-  /** A prompt has been read. `isFirst`: nobody else has to be told. */
+  /** Notes that a prompt has been read. `needsNoNote` if no other VM has to be told. */
   noteRead(needsNoNote: boolean, nowMs: number): number {
     return this.#schedule(needsNoNote, nowMs, READ_DELAY_MS);
   }
 
-  /** A send is over, with this outcome. */
+  /** Notes that a send is over, with its outcome if known. */
   noteSendEnd(
     needsNoNote: boolean,
     nowMs: number,
@@ -42,7 +42,7 @@
     return this.#schedule(needsNoNote, nowMs, END_DELAY_MS);
   }
 
-  /** What the note tells, and how long ago the last one was. */
+  /** Takes what the note contains, with the time since the last one, and starts the next note. */
   take(nowMs: number): { seen: readonly SeenOutcome[]; sinceMs: number } {
     const taken = { seen: this.#outcomes, sinceMs: nowMs - this.#lastTakenMs };
     this.#dueMs = Infinity;
--- a/src/gateway/pipe.ts
+++ b/src/gateway/pipe.ts
@@ -1,5 +1,5 @@
 /**
- * Passes an answer's bytes on as they arrive, with back-pressure.
+ * Forwards the body of an answer as it arrives, with backpressure.
  *
  * @module
  */
@@ -8,19 +8,20 @@
 import type { Socket } from "node:net";
 import type { Reply } from "./reply.ts";
 
-/** Whether an answer came to its end. */
+/** Whether an answer arrived completely. */
 export type PipeEnd = "whole" | "broken";
 
-/** Whether the answer says itself where it ends; otherwise it ends with its connection. */
+/** Whether the answer's headers tell where it ends; otherwise it ends with its connection. */
 function isFramed({ headers }: IncomingMessage): boolean {
   return headers["content-length"] !== undefined ||
     headers["transfer-encoding"] !== undefined;
 }
 
 /**
- * Tells a reset connection from one that was closed in order. Node shows a reset that follows its last bytes closely as
- * an ordinary end, and an answer without a length would pass for whole. The kernel no longer knows the peer of a reset
- * connection, and still knows that of a closed one; `remoteAddress` asks it the first time it is read.
+ * Calls `onReset` if a connection is reset and not closed in order. Node reports a reset that follows the last bytes
+ * closely as an ordinary end, so that an answer without a length would pass for complete. The kernel no longer knows
+ * the peer of a reset connection, and still knows that of a closed one; `remoteAddress` asks the kernel the first time
+ * it is read.
  */
 function watchReset(socket: Socket, onReset: () => void): void {
   socket.once("error", onReset);
@@ -29,24 +30,27 @@
   });
 }
 
-/** Passes one reply's bytes on, from one answer or, after a break, from several. It neither ends nor breaks the reply. */
+/**
+ * Forwards the body of one reply, from one answer or, after a break, from several. It neither ends nor aborts the
+ * reply.
+ */
 export abstract class BodyPipe {
   readonly #reply: Reply;
   readonly #onChunk: () => void;
 
-  /** `onChunk` is called for each chunk that arrives, before it is passed on. */
+  /** `onChunk` is called for each chunk that arrives, before it is forwarded. */
   constructor(reply: Reply, onChunk: () => void) {
     this.#reply = reply;
     this.#onChunk = onChunk;
   }
 
-  /** What of the bytes so far can be passed on. */
+  /** Takes a chunk; returns the bytes that can be forwarded by now. */
   protected abstract takeChunk(chunk: Buffer): Buffer | undefined;
 
-  /** What is left when the answer ended in order. */
+  /** Returns the remaining bytes of an answer that ended in order. */
   protected abstract flush(): Buffer | undefined;
 
-  /** Passes an answer's body on until it ends or breaks. */
+  /** Forwards an answer's body until it ends or breaks off. */
   run(answer: IncomingMessage): Promise<PipeEnd> {
     return new Promise((resolve) => {
       let isOver = false;
@@ -64,7 +68,7 @@
       if (!isFramed(answer)) {
         watchReset(answer.socket, () => finish("broken"));
       }
-      // An answer that was cut also ends; only `complete` tells that its last byte was there.
+      // An answer that was cut off also emits `end`; only `complete` tells that its last byte arrived.
       answer.on("end", () => finish(answer.complete ? "whole" : "broken"));
       answer.on("error", () => finish("broken"));
       answer.on("close", () => finish(answer.complete ? "whole" : "broken"));
@@ -79,7 +83,7 @@
   }
 }
 
-/** Passes bytes on as they come. */
+/** Forwards bytes as they arrive. */
 export class RawPipe extends BodyPipe {
   protected takeChunk(chunk: Buffer): Buffer {
     return chunk;
@@ -94,21 +98,21 @@
 const EVENT_ID = /^id: ?(.*)$/gm;
 
 /**
- * Passes whole events on and remembers the last one's id. An upstream may stop in the middle of an event; the part is
- * dropped, so that another upstream can go on after the last whole one.
+ * Forwards complete events and remembers the id of the last one. An upstream may stop in the middle of an event; the
+ * partial event is dropped, so that another upstream can resume after the last complete one.
  */
 export class EventPipe extends BodyPipe {
   #partial: Buffer = Buffer.alloc(0);
   #lastEventId: string | undefined;
-  /** Whole events that were passed on. */
+  /** Complete events that were forwarded. */
   events = 0;
 
-  /** The id of the last event that was passed on. */
+  /** The id of the last event that was forwarded. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** Drops a part of an event, before another answer goes on. */
+  /** Drops a partial event before another answer continues. */
   dropPartial(): void {
     this.#partial = Buffer.alloc(0);
   }
@@ -137,7 +141,7 @@
   }
 }
 
-/** Passes an answer on; `needsEvents` if it may go on from another upstream after a break. */
+/** Creates the pipe of a reply. `isResumable` if another upstream may continue the answer after a break. */
 export function createPipe(
   reply: Reply,
   isResumable: boolean,
--- a/src/gateway/relay_send.ts
+++ b/src/gateway/relay_send.ts
@@ -17,16 +17,16 @@
   type Unanswered,
 } from "./send.ts";
 
-/** A connection to another region, 80 ms away each way. */
+/** Time for a connection to another region, which is 80 ms away each way. */
 const RELAY_CONNECT_TIMEOUT_MS = 500;
 
-/** What a VM of another region is told besides. */
+/** What the VM of the other region is told besides the request. */
 export interface RelaySendOptions {
   readonly configVersion: number;
   readonly mostUpstreams: number;
-  /** Tells which workspace calls; the other VM looks it up in its own configuration. */
+  /** Identifies the calling workspace; the other VM looks it up in its own configuration. */
   readonly keyDigest: string | undefined;
-  /** Whether the request has the leave to run once more. */
+  /** Whether the sender holds the permission for the request's trial run. */
   readonly isTrialRun: boolean;
 }
 
@@ -68,7 +68,7 @@
     });
   }
 
-  /** The region that the request is handed to. */
+  /** The region that the request is relayed to. */
   get region(): string {
     return this.#target.region;
   }
--- a/src/gateway/reply.ts
+++ b/src/gateway/reply.ts
@@ -1,5 +1,5 @@
 /**
- * Where the answer to a request goes: to the caller, or to the VM that handed the request over.
+ * The answer to a request, sent to its caller or to the VM that relayed it.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { type CodeName, codes, type Failure } from "../base/mod.ts";
 import { encodeFailure } from "../platform/mod.ts";
 
-/** See the module. A reply ends once: with an answer, a failure, or a broken connection. */
+/** The reply to one request. It ends once: with an answer, a failure, or an aborted connection. */
 export abstract class Reply {
   protected readonly response: ServerResponse;
   #isDisconnected = false;
@@ -18,7 +18,8 @@
     this.response = response;
     response.sendDate = false;
     const { socket } = response.req;
-    // Node says so on the answer only when its own side is closed too, some turns of a busy loop later.
+    // Node emits `close` on the response only when this side is closed too, some turns of a busy event loop after the
+    // socket's `end`.
     const onEnd = () => this.#noteDisconnect();
     socket.once("end", onEnd);
     response.on("close", () => {
@@ -28,17 +29,17 @@
     response.on("error", () => {});
   }
 
-  /** Sets what to do when the other side leaves before its answer is whole. */
+  /** Sets what to do when the other side disconnects before the answer is complete. */
   onDisconnect(run: () => void): void {
     this.#onDisconnect = run;
   }
 
-  /** Sets what to do when the answer is over, whole or not. */
+  /** Adds what to do when the answer is over, complete or not. */
   onClosed(run: () => void): void {
     this.response.on("close", run);
   }
 
-  /** Whether the other side left before its answer was whole. */
+  /** Whether the other side disconnected before the answer was complete. */
   get isDisconnected(): boolean {
     return this.#isDisconnected;
   }
@@ -49,12 +50,12 @@
     this.#onDisconnect?.();
   }
 
-  /** Whether part of an answer is out, so that no other can follow. */
+  /** Whether part of an answer was sent, so that no other can follow. */
   get hasStarted(): boolean {
     return this.response.headersSent;
   }
 
-  /** Passes on an upstream's status and headers; `bodyBytes` is its length, if known. */
+  /** Sends an upstream's status and headers; `bodyBytes` is the body's length, if known. */
   start(
     status: number,
     headers: readonly string[],
@@ -67,7 +68,7 @@
     this.response.writeHead(status, all);
   }
 
-  /** Passes bytes on; `false` means that the other side reads too slowly: wait for {@link Reply.onDrain}. */
+  /** Sends bytes; `false` means that the other side reads too slowly: wait for {@link Reply.onDrain}. */
   write(chunk: Buffer): boolean {
     return this.response.write(chunk);
   }
@@ -76,17 +77,17 @@
     this.response.once("drain", run);
   }
 
-  /** The answer is whole. */
+  /** Ends a complete answer. */
   end(): void {
     this.response.end();
   }
 
-  /** The answer cannot become whole: the connection breaks, so that it does not look complete. */
+  /** Closes the connection of an answer that can't be completed, so that it does not look complete. */
   abort(): void {
     this.response.destroy();
   }
 
-  /** Answers with a failure of our own. */
+  /** Answers with a failure of the gateway itself. */
   abstract fail(
     failure: Failure,
     comeBackMs: number,
@@ -97,11 +98,11 @@
   protected abstract readonly closesConnection: boolean;
 }
 
-/** What a VM that handed the request over is told besides. */
+/** What the VM that relayed the request is told besides the failure. */
 export interface FailureDetails {
-  /** How many upstreams the request came to. */
+  /** How many upstreams received the request. */
   readonly arrivals: number;
-  /** The upstream that ended as it began to run there. */
+  /** The upstream that crashed as the request began to run there. */
   readonly crashedUpstream: string | undefined;
 }
 
@@ -120,7 +121,8 @@
 
   fail(failure: Failure, comeBackMs: number): void {
     const { status, headers, body } = encodeFailure(failure, comeBackMs);
-    // A caller that stopped in the middle of its body would hold its connection and its place for ever.
+    // A caller that stopped in the middle of its body would hold its connection and its place among open requests
+    // forever.
     if (this.closesConnection || !this.response.req.complete) {
       headers.push("Connection", "close");
     }
@@ -129,31 +131,31 @@
   }
 }
 
-/** Our own headers between VMs; a caller's of these names are not read. */
+/** The headers that VMs send each other; those of these names from a caller are not read. */
 export const RELAY_HEADERS = {
   /** How long the request may still take, in ms. */
   waitMs: "ibisgap-wait-ms",
-  /** The configuration that the sender decided on. */
+  /** Version of the configuration that the sender decided on. */
   configVersion: "ibisgap-config",
-  /** Upstreams that the request may still be sent to. */
+  /** Maximum upstreams that the request may still be sent to. */
   mostUpstreams: "ibisgap-most-upstreams",
-  /** Digest of the caller's key; the key itself is told to nobody. */
+  /** Digest of the caller's key; the key itself is never sent. */
   keyDigest: "ibisgap-key-digest",
   /** Result code of a failure of the answering VM; absent on upstreams' answers. */
   code: "ibisgap-code",
-  /** Whether the request can have run. */
+  /** Whether the request may have run. */
   ran: "ibisgap-ran",
-  /** When to come back, in ms. */
+  /** When the caller should retry, in ms. */
   comeBackMs: "ibisgap-come-back-ms",
-  /** How many upstreams the request came to before it failed. */
+  /** How many upstreams received the request before it failed. */
   arrivals: "ibisgap-arrivals",
-  /** The upstream that ended under the request. */
+  /** The upstream that crashed under the request. */
   endedUpstream: "ibisgap-ended-upstream",
-  /** Set if the request has the leave to run although upstreams ended under it. */
+  /** Set if the sender holds the permission for the request's trial run, although upstreams crashed under it. */
   onTrial: "ibisgap-on-trial",
 } as const;
 
-/** A reply to another VM, which answers its caller. */
+/** A reply to another VM, which answers the caller. */
 export class PeerReply extends Reply {
   protected readonly closesConnection = false;
 
@@ -188,13 +190,13 @@
 export interface PeerFailure {
   readonly failure: Failure;
   readonly comeBackMs: number;
-  /** How many upstreams the request came to there. */
+  /** How many upstreams received the request there. */
   readonly arrivals: number;
-  /** The upstream that ended under it there. */
+  /** The upstream that crashed under it there. */
   readonly crashedUpstream: string | undefined;
 }
 
-/** Reads a failure that another VM answered with; `undefined` if it passed an upstream's answer on. */
+/** Decodes a failure that another VM answered with; `undefined` if it forwarded an upstream's answer. */
 export function decodePeerFailure(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): PeerFailure | undefined {
--- a/src/gateway/restart_watch.ts
+++ b/src/gateway/restart_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Losses whose cause was not plain at once: an upstream may be back before anybody tries a connection, and only its
- * entry tells later that it has started again.
+ * Detects restarts of upstreams behind lost connections: an upstream may have crashed and be back before a VM tries a
+ * connection, and only its entry tells later that it has started again.
  *
  * @module
  */
@@ -9,10 +9,12 @@
 import type { Fleet } from "../routing/mod.ts";
 import type { Loss } from "./losses.ts";
 
-/** Upstreams write their entries about every second; readers bring them within two more. */
+/**
+ * How long a loss is watched. Upstreams write their entries about every second; readers receive them within two more.
+ */
 const WATCH_MS = 4_000;
 const CHECK_INTERVAL_MS = 200;
-/** Losses that wait at once; what is beyond is left out. */
+/** Maximum losses watched at once; further ones are ignored. */
 const MAX_WATCHED_LOSSES = 1_024;
 
 interface WatchedLoss {
@@ -21,7 +23,7 @@
   readonly lostMs: number;
 }
 
-/** See the module. */
+/** Watches losses for a restart of their upstream. */
 export class RestartWatch {
   readonly #fleet: Fleet;
   readonly #clock: Clock;
@@ -29,7 +31,7 @@
   #watched: WatchedLoss[] = [];
   #timer: Timer | undefined;
 
-  /** `onEnd` is called for each loss whose upstream has started again. */
+  /** `onRestart` is called for each loss whose upstream has started again. */
   constructor(
     fleet: Fleet,
     clock: Clock,
@@ -40,7 +42,7 @@
     this.#onRestart = onRestart;
   }
 
-  /** Waits for a sign. */
+  /** Watches a loss until its upstream has started again, or its time is over. */
   watch(digest: string, loss: Loss, lostMs: number): void {
     if (this.#watched.length >= MAX_WATCHED_LOSSES) return;
     this.#watched.push({ digest, loss, lostMs });
--- a/src/gateway/room.ts
+++ b/src/gateway/room.ts
@@ -1,5 +1,5 @@
 /**
- * What a region tells the others of its free places.
+ * The free places that a region offers to others.
  *
  * @module
  */
@@ -15,10 +15,10 @@
 } from "../routing/mod.ts";
 import type { Room } from "../region/mod.ts";
 
-/** Events of a long answer, which a place that is offered should bear; longer ones are rare. */
+/** Events of a long answer, which must still end in time at a place that is offered; longer answers are rare. */
 const LONG_ANSWER_EVENTS = 150;
 
-/** What this region offers to others, by service. */
+/** Computes the places that this region offers to others, by service. */
 export function computeRoom(
   config: GatewayConfig | undefined,
   candidates: (service: ServiceConfig) => readonly StepCandidate[],
--- a/src/gateway/send.ts
+++ b/src/gateway/send.ts
@@ -1,5 +1,5 @@
 /**
- * One send of a request: what every kind of it shares.
+ * The base of all sends of a request.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 import type { Exchange, ExchangeFailure } from "./exchange.ts";
 import type { Loss } from "./losses.ts";
 
-/** When to return after the last upstream refused: another VM or upstream may have room at once. */
+/** Retry delay for callers after the last upstream refused: another VM or upstream may have room at once. */
 export const REFUSED_RETRY_AFTER_MS = 300;
 
-/** What is sent. */
+/** A request as it is sent, and the conditions of the send. */
 export interface OutboundRequest {
   readonly method: string;
   readonly target: string;
@@ -29,23 +29,23 @@
   readonly promptTokens: number;
   /** Parts of the prompt. */
   readonly parts: readonly PromptPart[];
-  /** `IP:PORT` of an engine that keeps the prompt's shared parts. */
+  /** `IP:PORT` of an engine that has cached the prompt's shared parts. */
   readonly fetchFrom: string | undefined;
-  /** `IP:PORT/HANDLE` of the memory that a moved stream goes on from. */
+  /** `IP:PORT/HANDLE` of the memory from which a moved stream continues. */
   readonly goesOnFrom: string | undefined;
   /** Order of admission at an engine, 0 first; `undefined` for plain services. */
   readonly urgency: number | undefined;
-  /** Called now and then while a stream runs at an upstream of this region. */
+  /** Called periodically while a stream runs at an upstream of this region. */
   readonly onStreamCheck: () => void;
-  /** The longest pause between a stream's events that is on time; 0 if none is asked for. */
+  /** Longest pause between a stream's events that counts as on time; 0 if the route sets none. */
   readonly eventGapMs: number;
-  /** Without any answer for this long, the send may be given up; `Infinity` to wait until the deadline. */
+  /** Time without any answer after which the send may be given up; `Infinity` to wait until the deadline. */
   readonly answerTimeoutMs: number;
   /** Whether the request may run more than once. */
   readonly mayRepeat: boolean;
-  /** Whether upstreams ended as it began to run. */
+  /** Whether upstreams crashed as the request began to run. */
   readonly isSuspect: boolean;
-  /** Whether another place would serve the request now; without one, giving up gains nothing. */
+  /** Whether another place would serve the request now; otherwise giving up gains nothing. */
   readonly hasAlternative: () => boolean;
 }
 
@@ -56,25 +56,25 @@
   readonly decoded: UpstreamAnswer;
 }
 
-/** Why there is no answer to pass on. */
+/** Why there is no answer to forward. */
 export interface Unanswered {
   readonly type: "unanswered";
-  /** Whether the other side can have got any of it. */
+  /** Whether the other side may have received any of the request. */
   readonly wasSent: boolean;
-  /** Whether the request may have reached an upstream's work. */
+  /** Whether an upstream may have begun to work on the request. */
   readonly mayHaveRun: boolean;
-  /** Whether an upstream got it at all, and took it for its own. */
+  /** Whether an upstream received the request and accepted it as addressed to it. */
   readonly wasAccepted: boolean;
-  /** How many upstreams it came to, those included that turned it away. */
+  /** How many upstreams received the request, including those that refused it. */
   readonly arrivals: number;
-  /** The upstream that ended under it, by the VM that the request was handed to. */
+  /** The upstream that crashed under the request, as reported by the VM that it was relayed to. */
   readonly crashedUpstream?: string | undefined;
   readonly reason: string;
   readonly failure: Failure;
   readonly comeBackMs: number;
 }
 
-/** See the module. Must be closed when the answer's body has ended. */
+/** One send of a request. Must be closed when the answer's body has ended. */
 export abstract class Send {
   protected readonly context: GatewayContext;
   protected readonly outbound: OutboundRequest;
@@ -85,7 +85,7 @@
     this.outbound = outbound;
   }
 
-  /** Whether a stream goes on by it from its memory, as the same run. */
+  /** Whether the send continues a moved stream from its memory, as the same run. */
   get isContinuation(): boolean {
     return this.outbound.goesOnFrom !== undefined;
   }
@@ -108,7 +108,7 @@
       : this.handleFailure(head.error);
   }
 
-  /** Gives the request up: its connection closes, and the other side stops working. */
+  /** Cancels the send by closing its connection, so that the other side stops working. */
   cancel(reason: string): void {
     this.exchange.cancel(reason);
   }
@@ -116,10 +116,13 @@
   /** Called for each chunk of the answer's body. */
   abstract noteChunk(): void;
 
-  /** Called when the body broke. */
+  /** Called when the answer's body broke off. */
   abstract noteBroken(): void;
 
-  /** Set once an upstream's connection has broken under the request, unless this side gave it up. */
+  /**
+   * Set once an upstream's connection broke during the request, or the send was given up for lack of an answer. Not set
+   * if this side canceled it for another reason.
+   */
   get loss(): Loss | undefined {
     return undefined;
   }
@@ -127,10 +130,10 @@
   /** Called once, when nothing more is expected of this send. */
   abstract close(): void;
 
-  /** Called when the send is given up because its upstream says nothing. */
+  /** Called when the send is given up because its upstream does not answer. */
   protected noteGivenUp(): void {}
 
-  /** Decides whether an answer may go to the caller. */
+  /** Checks whether an answer may go to the caller. */
   protected abstract checkAnswer(
     answer: IncomingMessage,
   ): Answered | Unanswered;
--- a/src/gateway/start_queue.ts
+++ b/src/gateway/start_queue.ts
@@ -1,18 +1,19 @@
 /**
- * Lets a busy process begin its requests one at a time, and look at its sockets in between.
+ * Lets a busy process start its requests one at a time, and poll its sockets in between.
  *
  * @module
  */
 
 import type { Clock } from "../base/mod.ts";
 
-/** Weight of the newest turn in the mean. */
+/** Weight of the newest turn in the moving average. */
 const NEWEST_TURN_WEIGHT = 0.2;
 
 /**
- * A process that begins all requests that it has read before it looks at its sockets again is away from them for seconds
- * when there are many: it sends on what its callers have given up meanwhile, and answers nobody in time. Beginning one in
- * each turn of the loop keeps turns short; what is under way goes first, and what can't begin soon is refused at once.
+ * Starts one request in each turn of the event loop. A process that starts all requests that it has read before it
+ * polls its sockets again does not poll them for seconds when there are many: it sends requests that their callers have
+ * given up meanwhile, and answers none in time. One start per turn keeps turns short; requests in progress go first,
+ * and those that can't start soon are refused at once.
  */
 export class StartQueue {
   readonly #clock: Clock;
@@ -25,19 +26,19 @@
     this.#clock = clock;
   }
 
-  /** How long a request that is read now waits until it begins, in ms, going by the last turns. */
+  /** How long a request that is read now waits until it starts, in ms, judging by the last turns. */
   get waitMs(): number {
     return this.#waiting.length * this.#meanTurnMs;
   }
 
-  /** Resolves when the sockets were looked at once more and it is this request's turn. */
+  /** Resolves when the sockets were polled once more and it is this request's turn. */
   waitTurn(): Promise<void> {
     return new Promise((resolve) => {
       this.#waiting.push(resolve);
       if (this.#isRunning) return;
       this.#isRunning = true;
       this.#turnBeganMs = this.#clock.monoMs();
-      // The next look may be the one in which this request was read; the one after it is not.
+      // The next poll may be the one in which this request was read; the one after it is not.
       setImmediate(() => setImmediate(this.#runNext));
     });
   }
--- a/src/gateway/start_queue_test.ts
+++ b/src/gateway/start_queue_test.ts
@@ -2,8 +2,8 @@
 import { systemClock } from "../base/mod.ts";
 import { StartQueue } from "./start_queue.ts";
 
-describe("turns", () => {
-  it("begin one request in each turn, in the order in which they came", async (t) => {
+describe("start queue", () => {
+  it("starts one request in each turn, in the order of arrival", async (t) => {
     const queue = new StartQueue(systemClock);
     const begun: number[] = [];
     const at: number[] = [];
@@ -20,11 +20,11 @@
     }));
     t.deepEqual(begun, [0, 1, 2, 3, 4]);
     t.is(new Set(at).size, 5);
-    t.true(at[0] >= 2, "the sockets were looked at in between");
+    t.true(at[0] >= 2, "the sockets were polled in between");
   });
 
-  // What can't begin soon is refused, so the wait has to follow the turns as they are.
-  it("tell how long a new request would wait", async (t) => {
+  // Requests that can't start soon are refused, so the estimate has to follow the actual length of the turns.
+  it("tells how long a new request would wait", async (t) => {
     const queue = new StartQueue(systemClock);
     t.is(queue.waitMs, 0);
     const slow = setInterval(() => {
--- a/src/gateway/stream_move.ts
+++ b/src/gateway/stream_move.ts
@@ -1,5 +1,5 @@
 /**
- * Moves a stream that runs from one engine to another, with its memory; see `moveTarget` for when.
+ * Moves a running stream from one engine to another, together with its memory; see `moveTarget` for when.
  *
  * @module
  */
@@ -17,21 +17,24 @@
 import { Exchange } from "./exchange.ts";
 import type { LinkedCandidate } from "./upstream_link.ts";
 
-/** A move that takes longer has failed: the copy takes some ten ms, behind a few others. */
+/** A move that takes longer has failed: the copy takes some ten ms, and may queue behind a few others. */
 const MOVE_TIMEOUT_MS = 1_000;
 const CONNECT_TIMEOUT_MS = 250;
 
-/** Where a stream goes on. */
+/** Where a moved stream continues. */
 export interface MoveResult {
   readonly candidate: LinkedCandidate;
-  /** Names the memory that it goes on from. */
+  /** `IP:PORT/HANDLE` of the memory that it continues from. */
   readonly goesOnFrom: string;
 }
 
-/** Moves of one stream: each costs it a pause, and who left this many engines would leave the next one too. */
+/**
+ * Maximum moves of one stream. Each costs it a pause, and a stream that left this many engines would leave the next one
+ * too.
+ */
 const MAX_MOVES = 4;
 
-/** See the module. One for each request. */
+/** Moves the stream of one request. */
 export class StreamMover {
   readonly #context: GatewayContext;
   readonly #input: CallInput;
@@ -50,7 +53,7 @@
   }
 
   /**
-   * Looks whether a stream that has brought `events` so far is better off at one of `others`, and starts the move if so.
+   * Checks whether a stream that has sent `events` so far is better off at one of `others`, and starts the move if so.
    */
   considerMove(
     candidate: LinkedCandidate,
@@ -89,7 +92,7 @@
     this.#pendingMove = this.#requestMove(candidate, target);
   }
 
-  /** Where the stream goes on after it stopped; `undefined` if it was not moved. */
+  /** Waits for a move that was started. Resolves to where the stream continues; `undefined` if it was not moved. */
   async waitForMove(): Promise<MoveResult | undefined> {
     const result = await this.#pendingMove;
     this.#pendingMove = undefined;
@@ -144,7 +147,7 @@
   try {
     return decodeMove(head.value.statusCode ?? 0, await readText(head.value));
   } catch {
-    // An answer that broke off names no handle; the stream's own end tells whether it was stopped.
+    // An answer that broke off names no handle; how the stream itself ends tells whether it was stopped.
     return undefined;
   }
 }
--- a/src/gateway/upstream_link.ts
+++ b/src/gateway/upstream_link.ts
@@ -1,5 +1,5 @@
 /**
- * This VM's side of one upstream, and an upstream as a request sees it.
+ * This VM's state of one upstream, and an upstream as a candidate for a request.
  *
  * @module
  */
@@ -16,29 +16,32 @@
 import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
 /**
- * An upstream that owes answers and sends nothing for this long has gone dark or hangs: engines at work send events
- * several times as often, and a plain service's slowest usual answer takes less.
+ * An upstream with requests in flight that sends nothing for this long is unreachable or hangs: busy engines send
+ * events several times as often, and a plain service's slowest usual answer takes less.
  */
 const SILENCE_TIMEOUT_MS = 600;
 
-/** Two VMs that lose an upstream within this time have lost the same one; at its usual rate it takes them a tenth of it. */
+/**
+ * Two VMs that lose an upstream within this time have seen one failure of it; at its usual request rate a tenth of this
+ * time is enough for both.
+ */
 const SAME_LOSS_WINDOW_MS = 1_000;
 
-/** This VM's side of one upstream. */
+/** This VM's connections, load and health of one upstream. */
 export class UpstreamLink {
   readonly agent: KeepAliveAgent;
   readonly health = new UpstreamHealth();
   readonly coldPace = new ColdRateLimiter();
-  /** Called now and then for each stream that runs there, so that it can leave an engine that reads. */
+  /** Called periodically for each stream that runs there, so that it can leave an engine that reads a prompt. */
   readonly streamChecks = new Set<() => void>();
-  /** Called for each request that is there when the upstream turns out to be dark. */
+  /** Called for each repeatable request in flight when the upstream turns out to be unreachable. */
   readonly darkListeners = new Set<() => void>();
   running = 0;
-  /** Requests under way under which upstreams ended before. */
+  /** Requests in flight under which upstreams crashed before. */
   suspectCount = 0;
   waitingTokens = 0;
   usedMonoMs: number;
-  /** Where the last request was sent. */
+  /** The upstream, as of the last request. */
   upstream: KnownUpstream | undefined;
 
   #silentSinceMs: number;
@@ -63,8 +66,8 @@
   }
 
   /**
-   * Which VM alone may send there while it is cold. Kept as long as the list of VMs is the same one: with 30 neighbours
-   * and ten cold upstreams asking anew took 0.4 ms a request.
+   * Returns the only VM that may send there while the upstream is cold. Cached as long as the list of VMs is the same
+   * object: with 30 other VMs and ten cold upstreams, computing it took 0.4 ms per request.
    */
   coldOwner(upstreamKey: string, vmIds: readonly string[]): string | undefined {
     if (this.#cachedOwner?.vmIds !== vmIds) {
@@ -77,8 +80,8 @@
   }
 
   /**
-   * Notes that a VM lost its connection here; whether another one did so too, a moment ago. A VM whose own links fail
-   * loses every upstream, and must not have the whole region leave them.
+   * Notes that a VM lost its connection to the upstream. Returns whether another VM did so too shortly before: a VM
+   * whose own links fail loses every upstream, and must not make the whole region avoid them.
    */
   confirmLoss(vmId: string, nowMs: number): boolean {
     const previous = this.#lastLoss;
@@ -87,12 +90,15 @@
       nowMs - previous.lostMs < SAME_LOSS_WINDOW_MS;
   }
 
-  /** Notes that bytes came. */
+  /** Notes that bytes arrived. */
   noteReceived(nowMs: number): void {
     this.#silentSinceMs = nowMs;
   }
 
-  /** Sets the upstream aside if it owes answers and has sent nothing for long. */
+  /**
+   * Sets the upstream aside if it has requests in flight and has sent nothing for {@link SILENCE_TIMEOUT_MS}. Returns
+   * whether it did.
+   */
   checkSilence(nowMs: number): boolean {
     if (
       this.running === 0 || nowMs - this.#silentSinceMs < SILENCE_TIMEOUT_MS
@@ -111,9 +117,9 @@
   readonly link: UpstreamLink;
   /** What is known of the engines' speed. */
   readonly pace: EnginePace;
-  /** Prompt tokens that it will have to read. */
+  /** Prompt tokens that it would have to read. */
   readonly unreadTokens: number;
-  /** Set if a lead chose it: the lead has looked at its cold start, and knows who has read the prompt. */
+  /** Set if a lead chose it: the lead has checked its cold-start rate, and knows which engine has read the prompt. */
   readonly grant?: Grant;
 }
 
@@ -132,5 +138,5 @@
   readonly tokens: number;
 }
 
-/** A request without a prompt. */
+/** The prompt of a request that has none. */
 export const NO_PROMPT: PromptShape = { parts: [], tokens: 0 };
--- a/src/gateway/upstream_send.ts
+++ b/src/gateway/upstream_send.ts
@@ -20,10 +20,10 @@
 } from "./send.ts";
 import type { LinkedCandidate, UpstreamLink } from "./upstream_link.ts";
 
-/** A connection inside a region takes a few ms; an upstream that took none in this time is dark. */
+/** A connection inside a region takes a few ms; an upstream that accepts none in this time is unreachable. */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** A send to an upstream; counts what this VM has under way there. */
+/** A send to an upstream, which counts as in flight there until it is closed. */
 export class UpstreamSend extends Send {
   protected readonly exchange: Exchange;
   readonly #candidate: LinkedCandidate;
@@ -52,7 +52,7 @@
     link.noteSend(upstream, nowMs, this.#waitingTokens);
     if (outbound.mayRepeat) link.darkListeners.add(this.#cancelWhenDark);
     if (outbound.isSuspect) link.suspectCount++;
-    // A lead has counted what it granted.
+    // A lead has counted what it granted already; other sends have to be reported to it soon.
     if (!candidate.grant) context.members.notePromptRead();
     candidate.pace.noteSend(this.#waitingTokens);
     this.exchange = new Exchange({
@@ -73,7 +73,7 @@
     });
   }
 
-  /** Where it was sent. */
+  /** The upstream that it was sent to. */
   get candidate(): LinkedCandidate {
     return this.#candidate;
   }
@@ -85,7 +85,7 @@
     this.#firstChunkMonoMs ??= nowMs;
     this.#lastChunkMonoMs = nowMs;
     const { eventGapMs, onStreamCheck } = this.outbound;
-    // Where no pause can be too long a stream never moves, and need not be looked at forty times a second.
+    // Where no pause can be too long, a stream never moves and need not be checked forty times a second.
     if (this.#candidate.pace.canExceedGap(eventGapMs)) {
       this.context.upstreams.watchStream(this.#link, onStreamCheck);
     }
@@ -105,7 +105,8 @@
     }
     const shared = this.outbound.parts.slice(0, -1);
     this.context.upstreams.holders.noteRead(shared, upstream.key, nowMs);
-    // A prompt behind as much again starts by the others' reading, which is known late.
+    // The first event of a prompt behind at least as many other tokens depends on reading those, and they are known
+    // late.
     if (this.#waitingTokens > waitingTokens) {
       pace.noteFirstEvent(
         this.#waitingTokens + waitingTokens,
@@ -140,15 +141,18 @@
     super.cancel(reason);
   }
 
-  /** What became of a send counts here, and at the lead for all VMs of the region. */
+  /** Records the outcome of the send here, and reports it to the lead, which counts it for all VMs of the region. */
   #noteOutcome(outcome: SendOutcome): void {
     this.#link.health.noteOutcome(outcome, this.context.clock.monoMs());
     this.context.members.noteSendEnd([this.#candidate.key, outcome]);
   }
 
-  /** The upstream can't be reached any more; what may be repeated goes elsewhere while a repeat is left. */
+  /**
+   * Cancels a send that may be repeated when its upstream can't be reached any more, if there is another place and a
+   * retry left.
+   */
   readonly #cancelWhenDark = (): void => {
-    if (this.outbound.hasAlternative()) this.cancel("upstream went dark");
+    if (this.outbound.hasAlternative()) this.cancel("upstream unreachable");
   };
 
   close(): void {
--- a/src/gateway/upstreams.ts
+++ b/src/gateway/upstreams.ts
@@ -1,5 +1,5 @@
 /**
- * What this VM has open at each upstream: connections, requests under way, health.
+ * This VM's state of each upstream: connections, requests in flight, health.
  *
  * @module
  */
@@ -33,10 +33,10 @@
   UpstreamLink,
 } from "./upstream_link.ts";
 
-/** Connections of an upstream that is known no more are kept this long, for the answers that are still under way. */
+/** Connections of an upstream that is no longer known are kept this long, for answers that are still in flight. */
 const LINK_TTL_MS = 60_000;
 const SWEEP_INTERVAL_MS = 5_000;
-/** An upstream's silence is found late by up to this much, a third of what is taken for silence. */
+/** Interval of the silence check: silence is detected late by up to this much, a third of the silence timeout. */
 const SILENCE_CHECK_INTERVAL_MS = 200;
 const SEND_OUTCOMES: ReadonlySet<string> = new Set<SendOutcome>([
   "answered",
@@ -45,20 +45,23 @@
   "lost",
   "replaced",
 ]);
-/** Streams beside a prompt that is read pause from its start on; a tenth of the shortest pause allowed is lost by looking. */
+/**
+ * Interval of the stream check. Streams pause as soon as their engine reads another prompt; the check delays a move by
+ * up to a tenth of the shortest allowed pause.
+ */
 const STREAM_CHECK_INTERVAL_MS = 25;
 
-/** See the module. */
+/** Tracks this VM's load and health of each upstream, and lists the candidates for a request. */
 export class Upstreams extends Task {
   readonly name = "upstreams";
-  /** Which engines hold which parts of prompts. */
+  /** Which engines have cached which prompt parts. */
   readonly holders = new PartHolders();
   readonly #fleet: Fleet;
   readonly #otherLoads: OtherLoads;
   readonly #self: { readonly id: string; readonly region: string };
   readonly #selfHash: number;
   readonly #links = new Map<string, UpstreamLink>();
-  /** By service. */
+  /** Learned engine speeds, by service. */
   readonly #paces = new Map<string, EnginePace>();
   protected readonly handlers: Handlers<Messages> = {};
   #clock!: Clock;
@@ -114,17 +117,20 @@
     return { links, paces };
   }
 
-  /** Shared parts that engines read for this VM in the last `ms`. */
+  /** Returns the shared prompt parts that engines read for this VM in the last `ms`. */
   partsReadWithin(ms: number): HeldPart[] {
     return this.holders.ownReadsWithin(ms, this.#clock.monoMs());
   }
 
-  /** The same for all VMs of the region. */
+  /** Returns the same for all VMs of the region. */
   regionPartsReadWithin(ms: number): HeldPart[] {
     return this.holders.regionReadsWithin(ms, this.#clock.monoMs());
   }
 
-  /** Takes in what another VM says that engines hold; anything else than pairs of texts is left out. */
+  /**
+   * Records which engines have cached which prompt parts, as told by another VM; anything else than pairs of texts is
+   * ignored.
+   */
   noteHeldParts(
     held: readonly HeldPart[] | undefined,
     isSameRegion: boolean,
@@ -141,7 +147,7 @@
     }
   }
 
-  /** What this VM has under way, by upstream key. */
+  /** Returns what this VM has in flight, by upstream key. */
   load(): Load {
     const load: Record<string, [number, number]> = {};
     for (const [key, { running, waitingTokens }] of this.#links) {
@@ -150,7 +156,7 @@
     return load;
   }
 
-  /** The upstreams of a service in this region, with what all VMs of the region have under way there. */
+  /** Returns the upstreams of a service in this region, with the load of all VMs of the region. */
   candidates(
     service: ServiceConfig,
     { parts, tokens }: PromptShape = NO_PROMPT,
@@ -190,7 +196,7 @@
     );
   }
 
-  /** The upstream that a lead chose; `undefined` if it is not known here or may not be used. */
+  /** Returns the upstream that a lead chose; `undefined` if it is not known here or may not be used. */
   grantedCandidate(
     service: ServiceConfig,
     key: string,
@@ -216,14 +222,14 @@
     };
   }
 
-  /** Upstreams that this VM itself has lost a moment ago. */
+  /** Returns the keys of the upstreams that this VM itself has set aside, as after a lost connection. */
   asideKeys(): string[] {
     const nowMs = this.#clock.monoMs();
     return [...this.#links].filter(([, { health }]) => health.isAside(nowMs))
       .map(([key]) => key);
   }
 
-  /** Takes in what became of another VM's sends. */
+  /** Records the outcomes of another VM's sends. */
   noteOutcomes(vmId: string, outcomes: readonly SeenOutcome[]): void {
     const nowMs = this.#clock.monoMs();
     for (const pair of outcomes) {
@@ -235,7 +241,10 @@
     }
   }
 
-  /** What is known of the speed of a service's engines; plain services read nothing and keep the first figures. */
+  /**
+   * Returns what is known of the speed of a service's engines. Plain services read no prompts and keep the initial
+   * figures.
+   */
   paceOf({ name }: ServiceConfig): EnginePace {
     let pace = this.#paces.get(name);
     if (!pace) {
@@ -245,13 +254,13 @@
     return pace;
   }
 
-  /** Requests that run at an upstream, by all VMs of the region as far as known. */
+  /** Returns the requests that run at an upstream, from all VMs of the region as far as known. */
   running(upstreamKey: string): number {
     const [others] = this.#otherLoads.loadAt(upstreamKey, this.#clock.monoMs());
     return others + (this.#links.get(upstreamKey)?.running ?? 0);
   }
 
-  /** Prompt tokens that wait at an upstream, by all VMs of the region as far as known. */
+  /** Returns the prompt tokens that wait at an upstream, from all VMs of the region as far as known. */
   waitingTokens(upstreamKey: string): number {
     const [, others] = this.#otherLoads.loadAt(
       upstreamKey,
@@ -260,7 +269,10 @@
     return others + (this.#links.get(upstreamKey)?.waitingTokens ?? 0);
   }
 
-  /** Looks again, in the step that sends, whether the upstream may be used, and counts a cold one's request. */
+  /**
+   * Checks again, in the step that sends, whether the upstream may be used, and counts a send against the rate of a
+   * cold one.
+   */
   tryAdmit(
     { upstream, link, grant }: LinkedCandidate,
     service: ServiceConfig,
@@ -276,7 +288,7 @@
     return true;
   }
 
-  /** `IP:PORT` of an engine to copy a prompt's shared parts from, among regions that may hold them. */
+  /** Returns the `IP:PORT` of an engine to copy a prompt's shared parts from, among the regions that may hold them. */
   pickFetchSource(
     { upstream, grant }: LinkedCandidate,
     { engine, name }: ServiceConfig,
@@ -305,7 +317,7 @@
     return link;
   }
 
-  /** Calls `check` again and again while a stream runs at an upstream. */
+  /** Calls `check` periodically while a stream runs at an upstream. */
   watchStream({ streamChecks }: UpstreamLink, check: () => void): void {
     streamChecks.add(check);
     this.#streamTimer ??= this.#clock.every(
@@ -335,8 +347,9 @@
   }
 
   /**
-   * An engine that reads a long prompt is silent too, so silence alone ends no request. One that takes no connection
-   * either has lost its power or its link: whoever waits there would learn nothing until its deadline.
+   * Probes a silent upstream, and cancels sends to it if it can't be reached. An engine that reads a long prompt is
+   * silent too, so silence alone cancels no request. One that accepts no connection either has lost its power or its
+   * link, and requests there would get no answer before their deadline.
    */
   async #probeSilent(
     log: Log,
