--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -86,7 +86,7 @@
       context,
       input,
       service: this.#service,
-      places: this.#placement,
+      placement: this.#placement,
       record: this.#record,
     });
   }
--- a/src/gateway/call_sends.ts
+++ b/src/gateway/call_sends.ts
@@ -37,7 +37,7 @@
   readonly context: GatewayContext;
   readonly input: CallInput;
   readonly service: ServiceConfig;
-  readonly places: CallPlacement;
+  readonly placement: CallPlacement;
   readonly record: CallRecord;
 }
 
@@ -86,14 +86,14 @@
   }
 
   #admit(candidate: LinkedCandidate): boolean {
-    const { context, service, places, record } = this.#options;
+    const { context, service, placement, record } = this.#options;
     const isAdmitted = context.upstreams.tryAdmit(
       candidate,
       service,
       this.#prompt,
     );
     // The lead would choose the upstream again if it has not heard yet that the upstream is draining.
-    if (isAdmitted || candidate.grant) places.noteTried(candidate);
+    if (isAdmitted || candidate.grant) placement.noteTried(candidate);
     if (!isAdmitted) return false;
     record.place = candidate.key;
     return true;
@@ -104,12 +104,12 @@
     state: SendState,
   ): Send | undefined {
     if (!this.#admit(candidate)) return undefined;
-    const { context, service, places } = this.#options;
+    const { context, service, placement } = this.#options;
     const fetchFrom = context.upstreams.pickFetchSource(
       candidate,
       service,
       this.#prompt,
-      places.isHomeRegion,
+      placement.isHomeRegion,
     );
     const promptTokens = service.engine ? candidate.unreadTokens : 0;
     const outbound = this.#buildRequest(promptTokens, fetchFrom, state);
@@ -117,8 +117,8 @@
   }
 
   #sendToRegion(region: string, state: SendState): Send | undefined {
-    const { context, places, record, input } = this.#options;
-    places.noteTriedRegion(region);
+    const { context, placement, record, input } = this.#options;
+    placement.noteTriedRegion(region);
     const vm = context.relays.pickTarget(region, context.random);
     if (!vm) return undefined;
     record.place = vm.ip;
@@ -138,7 +138,7 @@
     fetchFrom: string | undefined,
     { body, lastEventId, onStreamCheck, isSuspect }: SendState,
   ): OutboundRequest {
-    const { input, service, places, record } = this.#options;
+    const { input, service, placement, record } = this.#options;
     const { head, request, route, deadlineMonoMs } = input;
     return {
       method: request.method ?? "GET",
@@ -153,7 +153,7 @@
       parts: this.#prompt.parts,
       fetchFrom,
       goesOnFrom: undefined,
-      urgency: service.engine && places.urgency(promptTokens),
+      urgency: service.engine && placement.urgency(promptTokens),
       onStreamCheck,
       eventGapMs: route.eventGapMs,
       // A request that may have crashed an upstream must not run at a second one while the outcome of its first run is
@@ -171,10 +171,10 @@
    * Whether giving up on a missing answer gains anything: there must be a free place, and a retry left in the budget.
    */
   #hasAlternative(): boolean {
-    const { context, service, places } = this.#options;
+    const { context, service, placement } = this.#options;
     const { clock, members } = context;
     return context.retryBudget(service.name)
       .canTake(clock.monoMs(), members.vmCount()) &&
-      (places.nextLocally().type === "relay" || places.hasRoomHere());
+      (placement.nextLocally().type === "relay" || placement.hasRoomHere());
   }
 }
