--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -1,5 +1,5 @@
 /**
- * The life of one request on this VM: read, placed, sent, perhaps sent again or handed over, answered.
+ * Handles one request: reads its body, places and sends it, retries or relays it if needed, and forwards the answer.
  *
  * @module
  */
@@ -13,23 +13,14 @@
   type Step,
 } from "../routing/mod.ts";
 import { readBody } from "./body.ts";
-import {
-  BODY_ERROR_CODES,
-  type CallInput,
-  REFUSAL_CODES,
-} from "./call_input.ts";
+import { BODY_CODES, type CallInput, REFUSAL_CODES } from "./call_input.ts";
 import { CallPlacement } from "./call_placement.ts";
 import { CallRecord } from "./call_record.ts";
 import { CallSends, type SendState } from "./call_sends.ts";
 import { CallSuspicion } from "./call_suspicion.ts";
 import type { GatewayContext } from "./context.ts";
 import { waitForNextPoll } from "./next_poll.ts";
-import {
-  type BodyForwarder,
-  createForwarder,
-  EventForwarder,
-  type ForwardResult,
-} from "./body_forwarder.ts";
+import { type BodyPipe, createPipe, EventPipe, type PipeEnd } from "./pipe.ts";
 import type { Reply } from "./reply.ts";
 import { RelaySend } from "./relay_send.ts";
 import type { Answered, Send, Unanswered } from "./send.ts";
@@ -38,20 +29,20 @@
 import type { LinkedCandidate } from "./upstream_link.ts";
 
 /**
- * A process that is further behind than this reads requests whose callers have left meanwhile; it looks whether they have
- * before it sends them on, as an upstream would work for nobody.
+ * Event loop lag above which callers may have left before their requests are read. The process then checks for that
+ * before it sends a request, so that no upstream works for a caller that has left.
  */
 const HIGH_LAG_MS = 50;
-/** Tries of one request, connections that failed included: each costs up to a quarter of a second. */
+/** Maximum sends of one request, failed connects included. Each costs up to a quarter of a second. */
 const MAX_TRIES = 4;
 
-/** What another VM knows against a request holds here too, though this one was not told yet. */
-const NO_RETRY_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
+/** Final failures: what another VM knows against a request holds here too, even if this VM was not told yet. */
+const FINAL_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
   "endsUpstreams",
   "onTrialElsewhere",
 ]);
 
-/** See the module. */
+/** Runs one request of a caller, or one that another VM relayed. */
 export class Call {
   readonly #context: GatewayContext;
   readonly #input: CallInput;
@@ -64,7 +55,7 @@
   readonly #suspicion: CallSuspicion;
   #body: Buffer = Buffer.alloc(0);
   #send: Send | undefined;
-  #forwarder: BodyForwarder | undefined;
+  #pipe: BodyPipe | undefined;
   readonly #mover: StreamMover;
   #moveResult: MoveResult | undefined;
   #mayHaveRun = false;
@@ -95,12 +86,12 @@
       context,
       input,
       service: this.#service,
-      places: this.#placement,
+      placement: this.#placement,
       record: this.#record,
     });
   }
 
-  /** Runs the request to its end; never throws. */
+  /** Runs the request to its end. Never rejects. */
   async run(): Promise<void> {
     const { clock, bodies } = this.#context;
     const timer = clock.after(
@@ -115,7 +106,7 @@
         bodies,
         (run) => this.#reply.onClosed(run),
       );
-      if (body.isErr()) this.#fail(failure(BODY_ERROR_CODES[body.error]), 0);
+      if (body.isErr()) this.#fail(failure(BODY_CODES[body.error]), 0);
       else {
         this.#body = body.value;
         this.#suspicion.body = body.value;
@@ -138,7 +129,7 @@
     }
   }
 
-  /** The other side left: whatever is under way is given up, so that no upstream works for nobody. */
+  /** Cancels the request because the other side has left, so that no upstream keeps working for it. */
   cancel(): void {
     if (this.#isOver) return;
     this.#finish("canceled", "caller left");
@@ -167,7 +158,7 @@
     }
   }
 
-  /** Node takes one new connection a turn, so that a busy process reads a first request seconds after it was sent. */
+  /** Whether the caller may have left before its request was read; see {@link CallInput.isFirst}. */
   get #mayBeStale(): boolean {
     return this.#input.isFirst || this.#isLagging;
   }
@@ -176,37 +167,29 @@
     return this.#context.members.lagMs > HIGH_LAG_MS;
   }
 
-  /** Does a step; returns the send that it began. */
+  /** Executes a step; returns the send that it started, if any. */
   #startStep(step: Step<LinkedCandidate>): Send | undefined {
     if (step.type === "wait") return undefined;
-    if (step.type !== "refuse") {
-      return this.#sends.open(step, this.#sendState());
-    }
+    if (step.type !== "refuse") return this.#sends.open(step, this.#state());
     this.#refuse(step);
     return undefined;
   }
 
-  /** A stream that was stopped in order to move goes on at its new engine. */
+  /** Continues a stream that was stopped in order to move, at its new engine. */
   async #continueMoved({ candidate, goesOnFrom }: MoveResult): Promise<void> {
     this.#moveResult = undefined;
     this.#mayHaveRun = true;
-    const send = this.#sends.continueMoved(
-      candidate,
-      goesOnFrom,
-      this.#sendState(),
-    );
-    if (!send) {
-      return this.#handleBrokenStream("the engine that it moved to is gone");
-    }
+    const send = this.#sends.continueAt(candidate, goesOnFrom, this.#state());
+    if (!send) return this.#handleBreak("the engine that it moved to is gone");
     await this.#runSend(send);
   }
 
-  /** What the next send of the request carries. */
-  #sendState(): SendState {
+  /** Returns the state of the request that its next send depends on. */
+  #state(): SendState {
     return {
       body: this.#body,
-      lastEventId: this.#forwarder instanceof EventForwarder
-        ? this.#forwarder.lastEventId
+      lastEventId: this.#pipe instanceof EventPipe
+        ? this.#pipe.lastEventId
         : undefined,
       onStreamCheck: this.#onStreamCheck,
       isSuspect: this.#suspicion.isSuspect,
@@ -214,7 +197,7 @@
     };
   }
 
-  /** Follows one send to its end; returns with the call over, or ready for the next step. */
+  /** Runs one send to its end. Returns when the request is over, or ready for its next step. */
   async #runSend(send: Send): Promise<void> {
     this.#record.tries++;
     this.#send = send;
@@ -232,9 +215,9 @@
         return;
       }
       if (this.#reply.hasStarted && head.decoded.status !== 200) {
-        return this.#handleBrokenStream(`resumed with ${head.decoded.status}`);
+        return this.#handleBreak(`resumed with status ${head.decoded.status}`);
       }
-      const result = await this.#forwardBody(send, head);
+      const result = await this.#pipeBody(send, head);
       if (this.#isOver) return;
       if (result === "whole") {
         this.#reply.end();
@@ -245,72 +228,58 @@
       if (this.#isOver || this.#moveResult) return;
       send.noteBroken();
       await this.#noteLoss(send);
-      if (!this.#isOver) this.#handleBrokenStream("upstream broke off");
+      if (!this.#isOver) this.#handleBreak("upstream broke off");
     } finally {
       send.close();
     }
   }
 
-  /** A send was lost; what may go on elsewhere waits until it is known whether it has ended its upstream. */
+  /** Notes a lost send. What may continue elsewhere waits until it is known whether the send crashed its upstream. */
   #noteLoss(send: Send): Promise<void> {
     const { route, relayed } = this.#input;
     return this.#suspicion.noteLoss(send, isRepeatable(route) || relayed);
   }
 
-  #forwardBody(
-    send: Send,
-    { answer, decoded }: Answered,
-  ): Promise<ForwardResult> {
-    if (!this.#forwarder) {
+  #pipeBody(send: Send, { answer, decoded }: Answered): Promise<PipeEnd> {
+    if (!this.#pipe) {
       this.#reply.start(decoded.status, decoded.headers, decoded.bodyBytes);
-      this.#forwarder = createForwarder(
-        this.#reply,
-        this.#canResumeElsewhere(),
-        () => {
-          this.#send?.noteChunk();
-          this.#record.noteChunk();
-          this.#suspicion.noteChunk();
-        },
-      );
-    } else if (this.#forwarder instanceof EventForwarder) {
-      this.#forwarder.dropPartial();
-    }
+      this.#pipe = createPipe(this.#reply, this.#canResume(), () => {
+        this.#send?.noteChunk();
+        this.#record.noteChunk();
+        this.#suspicion.noteChunk();
+      });
+    } else if (this.#pipe instanceof EventPipe) this.#pipe.dropPartial();
     this.#send = send;
-    return this.#forwarder.run(answer);
+    return this.#pipe.run(answer);
   }
 
-  /** Whether the answer may go on from another upstream. */
-  #canResumeElsewhere(): boolean {
+  /** Whether the answer may be continued by another upstream. */
+  #canResume(): boolean {
     const { route, relayed } = this.#input;
     const { engine } = this.#service;
-    // The VM that the caller is connected to resumes; a second one would count its sends from zero.
+    // Only the VM that the caller is connected to resumes; a second one would count its sends from zero.
     const isResumable = route.resumable && !relayed;
     return route.kind === "stream" &&
       (engine?.moves === true || isResumable);
   }
 
-  /** Looks whether a stream is better off at another engine. */
+  /** Checks whether a stream should move to another engine. */
   readonly #onStreamCheck = (): void => {
     const send = this.#send;
     if (this.#suspicion.isSuspect) return;
-    if (
-      !(send instanceof UpstreamSend &&
-        this.#forwarder instanceof EventForwarder)
-    ) {
+    if (!(send instanceof UpstreamSend && this.#pipe instanceof EventPipe)) {
       return;
     }
     this.#mover.considerMove(
       send.candidate,
-      this.#forwarder.events,
+      this.#pipe.events,
       () => this.#placement.candidatesExcept(send.candidate),
     );
   };
 
-  /** Whether a failed answer is left aside for another send. */
+  /** Discards a failed answer if another send is allowed and likely to be served. Returns whether it does. */
   #retryFailedAnswer({ answer, decoded }: Answered): boolean {
-    if (!this.#placement.hasLocalAlternative() || !this.#tryTakeRetry(true)) {
-      return false;
-    }
+    if (!this.#placement.hasRoomHere() || !this.#takeRetry(true)) return false;
     answer.resume();
     this.#mayHaveRun = true;
     this.#record.noteRetry(`upstream answered ${decoded.status}`);
@@ -318,22 +287,20 @@
   }
 
   #handleUnanswered(send: Send, head: Unanswered): void {
-    // A VM that is gone says nothing of its region: another one there may take the request.
+    // A VM that can't be reached says nothing about its region: another VM there may take the request.
     if (send instanceof RelaySend && !head.wasSent) {
       this.#placement.forgetTriedRegion(send.region);
     }
-    if (head.endedUpstream !== undefined) {
-      this.#suspicion.noteEndElsewhere(head.endedUpstream);
+    if (head.crashedUpstream !== undefined) {
+      this.#suspicion.noteRemoteCrash(head.crashedUpstream);
     }
     if (head.wasAccepted) this.#record.sends++;
     this.#record.arrivals += head.arrivals;
     this.#lastFailure = head.failure;
-    // A moved stream that its new engine turns away has run all the same.
+    // A moved stream has run, even if its new engine refuses it.
     const mayHaveRun = head.mayHaveRun || this.#reply.hasStarted;
     this.#mayHaveRun ||= mayHaveRun;
-    if (
-      !NO_RETRY_CODES.has(head.failure.code) && this.#tryTakeRetry(mayHaveRun)
-    ) {
+    if (!FINAL_CODES.has(head.failure.code) && this.#takeRetry(mayHaveRun)) {
       return this.#record.noteRetry(head.reason);
     }
     this.#fail(
@@ -345,21 +312,18 @@
     );
   }
 
-  /** A stream broke in the middle: it goes on at another upstream, or the caller's connection breaks too. */
-  #handleBrokenStream(reason: string): void {
+  /** Handles a stream that broke off: another upstream resumes it, or the caller's connection is aborted too. */
+  #handleBreak(reason: string): void {
     this.#mayHaveRun = true;
     const { relayed } = this.#input;
-    if (
-      this.#forwarder instanceof EventForwarder && !relayed &&
-      this.#tryTakeRetry(true)
-    ) {
+    if (this.#pipe instanceof EventPipe && !relayed && this.#takeRetry(true)) {
       return this.#record.noteRetry(reason);
     }
     this.#finish("streamBroken", reason);
     this.#reply.abort();
   }
 
-  #tryTakeRetry(mayHaveRun: boolean): boolean {
+  #takeRetry(mayHaveRun: boolean): boolean {
     const { route } = this.#input;
     const { clock, members } = this.#context;
     const isAllowed = this.#record.tries < MAX_TRIES && canRetry({
@@ -369,7 +333,7 @@
       mostUpstreams: this.#input.mostUpstreams,
     });
     if (!isAllowed) return false;
-    // Until it came to an upstream, another try is the first arrival anywhere and costs nothing of the budget.
+    // Until an upstream has received it, another send is the first to arrive and takes nothing from the retry budget.
     return this.#record.arrivals === 0 ||
       this.#context.retryBudget(this.#service.name).tryTake(
         clock.monoMs(),
@@ -383,7 +347,7 @@
     this.#refuseRun(REFUSAL_CODES[step.reason], step.comeBackMs);
   }
 
-  /** Refuses to run the request; one that may have run already can't be told that it has not. */
+  /** Refuses the request. One that may have run fails instead, as a refusal would say that it has not run. */
   #refuseRun(code: CodeName, comeBackMs: number): void {
     if (!this.#mayHaveRun) return this.#fail(failure(code), comeBackMs);
     this.#fail(this.#lastFailure ?? failure("upstreamFailed"), 0);
@@ -406,8 +370,8 @@
     this.#finish(cause.code, reason, comeBackMs);
     if (this.#reply.hasStarted) this.#reply.abort();
     else {
-      const { arrivals, endedUpstream } = this.#record;
-      this.#reply.fail(cause, comeBackMs, { arrivals, endedUpstream });
+      const { arrivals, crashedUpstream } = this.#record;
+      this.#reply.fail(cause, comeBackMs, { arrivals, crashedUpstream });
     }
   }
 
--- a/src/gateway/call_sends.ts
+++ b/src/gateway/call_sends.ts
@@ -1,5 +1,5 @@
 /**
- * The sends of one request: to the upstream or region that a step names.
+ * Opens the sends of one request, to the upstream or region that a step names.
  *
  * @module
  */
@@ -20,15 +20,15 @@
 import { UpstreamSend } from "./upstream_send.ts";
 import type { LinkedCandidate, PromptShape } from "./upstream_link.ts";
 
-/** What a send carries of the state of its request. */
+/** The state of a request that its next send depends on. */
 export interface SendState {
   readonly body: Buffer;
-  /** The last event that the caller has, if its stream broke and goes on. */
+  /** The last event that the caller has, if its stream broke off and is resumed. */
   readonly lastEventId: string | undefined;
   readonly onStreamCheck: () => void;
-  /** Whether upstreams ended as the request began to run. */
+  /** Whether upstreams crashed as the request began to run. */
   readonly isSuspect: boolean;
-  /** Whether it has the leave to run once more. */
+  /** Whether this VM, or the one that relayed the request, holds the permission for its trial run. */
   readonly isTrialRun: boolean;
 }
 
@@ -37,11 +37,11 @@
   readonly context: GatewayContext;
   readonly input: CallInput;
   readonly service: ServiceConfig;
-  readonly places: CallPlacement;
+  readonly placement: CallPlacement;
   readonly record: CallRecord;
 }
 
-/** See the module. */
+/** Opens the sends of one request. */
 export class CallSends {
   readonly #options: CallSendsOptions;
   readonly #prompt: PromptShape;
@@ -59,7 +59,7 @@
     );
   }
 
-  /** Sends, or finds that the place that was chosen is gone. */
+  /** Opens the send of a step; `undefined` if the chosen upstream or region is gone. */
   open(
     step: Step<LinkedCandidate> & { type: "send" | "relay" },
     state: SendState,
@@ -69,8 +69,8 @@
       : this.#sendToRegion(step.region, state);
   }
 
-  /** A stream that was stopped in order to move goes on; `undefined` if its new engine is gone. */
-  continueMoved(
+  /** Continues a stream that was stopped in order to move; `undefined` if its new engine is gone. */
+  continueAt(
     candidate: LinkedCandidate,
     goesOnFrom: string,
     state: SendState,
@@ -86,14 +86,14 @@
   }
 
   #admit(candidate: LinkedCandidate): boolean {
-    const { context, service, places, record } = this.#options;
+    const { context, service, placement, record } = this.#options;
     const isAdmitted = context.upstreams.tryAdmit(
       candidate,
       service,
       this.#prompt,
     );
-    // A lead that has not heard that an upstream leaves would choose it again.
-    if (isAdmitted || candidate.grant) places.noteTried(candidate);
+    // The lead would choose the upstream again if it has not heard yet that the upstream is draining.
+    if (isAdmitted || candidate.grant) placement.noteTried(candidate);
     if (!isAdmitted) return false;
     record.place = candidate.key;
     return true;
@@ -104,12 +104,12 @@
     state: SendState,
   ): Send | undefined {
     if (!this.#admit(candidate)) return undefined;
-    const { context, service, places } = this.#options;
+    const { context, service, placement } = this.#options;
     const fetchFrom = context.upstreams.pickFetchSource(
       candidate,
       service,
       this.#prompt,
-      places.isHomeRegion,
+      placement.isHomeRegion,
     );
     const promptTokens = service.engine ? candidate.unreadTokens : 0;
     const outbound = this.#buildRequest(promptTokens, fetchFrom, state);
@@ -117,8 +117,8 @@
   }
 
   #sendToRegion(region: string, state: SendState): Send | undefined {
-    const { context, places, record, input } = this.#options;
-    places.noteTriedRegion(region);
+    const { context, placement, record, input } = this.#options;
+    placement.noteTriedRegion(region);
     const vm = context.relays.pickTarget(region, context.random);
     if (!vm) return undefined;
     record.place = vm.ip;
@@ -127,7 +127,8 @@
       configVersion: input.config.version,
       keyDigest: input.head.keyDigest,
       isTrialRun: state.isTrialRun,
-      // One, and no more: this VM cannot tell how many were used if it gives the hand-over up, and may send again itself.
+      // Limited to one: if this VM gives the relayed request up, it can't tell how many upstreams received it, and may
+      // send it again itself.
       mostUpstreams: 1,
     });
   }
@@ -137,7 +138,7 @@
     fetchFrom: string | undefined,
     { body, lastEventId, onStreamCheck, isSuspect }: SendState,
   ): OutboundRequest {
-    const { input, service, places, record } = this.#options;
+    const { input, service, placement, record } = this.#options;
     const { head, request, route, deadlineMonoMs } = input;
     return {
       method: request.method ?? "GET",
@@ -152,10 +153,11 @@
       parts: this.#prompt.parts,
       fetchFrom,
       goesOnFrom: undefined,
-      urgency: service.engine && places.urgency(promptTokens),
+      urgency: service.engine && placement.urgency(promptTokens),
       onStreamCheck,
       eventGapMs: route.eventGapMs,
-      // What may have ended an upstream must not run at a second one while its first run is unknown.
+      // A request that may have crashed an upstream must not run at a second one while the outcome of its first run is
+      // unknown.
       answerTimeoutMs: record.tries === 0 && !isSuspect
         ? answerTimeoutMs(route)
         : Infinity,
@@ -165,12 +167,14 @@
     };
   }
 
-  /** Whether giving up an answer that does not come gains anything: a place that is free, and a repeat that is left. */
+  /**
+   * Whether giving up on a missing answer gains anything: there must be a free place, and a retry left in the budget.
+   */
   #hasAlternative(): boolean {
-    const { context, service, places } = this.#options;
+    const { context, service, placement } = this.#options;
     const { clock, members } = context;
     return context.retryBudget(service.name)
       .canTake(clock.monoMs(), members.vmCount()) &&
-      (places.nextLocally().type === "relay" || places.hasLocalAlternative());
+      (placement.nextLocally().type === "relay" || placement.hasRoomHere());
   }
 }
