--- a/src/quota/local_quota.ts
+++ b/src/quota/local_quota.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM may hand out of the limits by itself, while no lead answers it.
+ * The part of the limits that a VM may admit by itself while no lead answers it.
  *
  * @module
  */
@@ -13,15 +13,16 @@
   SPARE_SLACK_SHARE,
 } from "./part_usage.ts";
 
-/** A VM that starts doesn't know what it has used before; half of a burst serves its first callers. */
+/** A VM that starts doesn't know what it used before; half of the burst is available to its first callers. */
 const INITIAL_LEVEL = 0.5;
 const HASH_RANGE = 0x1_0000_0000;
 const MS_PER_S = 1_000;
 
 /**
- * See the module. The part is an equal one of the whole limit. A cut-off VM would else refuse all its callers, or let any
- * flood pass; the lead leaves the parts of VMs that it doesn't hear alone. A request larger than the part may pass on some
- * VMs only, so many that the sum stays within what operators bear beyond the limit.
+ * Counts the requests that this VM admits by itself, against an equal part of each limit. Without such a part, a cut-off VM
+ * would have to refuse all its callers or admit any flood. The lead does not use the parts of VMs that it doesn't hear. A
+ * request that is larger than the part is admitted on some VMs only, so few that the total stays within the excess that
+ * operators tolerate.
  */
 export class LocalQuota {
   readonly #vmHash: number;
@@ -42,7 +43,7 @@
     this.#slack = slack;
   }
 
-  /** How long until the use fits, in ms; 0 if it does now. `vms` share the limit. */
+  /** How long until the use fits, in ms; 0 if it fits now. `vms` is the number of VMs that share the limit. */
   waitMs({ workspace, units }: QuotaUse, vms: number, nowMs: number): number {
     const limit = this.#limitOf(workspace);
     if (!limit) return 0;
@@ -57,12 +58,12 @@
     this.#usageOf(workspace, vms, nowMs)?.bucket.take(units, nowMs);
   }
 
-  /** A request that was counted has not run. */
+  /** Gives back the units of a counted request that did not run. */
   refund({ workspace, units }: QuotaUse): void {
     this.#usages.get(workspace)?.bucket.refund(units);
   }
 
-  /** Whether this is one of the VMs that let requests beyond their part pass. */
+  /** Whether this VM is one of those that admit requests larger than their part. */
   #mayPassLarge(workspace: string, units: number, vms: number): boolean {
     const { excess, slackUnits, windowMs } = this.#slack;
     const { unitsPerS, burstUnits } = this.#limitOf(workspace)!;
--- a/src/quota/local_quota_sim_test.ts
+++ b/src/quota/local_quota_sim_test.ts
@@ -11,19 +11,19 @@
 const SECONDS = 30;
 const WORKSPACE = "convoys";
 const SLACK = { excess: 0.1, slackUnits: 72_000, windowMs: WINDOW_MS };
-/** A lead takes a VM for silent after this long. */
+/** A lead regards a VM as silent after this time. */
 const SILENT_MS = 1_500;
 
 interface Cut {
   readonly isCut: (vm: number, nowMs: number) => boolean;
-  /** Whether a VM starts again at a time. */
+  /** Whether a VM restarts at a time. */
   readonly startsAgain?: (vm: number, nowMs: number) => boolean;
 }
 
 /**
- * All VMs of three regions under a flood. A VM asks its region's lead, or uses its own part while it is cut off; the lead
- * leaves the parts of VMs that it doesn't hear alone, once it has noticed. Returns the most units in any window, as a share
- * of what operators bear.
+ * Simulates all VMs of three regions under a flood. A VM asks its region's lead, or uses its own part while it is cut off.
+ * The lead does not use the parts of VMs that it doesn't hear, once it has noticed. Returns the maximum units in any
+ * window, as a share of what operators tolerate.
  */
 function simulate(
   limit: QuotaLimit,
@@ -84,21 +84,21 @@
   return { unit: "tokens", unitsPerS, burstUnits: unitsPerS, plainTokens: 200 };
 }
 
-// VMs that are cut off from all others still have callers, and engines that they reach. Together with what the leads let
-// pass they must stay within what operators bear, for a workspace of any size.
+// VMs that are cut off from all other VMs still have callers, and reach engines. What they admit together with the leads
+// must stay within what operators tolerate, for a workspace of any size.
 describe("parts of cut-off VMs", () => {
   const isOn = (nowMs: number) => nowMs >= 6_000 && nowMs < 18_000;
   const cuts: Record<string, Cut> = {
-    "nobody cut": { isCut: () => false },
+    "no VM cut": { isCut: () => false },
     "a third cut": { isCut: (vm, nowMs) => vm % 3 === 0 && isOn(nowMs) },
     "a region's VMs cut": {
       isCut: (vm, nowMs) => vm % REGIONS.length === 0 && isOn(nowMs),
     },
     "all cut": { isCut: (_vm, nowMs) => isOn(nowMs) },
-    "a third cut again and again": {
+    "a quarter cut again and again": {
       isCut: (vm, nowMs) => vm % 4 === 0 && nowMs % 4_000 < 2_000,
     },
-    "all cut and started again": {
+    "all cut and restarted": {
       isCut: (_vm, nowMs) => isOn(nowMs),
       startsAgain: (_vm, nowMs) => nowMs === 9_000,
     },
@@ -116,7 +116,7 @@
     }
   }
 
-  it("serve callers while all are cut off", (t) => {
+  it("admit requests while all VMs are cut off", (t) => {
     const limit = limitOf(1_250_000);
     t.true(simulate(limit, 1_100, cuts["all cut"], 1) > 0.5);
   });
--- a/src/quota/mod.ts
+++ b/src/quota/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Limits of workspaces over all VMs and regions: who may hand out how much of them. Free of I/O.
+ * Workspace limits that apply over all VMs and regions: how much of each limit a region or a VM may admit. Free of I/O.
  *
  * @module
  */
--- a/src/quota/moving_shares.ts
+++ b/src/quota/moving_shares.ts
@@ -1,9 +1,10 @@
 /**
- * Shares of a limit that follow the callers from region to region.
+ * Shares of a limit that move between regions with the demand of callers.
  *
- * Only the region that has a share gives it away: it uses less from that moment on, and says so in a counter that only
- * grows; the other region uses more once it has heard of it. A message that is lost, late or said twice changes nothing,
- * so whatever is cut, the shares add up to the whole at most. The counters are an escrow, as in bounded counters.
+ * Only the region that holds a share can give it away. It uses less from that moment on and reports the gift in a counter
+ * that only grows; the receiving region uses more once it has read the counter. A lost, late or repeated message does no
+ * harm, so the shares never add up to more than the whole limit, whichever links are cut. The counters form an escrow, as
+ * in bounded counters.
  *
  * @module
  */
@@ -17,37 +18,39 @@
 } from "./shares.ts";
 import { RoundRobin } from "./round_robin.ts";
 
-/** Counters are whole numbers, so that no share is lost by rounding. */
+/** Counters are integers in millionths of the limit, so that rounding loses no share. */
 const MILLION = 1_000_000;
-/** A region always keeps this much of an equal share, so that its first callers after a quiet time needn't wait. */
+/** A region always keeps this part of an equal share, so that its first callers after a quiet time needn't wait. */
 const MIN_SHARE_OF_EQUAL = 0.1;
-/** A smaller move is not worth a message. */
+/** A smaller move is not made, as it is not worth a message. */
 const MIN_MOVE = 0.01 * MILLION;
-/** Demand is averaged over this long: a clump of callers must not move shares, an hour's change must within a second. */
+/** Demand is averaged over this time: a short burst must not move shares, but the hourly change must within a second. */
 const DEMAND_AVERAGE_MS = 700;
-/** What a region that wasn't heard for this long wants is not known, and nothing is given to it. */
+/** A region whose last report is older than this gets nothing, since its demand is unknown. */
 const REPORT_VALID_MS = 1_500;
-/** A workspace that nobody called for this long is told no more. */
+/** A workspace that was not used for this long is left out of reports. */
 const IDLE_MS = 15_000;
-/** Rows of one note, some two kilobytes; with more busy workspaces they take turns. */
+/** Maximum rows of one report, about 2 KB. When more workspaces are active, reports send them in turn. */
 const MAX_ROWS = 48;
-/** Demand of a region without callers, as a share of all, so that idle shares come to rest evenly. */
+/** Demand assumed in addition for each region, as a share of the total, so that shares without callers become equal. */
 const IDLE_DEMAND_SHARE = 0.01;
 /**
- * A lead that has just begun uses only what no region gives away, and more with each region that it hears from: its own
- * region may have given the rest before. After this long without any word there is nobody who would know.
+ * A new lead uses only the share that a region always keeps, and more with each region that reports to it, because its own
+ * region may have given away the rest before. After this time it uses its full share even without reports, since no region
+ * is left that would know of such gifts.
  */
 const UNKNOWN_MS = 30_000;
 
-/** What is known of another region's use of a workspace. */
+/** Demand and share of another region for one workspace. */
 interface ReportedDemand {
   readonly demandPerS: number;
   readonly share: number;
   readonly heardMs: number;
 }
 
+/** What one region knows of the shares of one workspace. */
 class Ledger {
-  /** Given to each region, and taken from it, in millionths. */
+  /** Total given to each region, and total taken from it, in millionths. */
   readonly given = new Map<string, number>();
   readonly taken = new Map<string, number>();
   readonly reports = new Map<string, ReportedDemand>();
@@ -74,7 +77,7 @@
   }
 }
 
-/** Takes over a counter that only grows. */
+/** Raises a counter that only grows to a received value. */
 function raiseCounter(
   counters: Map<string, number>,
   region: string,
@@ -91,16 +94,16 @@
   return total;
 }
 
-/** See the module. */
+/** Moves shares to the regions with the most demand; see the module for why they never exceed the limit. */
 export class MovingShares extends Shares {
   readonly #ledgers = new Map<string, Ledger>();
   #startedMs: number;
   #standbyMs = -Infinity;
   readonly #equalShare: number;
   readonly #minShare: number;
-  /** Regions that have said what they know since this lead began. */
+  /** Regions that have reported since this lead started. */
   readonly #heardRegions = new Set<string>();
-  /** By the region that is told. */
+  /** By the region that gets the reports. */
   readonly #roundRobins = new Map<string, RoundRobin>();
 
   constructor(self: string, regions: readonly string[], nowMs: number) {
@@ -116,7 +119,7 @@
     return Math.min(share, this.#maxUsable(nowMs)) / MILLION;
   }
 
-  /** The most that this lead may use before every region has told it what its own one gave away, in millionths. */
+  /** Maximum share that this lead may use until every region has reported what it got from this one, in millionths. */
   #maxUsable(nowMs: number): number {
     const others = this.regions.length - 1;
     const unheard = others - this.#heardRegions.size;
@@ -125,7 +128,10 @@
       (this.#equalShare - this.#minShare) * (1 - unheard / others);
   }
 
-  /** What others led meanwhile is known only if a predecessor told it a moment ago. */
+  /**
+   * Forgets which regions have reported, because another VM may have led meanwhile and given shares away. This VM knows of
+   * that only if the other one has just replicated its state here.
+   */
   startLeading(nowMs: number): void {
     this.#startedMs = nowMs;
     if (nowMs - this.#standbyMs >= STANDBY_VALID_MS) this.#heardRegions.clear();
@@ -144,7 +150,7 @@
     const active = [...this.#ledgers].filter(([, ledger]) =>
       nowMs - ledger.lastUsedMs < IDLE_MS || ledger.given.size > 0
     );
-    // Says that this region is there: a lead that starts may then use its share.
+    // Even an empty report shows that this region is reachable, so that a new lead there may use its share.
     if (active.length === 0) return { region: this.self, rows: [] };
     const batch = this.#roundRobinFor(region).next(
       active,
@@ -201,9 +207,9 @@
   #applyRow(region: string, row: ShareRow, nowMs: number): void {
     const ledger = this.#ledgerOf(row.workspace, nowMs);
     raiseCounter(ledger.taken, region, row.given);
-    // More than this lead knows to have given: its predecessor did.
+    // The region may have taken more than this lead knows of, if the previous lead gave it.
     raiseCounter(ledger.given, region, row.taken);
-    // What is on its way there it has as good as received; it would be given the same again otherwise.
+    // Shares in transit count as received; otherwise they would be given again.
     const inTransit = Math.max(0, (ledger.given.get(region) ?? 0) - row.taken);
     ledger.reports.set(region, {
       demandPerS: row.demandPerS,
@@ -226,7 +232,7 @@
     return Math.max(this.#minShare, this.#equalShare + sum(taken) - sum(given));
   }
 
-  /** Gives what this region has beyond its part by demand to those that have less than theirs. */
+  /** Gives what this region has above its target share by demand to the regions below theirs. */
   #giveAway(ledger: Ledger, nowMs: number): void {
     const others = [...ledger.reports].filter(([, { heardMs }]) =>
       nowMs - heardMs < REPORT_VALID_MS
@@ -258,7 +264,7 @@
       if (given === 0) continue;
       ledger.given.set(region, (ledger.given.get(region) ?? 0) + given);
       const report = ledger.reports.get(region)!;
-      // Counted as had already, or each turn would give it again until the region answers.
+      // The gift counts as received; otherwise each rebalance would repeat it until the region reports.
       ledger.reports.set(region, {
         ...report,
         share: report.share + given / MILLION,
--- a/src/quota/part_usage.ts
+++ b/src/quota/part_usage.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of a limit are kept as.
+ * Usage counted against one part of a workspace's limit.
  *
  * @module
  */
@@ -13,50 +13,50 @@
   readonly units: number;
 }
 
-/** How far a workspace's use may pass its limit, as operators bear it. */
+/** How far operators tolerate that a workspace exceeds its limit. */
 export interface QuotaSlack {
-  /** Share of the limit. */
+  /** Tolerated excess as a share of the limit. */
   readonly excess: number;
-  /** Units beside that, in each window. */
+  /** Units tolerated in addition, in each window. */
   readonly slackUnits: number;
   readonly windowMs: number;
 }
 
 /**
- * Part of the slack that regions hold beside their shares, so that a small workspace, whose share is less than a prompt,
- * isn't refused for a clump. The rest is for what is told late.
+ * Share of the slack that regions may admit in addition to their shares. Without it, a small workspace whose share is
+ * smaller than one prompt would be refused when a few requests arrive together. The rest of the slack covers late messages.
  */
 export const SPARE_SLACK_SHARE = 0.4;
 
-/** Part of the excess that regions let pass: as much as shares that move late leave unused. */
+/** Share of the excess that regions admit. It makes up for the units that stay unused because shares move late. */
 export const USED_EXCESS_SHARE = 0.5;
 
 /** Looks up a workspace's limit; `undefined` if it has none. */
 export type LimitLookup = (workspace: string) => QuotaLimit | undefined;
 
 const MS_PER_S = 1_000;
-/** A limit that changed by less than this share keeps its bucket's size. */
+/** A change of the limit by no more than this share does not resize its bucket. */
 const MIN_RESIZE_SHARE = 1e-3;
 
 function isNearlyEqual(a: number, b: number): boolean {
   return Math.abs(a - b) <= MIN_RESIZE_SHARE * Math.max(a, b);
 }
 
-/** One holder's part of a limit. */
+/** The part of a limit that one region or VM may admit. */
 export interface LimitPart {
   /** Share of rate and burst, from 0 to 1. */
   readonly share: number;
-  /** Units beside the share that may go at once. */
+  /** Units that may be admitted at once in addition to the share. */
   readonly spareUnits: number;
 }
 
-/** Counts one workspace's use against a part of its limit that may change. */
+/** Counts one workspace's usage against a part of its limit; the size of the part may change. */
 export class PartUsage {
   readonly bucket: TokenBucket;
   #unitsPerS: number;
   #burstUnits: number;
 
-  /** `level` is the share of the burst that is there at first. */
+  /** `initialLevel` is the share of the burst that is available at first. */
   constructor(
     { unitsPerS, burstUnits }: QuotaLimit,
     { share, spareUnits }: LimitPart,
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Makes the part another one. What one holder's bucket gains by a larger part another's loses, so a part that moves
-   * brings no second burst.
+   * Changes the size of the part. The bucket gains what the bucket of another holder loses, so moving a part does not grant
+   * a second burst.
    */
   resize(
     limit: QuotaLimit,
@@ -93,7 +93,7 @@
     this.bucket.resize(unitsPerS / MS_PER_S, burstUnits, nowMs);
   }
 
-  /** What is left, as a share of the burst. */
+  /** The units left, as a share of the burst. */
   level(nowMs: number): number {
     return this.#burstUnits > 0
       ? this.bucket.levelAt(nowMs) / this.#burstUnits
--- a/src/quota/region_quota.ts
+++ b/src/quota/region_quota.ts
@@ -1,5 +1,5 @@
 /**
- * A region's part of the limits, counted exactly by its first lead.
+ * A region's part of the workspaces' limits. The first lead of the region counts the exact usage.
  *
  * @module
  */
@@ -15,9 +15,9 @@
 import { RoundRobin } from "./round_robin.ts";
 import { type Shares, STANDBY_VALID_MS, type StandbyRow } from "./shares.ts";
 
-/** Rows of one standby message, some four kilobytes; with more called workspaces they take turns. */
+/** Maximum rows of one standby message, about 4 KB. When more workspaces are in use, messages send them in turn. */
 const MAX_ROWS = 64;
-/** A workspace that nobody called for this long, and whose bucket is full again, is forgotten. */
+/** A workspace is dropped when it was not used for this long and its bucket is full again. */
 const IDLE_MS = 30_000;
 
 interface StandbyLevel {
@@ -25,17 +25,17 @@
   readonly heardMs: number;
 }
 
-/** See the module. */
+/** Counts the usage of all VMs of a region against the region's shares of the workspaces' limits. */
 export class RegionQuota {
   readonly #shares: Shares;
   readonly #limitOf: LimitLookup;
   readonly #spareUnits: number;
-  /** What a share is multiplied by. */
+  /** Factor on each share that lets the region admit its part of the tolerated excess. */
   readonly #excessFactor: number;
-  /** Since when this VM counts: buckets fill from then on, whenever their workspace is called first. */
+  /** When this VM began to count. Buckets fill from then on, even if their workspace is first used later. */
   #startedMs: number;
   readonly #usages = new Map<string, PartUsage>();
-  /** When each workspace was called last. */
+  /** When each workspace was last used. */
   readonly #lastUsedMs = new Map<string, number>();
   readonly #roundRobin = new RoundRobin();
   readonly #standbyLevels = new Map<string, StandbyLevel>();
@@ -54,8 +54,8 @@
   }
 
   /**
-   * How long until the use fits, in ms; 0 if it does now. `heard` is the part of the region's VMs that can ask: the others
-   * use parts of their own.
+   * How long until the use fits, in ms; 0 if it fits now. `heardShare` is the share of the region's VMs that reach this
+   * lead; the other VMs admit requests from their own parts.
    */
   waitMs(
     { workspace, units }: QuotaUse,
@@ -75,24 +75,24 @@
     this.#usageOf(workspace, heardShare, nowMs)?.bucket.take(units, nowMs);
   }
 
-  /** Counts what callers ask for, within the limit or not. */
+  /** Counts the units that callers ask for, admitted or not. */
   noteDemand({ workspace, units }: QuotaUse, nowMs: number): void {
     this.#shares.noteDemand(workspace, units, nowMs);
   }
 
-  /** A request that was counted has not run. */
+  /** Gives back the units of a counted request that did not run. */
   refund({ workspace, units }: QuotaUse): void {
     this.#usages.get(workspace)?.bucket.refund(units);
   }
 
-  /** What a successor has to know next, of workspaces that were called. */
+  /** The next rows to replicate to possible successors, from the workspaces in use. */
   nextStandbyRows(nowMs: number): StandbyRow[] {
     this.#dropIdle(nowMs);
     const rows = this.standbyRows(nowMs);
     return [...this.#roundRobin.next(rows, MAX_ROWS, (row) => row.workspace)];
   }
 
-  /** What is known of each workspace that was called. */
+  /** The state of each workspace in use. */
   standbyRows(nowMs: number): StandbyRow[] {
     return [...this.#usages].map(([workspace, usage]) => ({
       workspace,
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Takes in what a predecessor said. */
+  /** Applies a row that the previous lead replicated. */
   applyStandby(row: StandbyRow, nowMs: number): void {
     this.#shares.applyStandby(row, nowMs);
     this.#standbyLevels.set(row.workspace, {
@@ -119,7 +119,7 @@
     });
   }
 
-  /** This VM counts from now on; what it may have counted before is of the past. */
+  /** Starts to count as the region's first lead; drops what this VM may have counted in an earlier term. */
   startLeading(nowMs: number): void {
     this.#usages.clear();
     this.#startedMs = nowMs;
--- a/src/quota/round_robin.ts
+++ b/src/quota/round_robin.ts
@@ -1,14 +1,14 @@
 /**
- * Takes turns among more items than one message holds.
+ * Round-robin selection among more items than one message holds.
  *
  * @module
  */
 
-/** See the module. Items are told apart by name; new ones and ones that go don't disturb the order. */
+/** Selects items in turn. It identifies them by name, so added and removed items don't disturb the order. */
 export class RoundRobin {
   #lastName = "";
 
-  /** The next `most` of the items, after those of the turn before; all of them if they are no more. */
+  /** The next `max` items after those of the previous call; all items if there are no more than `max`. */
   next<T>(
     items: readonly T[],
     max: number,
--- a/src/quota/round_robin_test.ts
+++ b/src/quota/round_robin_test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from "../base/describe.ts";
 import { RoundRobin } from "./round_robin.ts";
 
-describe("turns", () => {
+describe("round robin", () => {
   const nameOf = (item: string) => item;
 
-  it("come to every item as often", (t) => {
+  it("selects every item equally often", (t) => {
     const roundRobin = new RoundRobin();
     const items = ["a", "b", "c", "d", "e"];
     const batches = Array.from(
@@ -14,11 +14,11 @@
     t.deepEqual(batches.flat().sort(), [...items, ...items].sort());
   });
 
-  it("take all where there are few", (t) => {
+  it("selects all items if they fit", (t) => {
     t.deepEqual(new RoundRobin().next(["a", "b"], 2, nameOf), ["a", "b"]);
   });
 
-  it("go on when the last one is gone", (t) => {
+  it("continues when the last selected item is gone", (t) => {
     const roundRobin = new RoundRobin();
     roundRobin.next(["a", "b", "c"], 2, nameOf);
     t.is(roundRobin.next(["a", "c", "d"], 2, nameOf).length, 2);
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -1,44 +1,45 @@
 /**
  * How the regions share a workspace's limit.
  *
- * A region may hand out its share without asking anybody, so the sum stays below the limit while regions can't reach each
- * other. The ways to share differ in what they refuse within the limit, when callers of one region send most of it.
+ * A region may admit requests up to its share without asking another region, so the total stays below the limit while
+ * regions can't reach each other. The implementations differ in how much they refuse within the limit when most requests
+ * come from callers of one region.
  *
  * @module
  */
 
-/** What a predecessor said is good for this long. */
+/** How long a standby row from the previous lead stays valid. */
 export const STANDBY_VALID_MS = 3_000;
 
-/** One workspace in a note. */
+/** One workspace in a {@link ShareReport}. */
 export interface ShareRow {
   readonly workspace: string;
-  /** Units a second that its callers asked the telling region for lately. */
+  /** Recent demand of the workspace's callers in the sending region, in units a second. */
   readonly demandPerS: number;
-  /** The telling region's share of the limit, from 0 to 1. */
+  /** The sending region's share of the limit, from 0 to 1. */
   readonly share: number;
-  /** All that the teller has ever given to the reader, in millionths of the limit. */
+  /** Total that the sender has ever given to the receiver, in millionths of the limit. */
   readonly given: number;
-  /** All that the teller knows the reader to have given it. */
+  /** Total that the sender knows the receiver has given to it, in millionths of the limit. */
   readonly taken: number;
 }
 
-/** What one region's first lead tells another's. */
+/** What the first lead of a region reports to the first lead of another region. */
 export interface ShareReport {
   readonly region: string;
   readonly rows: readonly ShareRow[];
 }
 
-/** What a lead tells those that would take its place. */
+/** State of one workspace that a lead replicates to the VMs that would succeed it. */
 export interface StandbyRow {
   readonly workspace: string;
   readonly given: Readonly<Record<string, number>>;
   readonly taken: Readonly<Record<string, number>>;
-  /** What is left in its bucket, as a share of the burst. */
+  /** Units left in the workspace's bucket, as a share of the burst. */
   readonly level: number;
 }
 
-/** See the module. Times are of a monotonic clock. */
+/** The shares that regions have of the workspaces' limits, as one region knows them. Times are of a monotonic clock. */
 export abstract class Shares {
   protected readonly self: string;
   /** All regions, this one included. */
@@ -56,31 +57,31 @@
   /** This region's share of a workspace's limit, from 0 to 1. The shares of all regions never add up to more than 1. */
   abstract shareOf(workspace: string, nowMs: number): number;
 
-  /** This VM becomes its region's first lead. */
+  /** Called when this VM becomes its region's first lead. */
   abstract startLeading(nowMs: number): void;
 
-  /** Counts what callers ask for, within the limit or not. */
+  /** Counts the units that callers ask for, admitted or not. */
   abstract noteDemand(workspace: string, units: number, nowMs: number): void;
 
-  /** Moves shares, as far as this region may give. */
+  /** Gives shares to other regions, as far as this region can spare them. */
   abstract rebalance(nowMs: number): void;
 
-  /** What another region is told; `undefined` if there is nothing to say. */
+  /** Builds the report to another region; `undefined` if there is nothing to report. */
   abstract buildReport(region: string, nowMs: number): ShareReport | undefined;
 
-  /** Takes in what another region told. */
+  /** Applies a report from another region. */
   abstract applyReport(report: ShareReport, nowMs: number): void;
 
-  /** What a successor in this region has to know. */
+  /** The counters that a successor in this region needs. */
   abstract standbyCounters(
     workspace: string,
   ): Pick<StandbyRow, "given" | "taken">;
 
-  /** Takes in what a predecessor said. */
+  /** Applies a row that the previous lead replicated. */
   abstract applyStandby(row: StandbyRow, nowMs: number): void;
 }
 
-/** Each region has the same share for good: no message, and nothing to lose. */
+/** Gives each region the same constant share. It needs no messages, so none can be lost. */
 export class EqualShares extends Shares {
   shareOf(): number {
     return 1 / this.regions.length;
--- a/src/quota/shares_sim_test.ts
+++ b/src/quota/shares_sim_test.ts
@@ -19,7 +19,7 @@
 const SECONDS = 40;
 const WORKSPACE = "convoys";
 const NO_LOSS = 0;
-/** Share that operators let a workspace pass its limit by. */
+/** Share of the limit by which operators tolerate that a workspace exceeds it. */
 const EXCESS = 0.1;
 const SLACK = { slackUnits: 72_000, excess: EXCESS };
 
@@ -28,15 +28,15 @@
 const MOVING: CreateShares = (region, nowMs) =>
   new MovingShares(region, REGIONS, nowMs);
 
-/** What happens to a region's first lead. */
+/** Demand and faults that the first leads of all regions meet. */
 interface Scenario {
-  /** Units a second that callers of a region ask for. */
+  /** Demand of a region's callers, in units a second. */
   readonly demand: (region: string, nowMs: number) => number;
   readonly unitsOf: (random: Random) => number;
-  /** Whether a note passes between two regions. */
+  /** Whether a report gets through between two regions. */
   readonly passes?: (from: string, to: string, nowMs: number) => boolean;
   readonly loss?: number;
-  /** Times at which a region's first lead is replaced, and whether its successor was told of it. */
+  /** Times at which a region's first lead is replaced, and whether its state was replicated to the successor. */
   readonly successions?: readonly {
     readonly region: string;
     readonly atMs: number;
@@ -46,9 +46,9 @@
 }
 
 interface Outcome {
-  /** Share of what an exact bucket would have passed that was refused. */
+  /** Units refused that an exact bucket would have admitted, as a share of all units that it would have admitted. */
   readonly refusedWithin: number;
-  /** The most units in any window, as a share of the most that operators bear. */
+  /** Maximum units in any window, as a share of the maximum that operators tolerate. */
   readonly mostInWindow: number;
   readonly messages: number;
 }
@@ -63,7 +63,7 @@
   return { shares, quota: new RegionQuota(shares, () => limit, SLACK, nowMs) };
 }
 
-/** Plays a script; every region counts by its own share, and an exact bucket beside it tells what was within the limit. */
+/** Runs a scenario. Each region counts against its own share; an exact global bucket tells what was within the limit. */
 function simulate(
   createShares: CreateShares,
   scenario: Scenario,
@@ -118,7 +118,7 @@
       let asked = 0;
       while (asked < perStep) {
         const units = scenario.unitsOf(random);
-        // A step's last request comes as often as its part of the step says.
+        // The last request of a step is sent with the probability that matches the demand left in the step.
         if (
           asked + units > perStep && random.next() > (perStep - asked) / units
         ) {
@@ -169,12 +169,12 @@
 const LARGE = limitOf(1_250_000);
 const SMALL = limitOf(18_000);
 
-/** Tokens of long prompts and short questions, as they come beside each other. */
+/** Tokens of one request, from a mix of long prompts and short questions. */
 function unitsOf(random: Random): number {
   return random.next() < 0.29 ? 4_000 + random.next() * 10_000 : 1_100;
 }
 
-/** One region after the other has its day; the whole is `mean` units a second. */
+/** The regions have their daytime one after the other; the mean total is `mean` units a second. */
 function daytimeDemand(mean: number): Scenario["demand"] {
   const days: Record<string, [number, number, number]> = {
     north: [0, 13_000, 0.39],
@@ -196,9 +196,9 @@
 
 describe("shares of a limit", () => {
   describe("within the limit", () => {
-    // One region has nearly all callers, and the next one a few seconds later. An equal share refuses what the whole
-    // limit has room for.
-    it("follow the callers from region to region", (t) => {
+    // One region has nearly all callers, and a few seconds later another one has them. Equal shares refuse requests for
+    // which the whole limit has room.
+    it("follow the demand from region to region", (t) => {
       for (const seed of [1, 2, 3]) {
         const scenario = {
           limit: LARGE,
@@ -213,7 +213,7 @@
       }
     });
 
-    it("serve a workspace whose burst is two prompts", (t) => {
+    it("admit the requests of a workspace whose burst is two prompts", (t) => {
       for (const seed of [1, 2, 3]) {
         const scenario = {
           limit: SMALL,
@@ -228,9 +228,9 @@
       }
     });
 
-    // The region that has its hours sends six times its usual for ten seconds. The others have next to no callers, and what
-    // they keep for them is lost to it.
-    it("let a region that floods have nearly all", (t) => {
+    // The region in its daytime sends six times its usual demand for ten seconds. The other regions have hardly any callers,
+    // and the shares that they keep are not available to it.
+    it("move nearly all to a region with a flood", (t) => {
       for (const seed of [1, 2, 3]) {
         const usual = daytimeDemand(693_000);
         const scenario: Scenario = {
@@ -248,7 +248,7 @@
       }
     });
 
-    it("stay where they are while regions are cut, and serve the region that has the callers", (t) => {
+    it("stay with the region that has the callers while regions are cut from each other", (t) => {
       const scenario: Scenario = {
         limit: LARGE,
         unitsOf,
@@ -261,37 +261,37 @@
     });
   });
 
-  // Every region asks for twice the whole limit; whatever fails, the sum over all regions must stay below what the
-  // operators bear in any window: a tenth above the limit, and the slack.
+  // Every region asks for twice the whole limit. Whatever fails, the total of all regions in any window must stay below
+  // what operators tolerate: a tenth above the limit, plus the slack.
   describe("under a flood in all regions", () => {
     const cases: Record<string, Partial<Scenario>> = {
-      "without trouble": {},
-      "with a third of the notes lost": { loss: 0.33 },
+      "without faults": {},
+      "with a third of the reports lost": { loss: 0.33 },
       "while all regions are cut from each other": {
         passes: (_from, _to, nowMs) => nowMs < 5_000 || nowMs > 20_000,
       },
-      "while notes pass one way only": {
+      "while reports pass one way only": {
         passes: (from, _to, nowMs) => from !== "north" || nowMs < 3_000,
       },
-      "when a lead's successor was told": {
+      "when a lead's state was replicated to its successor": {
         successions: [
           { region: "north", atMs: 12_000, isTold: true },
           { region: "south", atMs: 14_000, isTold: true },
         ],
       },
-      "when a region's leads all start again": {
+      "when all leads of a region restart": {
         successions: [
           { region: "north", atMs: 12_000, isTold: false },
           { region: "north", atMs: 15_000, isTold: false },
         ],
       },
-      "when a region starts again while it is cut off": {
+      "when a region restarts while it is cut off": {
         successions: [{ region: "north", atMs: 12_000, isTold: false }],
         passes: (from, to, nowMs) =>
           (from !== "north" && to !== "north") || nowMs < 9_000 ||
           nowMs > 25_000,
       },
-      "when all start again": {
+      "when all regions restart": {
         successions: REGIONS.map((region) => ({
           region,
           atMs: 12_000,
@@ -301,9 +301,9 @@
     };
     for (const [name, trouble] of Object.entries(cases)) {
       for (const limit of [LARGE, SMALL]) {
-        it(`add up to the limit ${name}, at ${limit.unitsPerS} a second`, (t) => {
+        it(`add up to at most the limit ${name}, at ${limit.unitsPerS} a second`, (t) => {
           for (const seed of [1, 2, 3]) {
-            // The shares stand unevenly when the trouble begins.
+            // The shares are uneven when the fault begins.
             const base = flood(limit);
             const demand: Scenario["demand"] = (region, nowMs) =>
               nowMs < 3_000
@@ -320,8 +320,8 @@
       }
     }
 
-    // A lead is cut off; its successor gives the region's share away; the first one leads again and knows nothing of it.
-    it("don't count twice what a successor gave away", (t) => {
+    // A lead is cut off, and its successor gives the region's share away. Then the first one leads again without knowing it.
+    it("are not used twice after a successor gave them away", (t) => {
       const [first, next, south] = ["north", "north", "south"].map((region) =>
         new MovingShares(region, ["north", "south"], 0)
       );
@@ -347,7 +347,7 @@
       );
     });
 
-    it("would not, if a region took what it was not given", (t) => {
+    it("exceed the limit if a region uses shares that it was not given", (t) => {
       class Greedy extends EqualShares {
         override shareOf(): number {
           return 0.6;
