--- a/src/region/known_vms.ts
+++ b/src/region/known_vms.ts
@@ -1,5 +1,5 @@
 /**
- * Which VMs a VM has heard of, by whom and when.
+ * The VMs that a VM knows of, with the source and time of what it heard.
  *
  * @module
  */
@@ -18,31 +18,31 @@
 import { LEAD_COUNT, orderLeads, STANDBY_COUNT } from "./lead_order.ts";
 import { toVmRecord, type VmRecord } from "./record.ts";
 
-/** Silence after which a VM is gone: four reports in a row, since datagrams are lost one in forty on the worst links. */
+/** Minimum silence after which a VM is taken for gone: four missed reports, as the worst links lose 1 datagram in 40. */
 const MIN_SILENT_MS = 1_000;
 const MISSED_REPORTS = 4;
-/** A lead without a roster for this long is not heard: two lost ones in a row are, three are not. */
+/** A lead is taken for silent when no roster came for this long: two lost rosters in a row are tolerated, not three. */
 export const ROSTER_TIMEOUT_MS = 1_300;
-/** A silent VM may only be cut off; it counts, and is looked for, until then. */
+/** A silent VM may only be cut off, so it is counted and searched for until this time has passed. */
 const FORGET_MS = 15_000;
-/** VMs remembered that are named somewhere and not heard; a region's halves find each other by a few. */
+/** Maximum VMs remembered that are named in messages and not heard. A few suffice for cut halves of a region to rejoin. */
 const MAX_UNHEARD_VMS = 256;
 
-/** A VM of this region that reports to this one. */
+/** A VM that reports to this one. */
 interface Reporter {
   readonly report: Report;
   readonly heardMs: number;
 }
 
-/** What another VM of this region told. */
+/** The latest roster of another VM of this region. */
 export interface HeardRoster {
   readonly roster: Roster;
-  /** The last list that it told; short rosters bring none. */
+  /** The latest list of names from this VM; short rosters carry none. */
   readonly named: NamedList;
   readonly heardMs: number;
 }
 
-/** A VM that can be asked for news of the store. */
+/** A VM that can be asked for changes of the store. */
 export interface NewsSource {
   readonly id: string;
   readonly ip: string;
@@ -52,7 +52,7 @@
 
 const NO_NAMES: NamedList = { ready: [], leaving: [] };
 
-/** See the module. */
+/** Keeps what this VM heard of other VMs: reports, rosters and digests. */
 export class KnownVms {
   readonly remote = new RemoteRegions();
   readonly #self: VmRecord;
@@ -60,14 +60,14 @@
   readonly #reporters = new Map<string, Reporter>();
   #localCount = 0;
   readonly #rosters = new Map<string, HeardRoster>();
-  /** VMs that are named somewhere and not heard. */
+  /** VMs that are named in messages and not heard. */
   readonly #unheard = new Map<string, VmRecord>();
 
   constructor(self: VmRecord) {
     this.#self = self;
   }
 
-  /** Takes in a report. Returns what the same VM reported before; the report itself if it is an old one that came late. */
+  /** Stores a report. Returns the VM's previous report, or the report itself if it is from an earlier start of the VM. */
   noteReport(report: Report, nowMs: number): Report | undefined {
     const before = this.#reporters.get(report.id)?.report;
     if (before && before.bornMs > report.bornMs) return report;
@@ -77,7 +77,7 @@
     return before;
   }
 
-  /** Takes in a roster of this region. */
+  /** Stores a roster of this region. */
   noteRoster(roster: Roster, nowMs: number): void {
     const { from } = roster;
     const before = this.#rosters.get(from.id);
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Takes in a digest of another region. */
+  /** Stores a digest of another region. */
   noteDigest(digest: RegionDigest, nowMs: number): void {
     if (digest.from.region !== this.#self.region) {
       this.remote.update(digest, nowMs);
@@ -102,7 +102,7 @@
     for (const vm of digest.yours ?? []) this.noteUnheard(vm);
   }
 
-  /** Notes that there may be a VM. */
+  /** Remembers a VM that is named in a message and may exist. */
   noteUnheard(vm: VmRecord): void {
     if (vm.id === this.#self.id) return;
     const known = this.#reporters.get(vm.id)?.report ??
@@ -134,19 +134,19 @@
     return alive;
   }
 
-  /** What is heard of the VMs of this region that lead, or did a moment ago. */
+  /** The rosters of VMs of this region that lead, or led until recently. */
   freshRosters(nowMs: number): HeardRoster[] {
     return [...this.#rosters.values()].filter(({ heardMs }) =>
       nowMs - heardMs < ROSTER_TIMEOUT_MS
     );
   }
 
-  /** The same, also of those that are silent by now. */
+  /** All known rosters, including those of VMs that are silent by now. */
   get allRosters(): HeardRoster[] {
     return [...this.#rosters.values()];
   }
 
-  /** How long ago a lead surely knew that no configuration is newer than revision `rev`; `Infinity` if none says so. */
+  /** How long ago a lead was certain that no configuration is newer than revision `rev`; `Infinity` if none was. */
   configAgeMs(rev: number, nowMs: number): number {
     let least = Infinity;
     for (const { roster, heardMs } of this.#rosters.values()) {
@@ -159,17 +159,17 @@
     return least;
   }
 
-  /** When a VM's roster was heard last. */
+  /** When the last roster of a VM was heard. */
   rosterHeardMs(id: string): number {
     return this.#rosters.get(id)?.heardMs ?? -Infinity;
   }
 
-  /** VMs of this region that report to this one, this one included, and silent ones as they may only be cut off. */
+  /** Number of VMs of this region that report to this one, including itself and silent ones, which may only be cut off. */
   get reportingCount(): number {
     return 1 + this.#localCount;
   }
 
-  /** VMs of this region as far as any lead knows. */
+  /** Number of VMs of this region: the maximum that any lead knows. */
   get regionVmCount(): number {
     let max = this.reportingCount;
     for (const { roster } of this.#rosters.values()) {
@@ -178,7 +178,7 @@
     return max;
   }
 
-  /** VMs of this region that report to this one and that callers can be told of. */
+  /** VMs of this region that report to this one and can be named to callers. */
   namedHere(nowMs: number): DirectoryVm[] {
     const { region } = this.#self;
     return this.reporters(region, nowMs)
@@ -191,12 +191,12 @@
       }));
   }
 
-  /** VMs of this region that callers can be told of as far as any lead says, without this one. */
+  /** VMs of this region that any lead names as usable by callers, without this one. */
   named(nowMs: number): DirectoryVm[] {
     const { region, ip: selfIp } = this.#self;
     const byIp = new Map<string, DirectoryVm>();
     const add = (ip: string, servesMs: number) => {
-      // A VM that leaves is named as leaving also where another lead has not heard of it yet.
+      // A draining VM is named as draining even if another lead has not heard of it yet and names it as ready.
       if (ip === selfIp || (servesMs === 0 && byIp.has(ip))) return;
       byIp.set(ip, { ip, region, isReady: servesMs === 0, servesMs });
     };
@@ -211,8 +211,8 @@
   }
 
   /**
-   * The head of the region's order of leads, of the VMs that report to this one, those that leads tell of, and itself.
-   * `isDeaf` tells which ones are to be left out.
+   * The head of the region's lead order, computed from the VMs that report to this one, those in the leads' rosters, and
+   * this VM. VMs in rosters for which `isSilent` holds are left out.
    */
   leadOrder(
     self: VmState,
@@ -234,7 +234,7 @@
       });
     };
     const fresh = this.freshRosters(nowMs);
-    // Without any lead that is heard, the standbys of those heard last take over.
+    // If no lead is heard, the standbys in the last rosters take over.
     for (
       const { roster } of fresh.length > 0 ? fresh : this.#rosters.values()
     ) {
@@ -256,7 +256,7 @@
       .slice(0, LEAD_COUNT + STANDBY_COUNT);
   }
 
-  /** VMs that may know more of the store than this one. */
+  /** VMs that may have newer changes of the store than this one. */
   newsSources(nowMs: number): NewsSource[] {
     const local: NewsSource[] = this.reporters(this.#self.region, nowMs);
     for (const { roster: { from, revisions } } of this.freshRosters(nowMs)) {
@@ -267,14 +267,14 @@
     return [...local, ...remote];
   }
 
-  /** Drops what was not heard for long. */
+  /** Drops VMs and regions that were not heard for a long time. */
   dropStale(nowMs: number): void {
     this.remote.dropStale(nowMs);
     for (const [id, { report, heardMs }] of this.#reporters) {
       if (nowMs - heardMs < FORGET_MS) continue;
       this.#reporters.delete(id);
       if (report.region === this.#self.region) this.#localCount--;
-      // A region that was cut off is back sooner than the store is read again.
+      // If the VM was only cut off, it is found again sooner this way than by the next reading of the store.
       this.noteUnheard(report);
     }
     for (const [id, { roster, heardMs }] of this.#rosters) {
@@ -284,7 +284,7 @@
     }
   }
 
-  /** This process was paused for `ms`: nobody had a chance to be heard. */
+  /** Shifts all times by a pause of this process, since nothing could be heard during it. */
   skipPause(ms: number): void {
     this.remote.skipPause(ms);
     for (const [id, { report, heardMs }] of this.#reporters) {
--- a/src/region/lead_order.ts
+++ b/src/region/lead_order.ts
@@ -1,6 +1,6 @@
 /**
- * Which VMs of a region lead it: they hear every VM, tell all of them what there is, speak to other regions, and ask the
- * store.
+ * Which VMs of a region lead it. Leads hear every VM, send all of them rosters, exchange digests with other regions, and
+ * read the store.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 import { hash32 } from "../base/mod.ts";
 import type { VmRecord } from "./record.ts";
 
-/** Leads of a region. With three, two may be lost or cut off at once and nobody waits for a new one to be found. */
+/** Leads of a region. With three, two may be lost or cut off at once and no VM has to wait for a new lead. */
 export const LEAD_COUNT = 3;
-/** VMs that take the leads' place next; all VMs know them, so the loss of every lead at once costs no search. */
+/** VMs that replace leads next. All VMs know them, so no search is needed when every lead is lost at once. */
 export const STANDBY_COUNT = 3;
-/** Up to this many VMs a region needs no leads: all hear all, at the cost of a few datagrams. */
+/** In a region of up to this many VMs, all are leads: every VM hears every other at the cost of a few datagrams. */
 export const MAX_ALL_LEAD_VMS = 4;
-/** VMs of a region that ask the store for changes, for all of it. */
+/** VMs of a region that ask the store for changes on behalf of the whole region. */
 export const READER_COUNT = 3;
 
-/** How many VMs of a region lead it. */
+/** The number of leads in a region of `vmCount` VMs. */
 export function countLeads(vmCount: number): number {
   return vmCount <= MAX_ALL_LEAD_VMS ? vmCount : LEAD_COUNT;
 }
 
 /**
- * The order in which the VMs of a region lead it, the same on every VM that knows the same ones. It goes around the
- * failure domains, so that the loss or cut of one leaves a lead in another; inside a domain the strongest VM comes first,
- * since a lead's work comes on top of its callers'.
+ * Sorts the VMs of a region by who leads first. Every VM that knows the same VMs gets the same order. The order alternates
+ * between the failure domains, so that the loss or cut of one leaves a lead in another. Within a domain the VM with the
+ * most cores comes first, since a lead does its work in addition to that for its callers.
  */
 export function orderLeads<V extends VmRecord>(vms: readonly V[]): V[] {
   const byStrength = vms
@@ -41,17 +41,17 @@
     .map(({ vm }) => vm);
 }
 
-/** A VM of the order as choosing readers sees it. */
+/** What {@link isReader} needs of a VM of the order. */
 export interface ReaderCandidate {
   readonly id: string;
-  /** Whether the store answers its questions at the moment. */
+  /** Whether the store currently answers its requests. */
   readonly isServed: boolean;
 }
 
 /**
- * Whether the VM `self` should ask the store for changes: the first of the order do, and a standby takes the place of a
- * reader that the store turns away. No other VM ever asks, so the calls of an outage don't grow with the region; a region
- * whose readers are all turned away hears from another one.
+ * Whether the VM `self` should ask the store for changes. The first VMs of the order do, and a standby also does for each
+ * reader that the store refuses. No other VM ever asks, so the number of calls in an outage does not grow with the region.
+ * A region whose readers are all refused gets the changes from another region.
  */
 export function isReader(
   self: string,
--- a/src/region/lead_order_test.ts
+++ b/src/region/lead_order_test.ts
@@ -36,23 +36,23 @@
 }
 
 describe("leads of a region", () => {
-  // A failure domain is lost whole: a region whose leads all stood there would have none.
-  it("stand in more than one failure domain", (t) => {
+  // A failure domain can be lost as a whole. If all leads were in it, the region would have none left.
+  it("are in more than one failure domain", (t) => {
     const vms = Array.from({ length: 30 }, (_, i) => vm(i, 2));
     const domains = orderLeads(vms).slice(0, LEAD_COUNT)
       .map(({ failureDomain }) => failureDomain);
     t.is(new Set(domains).size, 2);
   });
 
-  it("are the strongest of their domain, whatever the order of the list", (t) => {
+  it("have the most cores of their domain, whatever the order of the input", (t) => {
     const vms = Array.from({ length: 30 }, (_, i) => vm(i, 2, i < 4 ? 1.3 : 1));
     const first = orderLeads(vms).slice(0, 4);
     t.true(first.every(({ cores }) => cores === 1.3));
     t.deepEqual(orderLeads([...vms].reverse()), orderLeads(vms));
   });
 
-  // VMs know the head of the order only; what they make of it must be what the leads made of the whole.
-  it("are the same for who knows only the head of the order", (t) => {
+  // Most VMs know only the head of the order. They must derive the same order from it as the leads from all VMs.
+  it("are the same on a VM that knows only the head of the order", (t) => {
     const order = orderLeads(Array.from({ length: 50 }, (_, i) => vm(i, 3)));
     const head = order.slice(0, LEAD_COUNT + STANDBY_COUNT);
     t.deepEqual(orderLeads(head), head);
@@ -85,16 +85,16 @@
     );
   });
 
-  // The store turns away the VMs that ask for all: the others would learn nothing more.
-  it("are joined by the standbys when the store turns them away, and ask on", (t) => {
+  // If the store refuses the readers and no other VM asks, the region gets no more changes.
+  it("go on asking, together with the standbys, when the store refuses them", (t) => {
     const first = new Set(readerIds(leadOrder(30, () => true), 30));
     const now = readerIds(leadOrder(30, (id) => !first.has(id)), 30);
     t.is(now.length, READER_COUNT + STANDBY_COUNT);
     t.true([...first].every((id) => now.includes(id)));
   });
 
-  // An outage must not cost calls that grow with the region: each one is refused and paid for.
-  it("are a few while the store serves nobody", (t) => {
+  // The number of calls in an outage must not grow with the region, as each call is refused and still costs.
+  it("are few while the store refuses all VMs", (t) => {
     t.is(
       readerIds(leadOrder(60, () => false), 60).length,
       READER_COUNT + STANDBY_COUNT,
--- a/src/region/load_tracker.ts
+++ b/src/region/load_tracker.ts
@@ -1,12 +1,12 @@
 /**
- * What the VMs of a region have under way at each upstream, as a lead counts it.
+ * The load in flight of a region's VMs at each upstream, as a lead counts it.
  *
  * @module
  */
 
 import type { Load, UpstreamLoad, VmLoad } from "./messages.ts";
 
-/** A request that a VM was told to send, and that its load does not show yet. */
+/** A request that a VM was told to send and that its reported load does not include yet. */
 interface Grant {
   readonly question: number;
   readonly upstreamKey: string;
@@ -14,21 +14,21 @@
   readonly grantedMs: number;
 }
 
-/** A grant that its VM says nothing about for this long came to nothing, or its message was lost. */
+/** A grant that its VM has not confirmed for this long was not used, or its message was lost. */
 const GRANT_TIMEOUT_MS = 1_000;
 const NO_LOAD: UpstreamLoad = [0, 0];
 
 /**
- * See the module. VMs say what they have under way as a whole, so a lost message is made good by the next one; what was
- * granted since is added until then. Without grants, the requests of the last tenths of a second would all be sent to
- * the upstream that was the emptiest before them.
+ * Sums the loads that VMs report, plus the requests granted since. Each report states a VM's whole load, so the next one
+ * makes up for a lost one; grants are added until a report includes them. Without the grants, all requests of the last few
+ * tenths of a second would be sent to the upstream that had the least load before them.
  */
 export class LoadTracker {
   readonly #reported = new Map<string, VmLoad>();
   readonly #grants = new Map<string, Grant[]>();
   readonly #sums = new Map<string, [running: number, waitingTokens: number]>();
 
-  /** Takes in what a VM says. */
+  /** Replaces a VM's load by a newly reported one. */
   update(vmId: string, reported: VmLoad, nowMs: number): void {
     const before = this.#reported.get(vmId);
     if (before) this.#addLoad(before.load, -1);
@@ -41,7 +41,7 @@
     );
   }
 
-  /** Counts a request that a VM is told to send. */
+  /** Counts a request that a VM is told to send; `question` is the number of the VM's question to the lead. */
   grant(
     vmId: string,
     question: number,
@@ -55,7 +55,7 @@
     this.#addToSum(upstreamKey, 1, promptTokens);
   }
 
-  /** Forgets the VMs that `isThere` does not hold for: their requests ended with them. */
+  /** Drops the loads of VMs that are no longer alive; their requests ended with them. */
   retain(isAlive: (vmId: string) => boolean): void {
     for (const [vmId, { load }] of this.#reported) {
       if (isAlive(vmId)) continue;
@@ -65,12 +65,12 @@
     }
   }
 
-  /** What is under way at an upstream. */
+  /** The load at one upstream. */
   at(upstreamKey: string): UpstreamLoad {
     return this.#sums.get(upstreamKey) ?? NO_LOAD;
   }
 
-  /** The same for all upstreams where anything is. */
+  /** The loads of all upstreams that have any. */
   get load(): Load {
     return Object.fromEntries(this.#sums);
   }
--- a/src/region/load_tracker_test.ts
+++ b/src/region/load_tracker_test.ts
@@ -2,8 +2,8 @@
 import { LoadTracker } from "./mod.ts";
 
 describe("the load of a region", () => {
-  // Two requests come within a millisecond. What the first one was told to use must count for the second.
-  it("counts what was granted and not yet said", (t) => {
+  // Two requests come within a millisecond. The grant to the first one must count when the second one is placed.
+  it("includes grants that are not reported yet", (t) => {
     const loads = new LoadTracker();
     loads.grant("vm-1", 1, "engine", 900, 0);
     t.deepEqual(loads.at("engine"), [1, 900]);
@@ -11,7 +11,7 @@
     t.deepEqual(loads.at("engine"), [1, 900]);
   });
 
-  it("counts on what was granted after what the VM says was sent", (t) => {
+  it("keeps grants that are newer than the VM's report", (t) => {
     const loads = new LoadTracker();
     loads.grant("vm-1", 1, "engine", 900, 0);
     loads.grant("vm-1", 2, "engine", 100, 5);
@@ -19,8 +19,8 @@
     t.deepEqual(loads.at("engine"), [2, 100]);
   });
 
-  // The answer to a question was lost, and the VM chose by itself: nobody will ever speak of the grant again.
-  it("drops a grant that came to nothing", (t) => {
+  // The answer with the grant was lost and the VM chose an upstream by itself, so no report will ever confirm the grant.
+  it("drops a grant that was not used", (t) => {
     const loads = new LoadTracker();
     loads.grant("vm-1", 1, "engine", 900, 0);
     loads.update("vm-1", { load: {}, asked: 0 }, 900);
@@ -30,7 +30,7 @@
     t.deepEqual(loads.load, {});
   });
 
-  it("sums over VMs, and forgets those that are gone", (t) => {
+  it("is the sum over all VMs, without those that are gone", (t) => {
     const loads = new LoadTracker();
     loads.update("vm-1", { load: { a: [2, 10], b: [1, 0] }, asked: 0 }, 0);
     loads.update("vm-2", { load: { a: [3, 5] }, asked: 0 }, 0);
--- a/src/region/messages.ts
+++ b/src/region/messages.ts
@@ -1,5 +1,5 @@
 /**
- * What VMs tell each other of themselves, and how a datagram is read.
+ * The membership messages between VMs, and the decoding of their datagrams.
  *
  * @module
  */
@@ -7,120 +7,120 @@
 import type { HeldPart, OfferedCapacity, SendOutcome } from "../routing/mod.ts";
 import { isVmRecord, type VmRecord } from "./record.ts";
 
-/** Revision of the last news of each matter of the store that a VM has: who is ahead can be asked. */
+/** Revisions of the newest store changes that a VM has, by kind. A VM that is ahead can be asked for the changes. */
 export interface Revisions {
   readonly operators: number;
   readonly upstreams: number;
 }
 
 /**
- * What is under way at one upstream: requests running, and prompt tokens that wait there. A pair and no record, since a
- * message carries one for each upstream.
+ * The load at one upstream: running requests, and prompt tokens that wait there. It is a tuple rather than an object, since
+ * a message carries one for each upstream.
  */
 export type UpstreamLoad = readonly [running: number, waitingTokens: number];
 
-/** Load by upstream key. */
+/** Loads by upstream key. */
 export type Load = Readonly<Record<string, UpstreamLoad>>;
 
-/** Places by service. */
+/** Places that a region offers, by service. */
 export type Room = Readonly<Record<string, OfferedCapacity>>;
 
-/** What became of a send, by upstream key. */
+/** The outcome of one send to an upstream. */
 export type SeenOutcome = readonly [upstreamKey: string, outcome: SendOutcome];
 
-/** What a VM says of itself, besides who it is. */
+/** The state that a VM reports of itself, besides its identity. */
 export interface VmState {
   readonly ready: boolean;
-  /** How long it still serves, in ms from the message on; only while it is being stopped. */
+  /** How long it still serves, in ms from the message on; set only while it drains. */
   readonly servesMs?: number;
   readonly revisions: Revisions;
-  /** Whether the store answers its questions. */
+  /** Whether the store answers its requests. */
   readonly isServed: boolean;
-  /** How long ago it surely knew the newest configuration; only where operators ask for that. */
+  /** How long ago it certainly had the newest configuration, in ms; set only if the operators' settings require it. */
   readonly configAgeMs?: number;
 }
 
-/** What a VM has under way. */
+/** The load of one VM. */
 export interface VmLoad {
   readonly load: Load;
-  /** All of its questions to the lead up to this number are part of `load`, or came to nothing. */
+  /** Number of a question to the lead. Requests granted up to this one are included in `load`, or were not sent. */
   readonly asked: number;
 }
 
-/** What a VM tells the leads of its region, again and again; silence means that it is gone. */
+/** Heartbeat of a VM to the leads of its region. A VM that stays silent is taken for gone. */
 export interface Report extends VmRecord, VmState, VmLoad {
   /** Time to the next report, in ms. */
   readonly everyMs: number;
-  /** Shared parts of prompts that engines read for it lately. */
+  /** Shared prompt parts that engines cached for it recently. */
   readonly held?: readonly HeldPart[];
 }
 
-/** What a VM tells the first lead between two reports, when its load has changed. */
+/** Sent by a VM to the first lead between two reports, when its load has changed. */
 export interface LoadNote extends VmLoad {
   readonly id: string;
   readonly seen: readonly SeenOutcome[];
-  /** Shared parts of prompts that engines read for it since the last note. */
+  /** Shared prompt parts that engines cached for it since the last note. */
   readonly held: readonly HeldPart[];
 }
 
-/** A VM near the head of a region's order. */
+/** A VM near the head of a region's lead order. */
 export interface LeadRecord extends VmRecord {
   readonly isServed: boolean;
-  /** Whether it takes requests and is not being stopped; others lead only where nobody else does. */
+  /** Whether it takes requests and is not draining; other VMs lead only if there is no such VM. */
   readonly mayLead: boolean;
 }
 
-/** What a region tells the leads of another. */
+/** Sent by a lead to the leads of another region. */
 export interface RegionDigest {
   readonly from: VmRecord;
   readonly everyMs: number;
-  /** The head of the region's order. */
+  /** The head of the region's lead order. */
   readonly leads: readonly VmRecord[];
   /** Addresses of some VMs that take requests. */
   readonly ready: readonly string[];
-  /** VMs of the region, silent ones included as they may only be cut off. */
+  /** Number of VMs of the region. Silent ones count, as they may only be cut off. */
   readonly vms: number;
   readonly revisions: Revisions;
   readonly room: Room;
-  /** Shared parts of prompts that its engines have read lately: others copy them in place of reading them again. */
+  /** Shared prompt parts that its engines cached recently. Engines elsewhere copy them instead of computing them again. */
   readonly held?: readonly HeldPart[];
-  /** Leads of the receiver's region, for one that has found none. */
+  /** Leads of the receiver's region, for a receiver that has found none. */
   readonly yours?: readonly VmRecord[];
 }
 
-/** A digest that was passed on. */
+/** A digest that a lead passes on to the VMs of its region. */
 export interface PassedDigest extends RegionDigest {
   readonly ageMs: number;
 }
 
-/** Which VMs of a region callers may use. */
+/** The VMs of a region that callers may use. */
 export interface NamedList {
   /** At most {@link MAX_NAMED} addresses of VMs that take requests. */
   readonly ready: readonly string[];
-  /** VMs that are being stopped, with the time that they still serve, in ms. */
+  /** Draining VMs with the time that they still serve, in ms. */
   readonly leaving: readonly (readonly [ip: string, servesMs: number])[];
 }
 
-/** What a lead tells the VMs of its region. */
+/** Sent by a lead to the VMs of its region. */
 export interface Roster {
   readonly from: VmRecord;
   readonly everyMs: number;
-  /** The head of the region's order: leads and standbys. */
+  /** The head of the region's lead order: leads and standbys. */
   readonly leads: readonly LeadRecord[];
   readonly vms: number;
   readonly revisions: Revisions;
   readonly isServed: boolean;
   /** As in {@link VmState}. */
   readonly configAgeMs?: number;
-  /** Absent in a short roster: the last list holds on. */
+  /** Absent in a short roster; the previous list stays valid then. */
   readonly named?: NamedList;
-  /** What all VMs of the region have under way. */
+  /** The loads of all VMs of the region together. */
   readonly load: Load;
-  /** Other regions. */
+  /** The latest digests of other regions. */
   readonly regions: readonly PassedDigest[];
 }
 
-/** Most addresses of one list: what callers take from an answer, and a datagram of about a kilobyte. */
+/** Maximum addresses in one list: as many as callers take from an answer, which makes a datagram of about 1 KB. */
 export const MAX_NAMED = 64;
 
 function isList(value: unknown): value is unknown[] {
@@ -133,7 +133,7 @@
     typeof revisions.upstreams === "number";
 }
 
-/** Reads a report; `undefined` if it is none. */
+/** Decodes a report; `undefined` if it is malformed. */
 export function decodeReport(params: unknown): Report | undefined {
   if (!isVmRecord(params)) return undefined;
   const report = params as Report;
@@ -143,7 +143,7 @@
     : undefined;
 }
 
-/** Reads a note of load; `undefined` if it is none. */
+/** Decodes a load note; `undefined` if it is malformed. */
 export function decodeLoadNote(params: unknown): LoadNote | undefined {
   const note = params as Partial<LoadNote> | null;
   return typeof note?.id === "string" && typeof note.load === "object" &&
@@ -152,7 +152,7 @@
     : undefined;
 }
 
-/** Reads a digest; `undefined` if it is none. */
+/** Decodes a digest; `undefined` if it is malformed. */
 export function decodeDigest(params: unknown): RegionDigest | undefined {
   const digest = params as Partial<RegionDigest> | null;
   return isVmRecord(digest?.from) && isRevisions(digest.revisions) &&
@@ -162,7 +162,7 @@
     : undefined;
 }
 
-/** Reads a roster; `undefined` if it is none. */
+/** Decodes a roster; `undefined` if it is malformed. */
 export function decodeRoster(params: unknown): Roster | undefined {
   const roster = params as Partial<Roster> | null;
   return isVmRecord(roster?.from) && isRevisions(roster.revisions) &&
--- a/src/region/mod.ts
+++ b/src/region/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Who is there: the VMs of a region, its leads, and what regions tell each other. Free of I/O.
+ * Membership: the VMs of a region, its leads, and the messages between VMs and between regions. Free of I/O.
  *
  * @module
  */
--- a/src/region/record.ts
+++ b/src/region/record.ts
@@ -1,5 +1,5 @@
 /**
- * Who a VM is, as others learn it.
+ * The identity of a VM as it tells it to other VMs.
  *
  * @module
  */
@@ -10,13 +10,13 @@
   readonly ip: string;
   readonly region: string;
   readonly failureDomain: string;
-  /** Start of its process, Unix ms: tells one start from the next. */
+  /** Start time of its process, in Unix ms. It distinguishes one start from the next. */
   readonly bornMs: number;
-  /** Cores that it may use, as a fraction for a share of one. */
+  /** Cores that it may use; a fraction if it has a share of a core. */
   readonly cores: number;
 }
 
-/** Whether a value that came from outside says who a VM is. */
+/** Whether a received value is a VM record. */
 export function isVmRecord(value: unknown): value is VmRecord {
   const vm = value as Partial<VmRecord> | null;
   return typeof vm?.id === "string" && typeof vm.ip === "string" &&
@@ -25,7 +25,7 @@
     typeof vm.cores === "number";
 }
 
-/** The record alone of something that extends it. */
+/** Copies only the record's own fields from a value that extends it. */
 export function toVmRecord(
   { id, ip, region, failureDomain, bornMs, cores }: VmRecord,
 ): VmRecord {
--- a/src/region/remote_regions.ts
+++ b/src/region/remote_regions.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM knows of other regions, by what their leads said last.
+ * What a VM knows of other regions from the latest digests of their leads.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import type { PassedDigest, RegionDigest } from "./messages.ts";
 import type { VmRecord } from "./record.ts";
 
-/** Silence after which nothing is handed to a region, at least: four digests of its first lead. */
+/** Minimum silence after which no request is relayed to a region: four digest intervals of its first lead. */
 const MIN_SILENT_MS = 2_000;
 const MISSED_DIGESTS = 4;
-/** A region that was only cut off still uses its part of what all share; it counts for this long. */
+/** A region that is only cut off still uses its part of what all regions share, so its VMs count for this long. */
 const FORGET_MS = 30_000;
 
-/** A region as one of its leads described it. */
+/** The latest digest of a region. */
 export interface RemoteRegion {
   readonly digest: RegionDigest;
   readonly heardMs: number;
@@ -24,19 +24,19 @@
     Math.max(MIN_SILENT_MS, MISSED_DIGESTS * digest.everyMs);
 }
 
-/** See the module. */
+/** Keeps the latest digest of each other region. */
 export class RemoteRegions {
-  /** By region, the latest digest of any of its leads. */
+  /** The latest digest from any lead of a region, by region. */
   readonly #latest = new Map<string, RemoteRegion>();
 
-  /** Takes in what a lead said at `heardMs`; what is older than what is known is left aside. */
+  /** Stores a digest that was heard at `heardMs`, unless a newer one is known. */
   update(digest: RegionDigest, heardMs: number): void {
     const { region } = digest.from;
     if ((this.#latest.get(region)?.heardMs ?? -Infinity) >= heardMs) return;
     this.#latest.set(region, { digest, heardMs });
   }
 
-  /** Regions that were heard lately. */
+  /** Regions that were heard recently. */
   fresh(nowMs: number): RemoteRegion[] {
     return [...this.#latest.values()].filter((remote) =>
       isFresh(remote, nowMs)
@@ -49,19 +49,19 @@
     return remote && isFresh(remote, nowMs) ? remote.digest.ready : [];
   }
 
-  /** The leads of a region as last said, fresh or not. */
+  /** The leads of a region by its latest digest, which may be stale. */
   leads(region: string): readonly VmRecord[] {
     return this.#latest.get(region)?.digest.leads ?? [];
   }
 
-  /** VMs of all these regions together. */
+  /** The number of VMs of all other regions together. */
   vmCount(): number {
     let sum = 0;
     for (const { digest } of this.#latest.values()) sum += digest.vms;
     return sum;
   }
 
-  /** What may be passed on to the VMs of the own region. */
+  /** The digests to pass on to the VMs of the own region. */
   passedDigests(nowMs: number): PassedDigest[] {
     return this.fresh(nowMs).map(({ digest, heardMs }) => ({
       ...digest,
@@ -71,14 +71,14 @@
     }));
   }
 
-  /** Drops what was not heard for long. */
+  /** Drops regions that were not heard for a long time. */
   dropStale(nowMs: number): void {
     for (const [region, { heardMs }] of this.#latest) {
       if (nowMs - heardMs >= FORGET_MS) this.#latest.delete(region);
     }
   }
 
-  /** This process was paused for `ms`: nobody had a chance to be heard. */
+  /** Shifts all times by a pause of this process, since nothing could be heard during it. */
   skipPause(ms: number): void {
     for (const [region, { digest, heardMs }] of this.#latest) {
       this.#latest.set(region, { digest, heardMs: heardMs + ms });
--- a/src/region/view.ts
+++ b/src/region/view.ts
@@ -1,8 +1,8 @@
 /**
- * Who leads a region as a VM sees it, whom it tells what, and when.
+ * A VM's view of its region: which VMs lead, and which messages are due to whom and when.
  *
- * Every VM reports to the leads of its region; they tell all of them, in a roster, who is there, and tell the leads of
- * other regions, in a digest. So a VM sends and gets the same number of messages in a region of 5 and of 500.
+ * Every VM sends reports to the leads of its region. The leads send rosters of the region's VMs to all VMs, and digests to
+ * the leads of other regions. So a VM sends and receives the same number of messages in a region of 5 and of 500 VMs.
  *
  * @module
  */
@@ -28,32 +28,32 @@
 import { digestEveryMs, reportEveryMs, rosterEveryMs } from "./intervals.ts";
 import { toVmRecord, type VmRecord } from "./record.ts";
 
-/** A change is told at once, but no two rosters are closer than this. */
+/** A change makes a roster due at once, but two rosters are at least this far apart. */
 const MIN_ROSTER_GAP_MS = 100;
-/** After a change rosters come faster and with the lists of names, so that a lost one delays nobody; else now and then. */
+/** After a change rosters are more frequent and all carry names, so that a lost one delays no VM; later only some do. */
 const CHANGED_ROSTER_EVERY_MS = 200;
 const AFTER_CHANGE_MS = 500;
 const NAMED_EVERY_MS = 2_000;
-/** VMs that a digest names: enough that what is handed over spreads, in a third of a kilobyte. */
+/** Maximum VMs that a digest names as ready: enough to spread relayed requests, in about a third of a kilobyte. */
 const MAX_DIGEST_READY = 24;
-/** How often a lead looks for VMs that it doesn't hear: cut halves of a region find each other again in this time. */
+/** How often a lead searches for VMs that it doesn't hear. Cut halves of a region find each other again in this time. */
 const SEARCH_EVERY_MS = 2_000;
-/** A VM that hears no other looks more often at first, as all may be starting together. */
+/** A VM that hears no other searches more often at first, as all VMs may be starting together. */
 const FAST_SEARCH_MS = 250;
 const STARTING_MS = 10_000;
 const MAX_SEARCHED = 8;
-/** A lead that was reported to and stayed silent is left aside for this long, unless it is heard. */
+/** A lead that stays silent although this VM reports to it is left out for this long, unless it is heard earlier. */
 const SILENT_LEAD_MS = 15_000;
-/** A VM that runs again after a gap this long was paused. */
+/** A gap of at least this length between two ticks means that this process was paused. */
 const MIN_PAUSE_MS = 600;
 
-/** A message to some addresses. */
+/** A message that is due, with the addresses to send it to. */
 export type DueMessage =
   | { readonly type: "report"; readonly ips: readonly string[] }
   | {
     readonly type: "digest";
     readonly ips: readonly string[];
-    /** Region of a VM that may know nobody of its own; `undefined` for leads. */
+    /** Region of a receiver that may know no VM of its own region; `undefined` if the receivers are leads. */
     readonly toRegion?: string;
   }
   | {
@@ -68,18 +68,18 @@
   /** Addresses of some VMs of any region; may be stale. */
   readonly seedIps: readonly string[];
   readonly random: Random;
-  /** What this VM says of itself now. */
+  /** The current state of this VM. */
   readonly state: () => VmState;
 }
 
-/** See the module. Times are of a monotonic clock. */
+/** Tracks who leads the region and decides which messages are due. Times are of a monotonic clock. */
 export class RegionView {
   readonly known: KnownVms;
   readonly #options: RegionViewOptions;
   readonly #self: VmRecord;
-  /** When this VM began to report to a lead. */
+  /** When this VM began to report to each lead. */
   readonly #reportedSinceMs = new Map<string, number>();
-  /** Leads that were reported to and not heard, with the time of that. */
+  /** When each silent lead that this VM reports to was last found silent. */
   readonly #silentSinceMs = new Map<string, number>();
   #order: LeadRecord[] = [];
   #aloneSinceMs: number;
@@ -106,7 +106,7 @@
     }];
   }
 
-  /** Leads and standbys of the region as far as this VM knows, the first lead first. */
+  /** Leads and standbys of the region as this VM knows them, the first lead first. */
   get order(): readonly LeadRecord[] {
     return this.#order;
   }
@@ -119,12 +119,12 @@
     return this.leads.some(({ id }) => id === this.#self.id);
   }
 
-  /** Whether all VMs of the region hear each other, so that none needs a lead. */
+  /** Whether all VMs of the region hear each other, so that none depends on a lead. */
   get hearsAll(): boolean {
     return this.known.regionVmCount <= MAX_ALL_LEAD_VMS;
   }
 
-  /** VMs of all regions, silent ones included as they may only be cut off. */
+  /** Number of VMs of all regions, including silent ones as they may only be cut off. */
   get vmCount(): number {
     return this.known.regionVmCount + this.known.remote.vmCount();
   }
@@ -135,7 +135,7 @@
       this.known.freshRosters(nowMs).length === 0;
   }
 
-  /** The latest roster of the first lead that is heard; `undefined` for a lead, which knows better itself. */
+  /** The latest roster of the first lead that is heard; `undefined` on a lead, which has newer information itself. */
   latestRoster(nowMs: number): Roster | undefined {
     if (this.isLead) return undefined;
     const rosters = this.known.freshRosters(nowMs);
@@ -146,14 +146,14 @@
     return undefined;
   }
 
-  /** VMs that callers of a region can be told of, without this one. */
+  /** VMs of a region that can be named to callers, without this one. */
   named(region: string, nowMs: number): DirectoryVm[] {
     if (region === this.#self.region) return this.known.named(nowMs);
     return this.known.remote.readyIps(region, nowMs)
       .map((ip) => ({ ip, region, isReady: true, servesMs: 0 }));
   }
 
-  /** Takes in a report. Returns what is answered. */
+  /** Handles a report. Returns the messages to answer it with. */
   onReport(report: Report, nowMs: number): DueMessage[] {
     const before = this.known.noteReport(report, nowMs);
     if (before === report) return [];
@@ -169,12 +169,12 @@
       this.#refreshOrder(nowMs);
       this.#noteListChange(nowMs);
     }
-    // One that takes this VM for a lead, wrongly, learns who is; a new one need not wait for the next roster.
+    // A VM that wrongly takes this one for a lead learns who leads; a new VM need not wait for the next roster.
     const shouldAnswer = isNew || !this.isLead;
     return shouldAnswer ? [{ type: "roster", ips, withNames: true }] : [];
   }
 
-  /** Takes in a roster; one of another region is not meant for this VM. */
+  /** Handles a roster. A roster of another region is not meant for this VM and is ignored. */
   onRoster(roster: Roster, nowMs: number): void {
     const { from } = roster;
     if (from.region !== this.#self.region || from.id === this.#self.id) return;
@@ -183,13 +183,13 @@
     this.#refreshOrder(nowMs);
   }
 
-  /** Tells at once, out of turn. */
+  /** Makes the next report and roster due at once, ahead of schedule. */
   sendSoon(): void {
     this.#reportDueMs = -Infinity;
     this.#rosterDueMs = -Infinity;
   }
 
-  /** When {@link RegionView.tick} has something to do next, as far as is known now. */
+  /** When {@link RegionView.tick} is next due, as far as is known now. */
   get nextDueMs(): number {
     if (!this.isLead) return this.#reportDueMs;
     const rosterMs = Math.max(
@@ -209,7 +209,7 @@
     return rosterEveryMs(this.known.regionVmCount);
   }
 
-  /** What is to be sent now. */
+  /** Returns the messages that are due now. */
   tick(nowMs: number): DueMessage[] {
     this.#skipPause(nowMs);
     this.known.dropStale(nowMs);
@@ -224,7 +224,7 @@
     return due.filter(({ ips }) => ips.length > 0);
   }
 
-  /** What this VM tells its region. */
+  /** Builds a roster for the VMs of the own region. */
   buildRoster(nowMs: number, withNames: boolean): Omit<Roster, "load"> {
     const { revisions, isServed, configAgeMs } = this.#options.state();
     return {
@@ -240,7 +240,7 @@
     };
   }
 
-  /** What this VM tells the leads of another region. */
+  /** Builds a digest for another region; `to` is the region of a receiver that may know no lead of its own. */
   buildDigest(nowMs: number, to?: string): Omit<RegionDigest, "room" | "held"> {
     const { ready } = this.#namedList(nowMs);
     return {
@@ -280,7 +280,7 @@
     return due;
   }
 
-  /** A change of what this VM says is told at once. */
+  /** Makes a roster due at once if what it announces has changed. */
   #noteOwnChange(nowMs: number): void {
     const { revisions, isServed, ready } = this.#options.state();
     const announced = [
@@ -327,8 +327,8 @@
   }
 
   /**
-   * The VMs that this one answers for. A lead names only those that report to it: leads that repeated each other's lists
-   * would keep a dead VM in them for good.
+   * The VMs that this one names. A lead names only those that report to it: if leads repeated each other's lists, a dead VM
+   * would stay in them forever.
    */
   #namedVms(nowMs: number): readonly DirectoryVm[] {
     return this.isLead ? this.known.namedHere(nowMs) : this.known.named(nowMs);
@@ -351,7 +351,7 @@
     return leads.map(({ ip }) => ip);
   }
 
-  /** Looks for VMs that are not heard: seeds, strangers, and, without any other VM, whoever was named last. */
+  /** Sends reports to VMs that are not heard: seeds, VMs named in messages and, if alone, the VMs named last as ready. */
   #search(nowMs: number): DueMessage {
     const isAlone = this.isAlone(nowMs);
     if (!isAlone) this.#aloneSinceMs = nowMs;
--- a/src/region/view_sim_test.ts
+++ b/src/region/view_sim_test.ts
@@ -29,17 +29,17 @@
   nextTickMs: number;
 }
 
-/** VMs of three regions with a network that loses datagrams and can be cut; time is simulated. */
+/** Simulates VMs of three regions on a network that loses datagrams and can be cut. */
 class World {
   nowMs = 0;
-  /** Whether a datagram passes. */
+  /** Whether datagrams get through between two VMs. */
   passes: (from: VmRecord, to: VmRecord) => boolean = () => true;
   farBytes = 0;
   sent = 0;
   readonly vms = new Map<string, Vm>();
   readonly #random: Random;
   readonly #loss: number;
-  /** What arrives, by the time of its arrival. */
+  /** Messages in flight, by the time of their arrival. */
   readonly #inFlight = new Map<number, { to: string; message: Message }[]>();
 
   constructor(perRegion: number, seed = 1, loss = 0.01) {
@@ -48,7 +48,7 @@
     for (let i = 0; i < REGIONS.length * perRegion; i++) this.start(i);
   }
 
-  /** Starts a VM, or starts it again. */
+  /** Starts or restarts a VM. */
   start(index: number): Vm {
     const region = REGIONS[index % REGIONS.length];
     const record: VmRecord = {
@@ -62,7 +62,7 @@
     const bornMs = this.nowMs;
     const view = new RegionView({
       self: record,
-      // One VM of each region.
+      // The seeds are one VM of each region.
       seedIps: ["10.0.0.0", "10.0.0.1", "10.0.0.2"],
       random: new Random(index),
       state: () => ({
@@ -113,14 +113,14 @@
     }
   }
 
-  /** Runs until something holds; returns how long that took. */
+  /** Runs until `done` holds or `maxMs` have passed; returns how long that took. */
   runUntil(done: () => boolean, maxMs: number): number {
     const startMs = this.nowMs;
     while (!done() && this.nowMs - startMs < maxMs) this.run(STEP_MS);
     return this.nowMs - startMs;
   }
 
-  /** Whether every VM of a region names exactly the VMs of it that are up, and VMs of the other regions. */
+  /** Whether every VM of a region names exactly the region's VMs that are up, and some VMs of each other region. */
   isSettledIn(region: string): boolean {
     const vms = this.in(region);
     return vms.every(({ view }) =>
@@ -133,7 +133,7 @@
     );
   }
 
-  /** Whether that holds for all regions, and the VMs are counted. */
+  /** Whether that holds for all regions, and every VM counts all VMs that are up. */
   isSettled(): boolean {
     return REGIONS.every((region) => this.isSettledIn(region)) &&
       this.up.every(({ view }) => view.vmCount === this.up.length);
@@ -200,7 +200,7 @@
   return world;
 }
 
-/** Time until no VM of `region` names the address. */
+/** Runs until no VM of `region` names the address; returns how long that took. */
 function waitUntilGone(world: World, ip: string, region: string): number {
   return world.runUntil(
     () =>
@@ -215,13 +215,13 @@
 
 describe("a fleet of VMs", () => {
   for (const perRegion of [1, 2, 3, 5, 24, 64]) {
-    it(`finds itself from one seed a region, with ${perRegion} VMs in each`, (t) => {
+    it(`discovers all VMs from one seed a region, with ${perRegion} VMs in each`, (t) => {
       const world = new World(perRegion);
       t.true(world.runUntil(() => world.isSettled(), 10_000) < 4_000);
     });
   }
 
-  // A caller is told of a VM that is dead: its connection hangs until it gives up, a second later.
+  // If a caller is directed to a dead VM, its connection hangs until it gives up after a second.
   for (const perRegion of [3, 24, 64]) {
     it(`stops naming a dead VM soon, with ${perRegion} VMs a region`, (t) => {
       for (const seed of [1, 2, 3]) {
@@ -236,8 +236,8 @@
     });
   }
 
-  // All leads of a region are lost at once: its VMs must not stay without news, nor forget each other.
-  it("has new leads when all are lost at once", (t) => {
+  // When all leads of a region are lost at once, its VMs must soon get rosters again and must not forget each other.
+  it("gets new leads when all are lost at once", (t) => {
     const world = createSettledWorld(24);
     const leads = world.leadsOf("north");
     t.is(leads.length, LEAD_COUNT);
@@ -252,7 +252,7 @@
     t.is(agreed.size, 1);
   });
 
-  it("finds the region again when leads and standbys are lost at once", (t) => {
+  it("recovers when all leads and standbys of a region are lost at once", (t) => {
     const world = createSettledWorld(24);
     const [first] = world.in("north");
     for (const { ip } of first.view.order) world.vms.get(ip)!.isUp = false;
@@ -260,8 +260,8 @@
     t.true(tookMs < 8_000, `${tookMs} ms`);
   });
 
-  // A lead freezes and wakes: it has heard nobody for seconds, which says nothing of them.
-  it("keeps its VMs through the freeze of a lead", (t) => {
+  // A lead that was frozen has heard no VM for seconds. It must not take them for gone when it runs again.
+  it("keeps its VMs when a lead was frozen", (t) => {
     const world = createSettledWorld(24);
     const [lead] = world.leadsOf("north");
     lead.isFrozen = true;
@@ -278,8 +278,8 @@
     t.true(world.runUntil(() => world.isSettled(), 10_000) < 3_000);
   });
 
-  // VMs hear nothing of a lead that hears them: they must take the next one, and not wait for it.
-  it("does without a lead that can be reached and not heard", (t) => {
+  // A lead hears the VMs, but they don't hear it. They must choose the next lead instead of waiting for this one.
+  it("replaces a lead that can be reached but not heard", (t) => {
     const world = createSettledWorld(24);
     const [lead] = world.leadsOf("north");
     world.passes = (from) => from.id !== lead.record.id;
@@ -291,8 +291,8 @@
     }
   });
 
-  // Two failure domains of a region can't reach each other: each half goes on, and they are one again afterwards.
-  it("goes on in both halves of a cut region, and joins them again", (t) => {
+  // Two failure domains of a region can't reach each other. Each half must go on, and they must rejoin afterwards.
+  it("goes on in both halves of a cut region, which rejoin afterwards", (t) => {
     const world = createSettledWorld(24);
     world.passes = (from, to) =>
       from.region !== "north" || to.region !== "north" ||
@@ -308,7 +308,7 @@
     t.true(tookMs < 6_000, `${tookMs} ms`);
   });
 
-  it("goes on in a region that is cut off, and is whole again afterwards", (t) => {
+  it("goes on in a region that is cut off and rejoins afterwards", (t) => {
     const world = createSettledWorld(24);
     const isCut = (vm: VmRecord) => vm.region === "north";
     world.passes = (from, to) => isCut(from) === isCut(to);
@@ -321,8 +321,8 @@
     t.true(world.runUntil(() => world.isSettled(), 20_000) < 6_000);
   });
 
-  // All VMs are off and on again at once, the seeds among them.
-  it("finds itself after all were off", (t) => {
+  // All VMs stop and restart at once, including the seeds.
+  it("discovers all VMs again after all were down", (t) => {
     const world = createSettledWorld(24);
     for (const vm of world.up) vm.isUp = false;
     world.run(1_300);
@@ -330,8 +330,8 @@
     t.true(world.runUntil(() => world.isSettled(), 10_000) < 4_000);
   });
 
-  // Without this the control of a large fleet takes what its callers need.
-  it("costs a VM no more messages when it grows, and few bytes between regions", (t) => {
+  // If the messages of a VM grew with the fleet, a large fleet would spend on them what it needs for its callers.
+  it("needs hardly more messages a VM when it grows, and few bytes between regions", (t) => {
     const cost = (perRegion: number) => {
       const world = createSettledWorld(perRegion);
       world.sent = world.farBytes = 0;
