--- a/src/base/backoff.ts
+++ b/src/base/backoff.ts
@@ -1,20 +1,20 @@
 /**
- * Waiting between attempts.
+ * Backoff between attempts.
  *
  * @module
  */
 
 import type { Random } from "./random.ts";
 
-/** Limits of a {@link backoffMs} sequence. */
+/** First and maximum wait of a {@link backoffMs} sequence, before jitter. */
 export interface BackoffLimits {
   readonly firstMs: number;
   readonly maxMs: number;
 }
 
 /**
- * The wait before attempt `attempt` (counted from 0), with full jitter. After an outage all VMs return at once; without
- * jitter their calls would arrive in the same instant and bring the store down again.
+ * The wait before attempt `attempt` (counted from 0): exponential, with jitter over its upper half. After an outage all VMs
+ * return at once. Without jitter their calls would arrive at the same instant and bring the store down again.
  */
 export function backoffMs(
   attempt: number,
--- a/src/base/base_test.ts
+++ b/src/base/base_test.ts
@@ -8,7 +8,7 @@
   secretMatches,
 } from "./mod.ts";
 
-test("rendezvous moves only the keys of the member that went", (t) => {
+test("rendezvous moves only the keys of the member that is gone", (t) => {
   const members = ["a", "b", "c", "d"];
   for (let i = 0; i < 200; i++) {
     const before = rendezvous(`key${i}`, members, (m) => m);
@@ -21,7 +21,7 @@
   }
 });
 
-test("a secret matches its own digest only", (t) => {
+test("a secret matches only its own digest", (t) => {
   t.true(secretMatches("swordfish", secretDigest("swordfish")));
   t.false(secretMatches("swordfisj", secretDigest("swordfish")));
   t.false(secretMatches("swordfish", "ab"));
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,5 +1,5 @@
 /**
- * Time as the tasks see it, so that tests can move it. Decisions never read a clock: they are given `nowMs`.
+ * Clocks for tasks, which tests can control. Decisions never read a clock; they get `nowMs` as an argument.
  *
  * @module
  */
@@ -9,11 +9,11 @@
   close(): void;
 }
 
-/** A source of time and timers; {@link systemClock} is the real one, {@link ManualClock} the tests'. */
+/** A source of time and timers: {@link systemClock} in processes, {@link ManualClock} in tests. */
 export abstract class Clock {
-  /** Wall-clock time in ms since the epoch: for deadlines that cross processes. */
+  /** Wall-clock time in ms since the epoch, for deadlines that are sent to other processes. */
   abstract nowMs(): number;
-  /** Monotonic time in ms: for promises and leases held inside this process. */
+  /** Monotonic time in ms, for promises and leases held inside this process. */
   abstract monoMs(): number;
   /** Calls `run` once, `delayMs` from now. */
   abstract after(delayMs: number, run: () => void): Timer;
@@ -73,7 +73,7 @@
   every(periodMs: number, run: () => void): Timer {
     return this.#add({ dueMs: this.#nowMs + periodMs, run, periodMs });
   }
-  /** Moves time on by `ms`, running what falls due, in order, and letting promises settle in between. */
+  /** Advances time by `ms`; runs the timers that become due, in order, and lets promises settle in between. */
   async advance(ms: number): Promise<void> {
     const endMs = this.#nowMs + ms;
     for (;;) {
--- a/src/base/codes.ts
+++ b/src/base/codes.ts
@@ -1,19 +1,19 @@
 /**
- * Result codes: every answer that is not a success carries one of these numbers. The table in
- * `docs/RESULT_CODES.md` is checked against this module by a test.
+ * Result codes: every answer that is not a success carries one of these numbers. A test checks the table in
+ * `docs/RESULT_CODES.md` against this module.
  *
  * @module
  */
 
-/** Whether the work a caller asked for was executed at an upstream. */
+/** Whether the work that a caller asked for was executed at an upstream. */
 export type Ran = "no" | "yes" | "unknown";
 
-/** One row of the code table: its HTTP status, and the {@link Ran} it states unless told otherwise. */
+/** One row of the code table, with the HTTP status and the default {@link Ran}. */
 export interface CodeInfo {
   readonly code: number;
   readonly httpStatus: number;
   readonly ran: Ran;
-  /** Whether the same request may succeed later, so that the answer says when to come back. */
+  /** Whether the same request may succeed later, so that the answer says when to retry. */
   readonly retryable: boolean;
   readonly text: string;
 }
@@ -30,7 +30,7 @@
 
 /**
  * All result codes by name. 2xxx: the caller must change something. 3xxx: refused, not run. 4xxx: an upstream
- * failed. 5xxx: an operator's request failed. 9xxx: a fault of ours.
+ * failed. 5xxx: an operator's request failed. 9xxx: an internal fault.
  */
 export const codes = {
   badRequest: defineCode(2001, 400, "no", false, "the request is malformed"),
@@ -283,19 +283,19 @@
 /** The name of a result code, for example `queueFull`. */
 export type CodeName = keyof typeof codes;
 
-/** What a refusal or failure tells its caller; see {@link codes}. */
+/** A refusal or failure as it is reported to the caller; see {@link codes}. */
 export interface Failure {
   readonly code: CodeName;
   readonly ran: Ran;
-  /** A sentence for people: which field, which value, what is allowed. */
+  /** A sentence for human readers: which field, which value, what is allowed. */
   readonly message: string;
-  /** When to come back, in ms since the epoch; absent where coming back does not help. */
+  /** When to retry, in ms since the epoch; absent if a retry does not help. */
   readonly retryAtMs?: number;
   /** Base URLs of VMs to use instead, best first. */
   readonly goTo?: readonly string[];
 }
 
-/** Makes a {@link Failure}, with the code's own text and `ran` unless others are given. */
+/** Creates a {@link Failure}, with the code's default text and `ran` unless others are given. */
 export function failure(
   code: CodeName,
   more: Partial<Omit<Failure, "code">> = {},
--- a/src/base/describe.ts
+++ b/src/base/describe.ts
@@ -1,5 +1,5 @@
 /**
- * Nested blocks for `ava`, which has none: the names of the blocks are put before a test's title.
+ * Nested `describe` blocks, which `ava` lacks: a test's title is prefixed with the names of its blocks.
  *
  * @module
  */
@@ -9,20 +9,20 @@
 
 const blockNames: string[] = [];
 
-// Logs that are kept of a test's processes carry its file's name.
+// The logs kept of a test's processes are named after the test's file.
 process.env.IBISGAP_TEST_FILE = basename(
   new URL(test.meta.file).pathname,
   ".js",
 );
 
-/** Opens a block; tests declared by {@link it} inside `body` carry its name. */
+/** Opens a block. Tests that `body` declares by {@link it} carry its name. */
 export function describe(name: string, body: () => void): void {
   blockNames.push(name);
   body();
   blockNames.pop();
 }
 
-/** Declares a test of the surrounding {@link describe} blocks. */
+/** Declares a test in the surrounding {@link describe} blocks. */
 export function it(
   title: string,
   run: (t: ExecutionContext) => void | Promise<void>,
@@ -30,7 +30,7 @@
   test([...blockNames, title].join(" > "), run);
 }
 
-/** Like {@link it}, but run alone, after or before others of the file: for tests that share a process-wide resource. */
+/** Like {@link it}, but never concurrently with other tests of the file, for tests that share a process-wide resource. */
 export function itAlone(
   title: string,
   run: (t: ExecutionContext) => void | Promise<void>,
--- a/src/base/hash.ts
+++ b/src/base/hash.ts
@@ -14,7 +14,7 @@
   return h32(text);
 }
 
-/** A 64-bit hash of some pieces in order, in hex, the same on every VM; where one piece ends and the next begins counts. */
+/** A 64-bit hash of some pieces in order, in hex, the same on every VM. The boundaries between pieces affect the hash. */
 export function digest64(pieces: readonly (string | Uint8Array)[]): string {
   const hash = create64();
   for (const piece of pieces) {
@@ -24,7 +24,7 @@
   return hash.digest().toString(16).padStart(16, "0");
 }
 
-/** Mixes two 32-bit hashes into a third: a rendezvous weight at a hundredth of the cost of hashing both names anew. */
+/** Mixes two 32-bit hashes into one: a rendezvous weight at a hundredth of the cost of hashing both names again. */
 export function mix32(a: number, b: number): number {
   let mixed = (a ^ Math.imul(b, 0x9e3779b1)) >>> 0;
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
@@ -33,8 +33,8 @@
 }
 
 /**
- * Orders `members` for `key` by rendezvous hashing, best first. When a member goes, only the keys it was best for
- * move, each to its own next member; that is why leads and shard owners are chosen this way.
+ * Orders `members` for `key` by rendezvous hashing, best first. Leads and shard owners are chosen this way because, when a
+ * member goes, only the keys for which it was the best move, each to its own next member.
  */
 export function rendezvous<T>(
   key: string,
@@ -51,7 +51,7 @@
     .map((scored) => scored.member);
 }
 
-/** The SHA-256 digest of a secret, in hex: what settings and table hold in place of the secret. */
+/** The SHA-256 digest of a secret, in hex. Settings and table contain it instead of the secret. */
 export function secretDigest(secret: string): string {
   return createHash("sha256").update(secret).digest("hex");
 }
--- a/src/base/lag_detector.ts
+++ b/src/base/lag_detector.ts
@@ -1,5 +1,5 @@
 /**
- * Finds out that this process was late a moment ago: busy, or without a processor.
+ * Detects that this process recently ran late because it was busy or had no processor.
  *
  * @module
  */
@@ -7,12 +7,12 @@
 import type { Clock, Timer } from "./clock.ts";
 
 const TICK_MS = 50;
-/** A beat that comes later than this shows a process that sees things after they have passed. */
+/** A timer tick that comes later than this means that the process sees events well after they happened. */
 const LATE_MS = 100;
-/** What had to wait is handled within this time after the process runs again. */
+/** After a delay, the events that had to wait are handled within this time. */
 const LAG_KEPT_MS = 500;
 
-/** See the module. */
+/** Watches the delay of a periodic timer. */
 export class LagDetector {
   readonly #clock: Clock;
   readonly #timer: Timer;
@@ -28,7 +28,7 @@
     });
   }
 
-  /** Whether what this process sees now may have happened well before. */
+  /** Whether events that this process handles now may have happened well before. */
   get wasLate(): boolean {
     this.#check();
     return this.#clock.monoMs() - this.#lateMonoMs < LAG_KEPT_MS;
--- a/src/base/lag_detector_test.ts
+++ b/src/base/lag_detector_test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from "./describe.ts";
 import { Clock, LagDetector, ManualClock, type Timer } from "./mod.ts";
 
-/** A clock whose time can pass without its timers running, as when the process has no processor. */
+/** A clock whose time can pass while its timers don't run, as in a process without a processor. */
 class StallingClock extends Clock {
   readonly inner = new ManualClock(0);
   stalledMs = 0;
@@ -19,8 +19,8 @@
   }
 }
 
-describe("late watch", () => {
-  it("sees nothing while timers run in time", async (t) => {
+describe("lag detector", () => {
+  it("reports no lag while timers run on time", async (t) => {
     const clock = new StallingClock();
     const detector = new LagDetector(clock);
     await clock.inner.advance(5_000);
@@ -29,7 +29,7 @@
   });
 
   for (const first of ["a message", "a timer"]) {
-    it(`says for a moment that the process was late: ${first} runs first`, async (t) => {
+    it(`reports for a short time that the process was late, when ${first} runs first`, async (t) => {
       const clock = new StallingClock();
       const detector = new LagDetector(clock);
       await clock.inner.advance(1_000);
--- a/src/base/mod.ts
+++ b/src/base/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What every folder may use: result codes, time, random numbers, hashing, backoff.
+ * Basics that every folder may use: result codes, time, random numbers, hashing, backoff, detection of pauses.
  *
  * @module
  */
--- a/src/base/pause_detector.ts
+++ b/src/base/pause_detector.ts
@@ -1,19 +1,20 @@
 /**
- * Finds out that this process was paused: frozen by its host, or its event loop held up.
+ * Detects that this process was paused: frozen by its host, or with a blocked event loop.
  *
  * @module
  */
 
 import type { Clock, Timer } from "./clock.ts";
 
-/** Shorter than it takes others to declare a VM dead: whoever was away for longer may have been replaced. */
+/** Shorter than the time in which other VMs declare a VM dead, as a VM that was paused for longer may have been replaced. */
 export const MIN_PAUSE_MS = 1500;
 
 const TICK_MS = 250;
 
 /**
- * A paused VM wakes with its old state and with old messages in its sockets, and acts on both as if no time had passed.
- * It must notice before it handles the first message, when no timer has run yet; so the question is asked, not told.
+ * Detects pauses of this process. After a pause, a VM has stale state and stale messages in its sockets and would act on
+ * both as if no time had passed. It must detect the pause before it handles the first message, when no timer may have run
+ * yet. So callers check for a pause instead of being notified.
  */
 export class PauseDetector {
   readonly #clock: Clock;
@@ -24,12 +25,12 @@
     this.#clock = clock;
     this.#tickMonoMs = clock.monoMs();
     this.#timer = clock.every(TICK_MS, () => {
-      // A pause that nobody has asked about yet stays visible until somebody has.
+      // A pause stays detectable until a caller has checked for it.
       if (!this.#isPaused()) this.#tickMonoMs = this.#clock.monoMs();
     });
   }
 
-  /** Whether there was a pause since this was last asked. */
+  /** Whether there was a pause since the last call. */
   consumePause(): boolean {
     if (!this.#isPaused()) return false;
     this.#tickMonoMs = this.#clock.monoMs();
--- a/src/base/pause_detector_test.ts
+++ b/src/base/pause_detector_test.ts
@@ -1,7 +1,7 @@
 import { Clock, ManualClock, PauseDetector, type Timer } from "./mod.ts";
 import { describe, it } from "./describe.ts";
 
-/** A clock whose time can pass without its timers running, as when the process is frozen. */
+/** A clock whose time can pass while its timers don't run, as in a frozen process. */
 class FreezableClock extends Clock {
   readonly inner = new ManualClock(0);
   frozenMs = 0;
@@ -19,8 +19,8 @@
   }
 }
 
-describe("pause watch", () => {
-  it("sees no pause while timers run", async (t) => {
+describe("pause detector", () => {
+  it("reports no pause while timers run", async (t) => {
     const clock = new FreezableClock();
     const detector = new PauseDetector(clock);
     await clock.inner.advance(10_000);
@@ -28,9 +28,9 @@
     detector.close();
   });
 
-  // A VM is frozen for five seconds. The first thing that runs after it may be a message or a timer; either way the next
-  // question is answered with yes, once.
-  it("tells a pause once, whether a message or a timer comes first", async (t) => {
+  // A VM is frozen for five seconds. Afterwards a message or a timer may run first. In both cases the next check, and only
+  // that one, must report the pause.
+  it("reports a pause once, whether a message or a timer comes first", async (t) => {
     const clock = new FreezableClock();
     const detector = new PauseDetector(clock);
     await clock.inner.advance(1000);
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers by `pure-rand`, for decisions, tests and benchmarks. Nothing here reads global state.
+ * Seeded random numbers by `pure-rand`, for decisions, tests and benchmarks. They depend on no global state.
  *
  * @module
  */
@@ -25,7 +25,7 @@
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.next());
   }
-  /** Up to `most` of the items, in random order. */
+  /** Up to `max` of the items, in random order. */
   sample<T>(items: readonly T[], max: number): T[] {
     const rest = [...items];
     const sample: T[] = [];
@@ -34,7 +34,7 @@
     }
     return sample;
   }
-  /** One of the items. */
+  /** One of the items, chosen at random. */
   pick<T>(items: readonly T[]): T {
     return items[this.int(items.length)];
   }
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -8,10 +8,10 @@
 import type { Log } from "./log.ts";
 import type { Messages, Task, TaskHost, TaskPort } from "./task.ts";
 
-/** A {@link Task} whatever its messages are. */
+/** A {@link Task} with any messages. */
 export type AnyTask = Pick<Task, "name" | "start" | "close" | "dump">;
 
-/** Holds the daemon's services; see {@link Task}. */
+/** Starts, finds and closes the daemon's services; see {@link Task}. */
 export class Kernel implements TaskHost {
   readonly clock: Clock;
   readonly log: Log;
@@ -22,7 +22,7 @@
     this.log = log;
   }
 
-  /** Starts a service. If that fails, what was started before stays open for {@link Kernel.close}. */
+  /** Starts a service. If that fails, the services started before stay open until {@link Kernel.close}. */
   async start(task: AnyTask): Promise<void> {
     if (this.#tasks.has(task.name)) {
       throw new Error(`service "${task.name}" is already started`);
@@ -51,7 +51,7 @@
     return state;
   }
 
-  /** Closes all services in reverse order; each gets what is left until `deadlineMs`. */
+  /** Closes all services in reverse order. Each one may use the time that is left until `deadlineMs`. */
   async close(deadlineMs: number): Promise<void> {
     for (const task of [...this.#tasks.values()].reverse()) {
       try {
--- a/src/kernel/log.ts
+++ b/src/kernel/log.ts
@@ -1,13 +1,13 @@
 /**
- * What services log to: one line of key=value pairs for each event.
+ * The interface for logging: one line of key=value pairs for each event.
  *
  * @module
  */
 
-/** How much is logged. */
+/** The least severe level that is logged; `silent` logs nothing. */
 export type LogLevel = "error" | "warn" | "info" | "debug" | "silent";
 
-/** What services log to; `winston`'s loggers are one. */
+/** A logger for services; `winston`'s loggers implement it. */
 export interface Log {
   debug(event: string, fields?: Record<string, unknown>): unknown;
   info(event: string, fields?: Record<string, unknown>): unknown;
@@ -20,7 +20,7 @@
   ): unknown;
 }
 
-/** A value as it stands in a line of key=value pairs. */
+/** Formats a value for a line of key=value pairs; quotes it if necessary. */
 export function quote(value: unknown): string {
   const text = typeof value === "object"
     ? JSON.stringify(value)
--- a/src/kernel/mod.ts
+++ b/src/kernel/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The micro-kernel, its tasks and its logs.
+ * The micro-kernel, its tasks and its loggers.
  *
  * @module
  */
--- a/src/kernel/task.ts
+++ b/src/kernel/task.ts
@@ -1,5 +1,5 @@
 /**
- * A task owns its sockets, timers and state. Others reach it only by asking one of its typed messages.
+ * A task owns its sockets, timers and state. Other tasks access it only by its typed messages.
  *
  * @module
  */
@@ -7,23 +7,23 @@
 import type { Clock } from "../base/mod.ts";
 import type { Log } from "./log.ts";
 
-/** The messages of a task: the name of each, what goes in and what comes out. */
+/** The messages of a task: the name of each with the types of its input and its answer. */
 export type Messages = Record<string, { in: unknown; out: unknown }>;
 
-/** How a task answers its messages. */
+/** The functions of a task that answer its messages. */
 export type Handlers<M extends Messages> = {
   readonly [K in keyof M]: (
     input: M[K]["in"],
   ) => M[K]["out"] | Promise<M[K]["out"]>;
 };
 
-/** What others hold of a task; see {@link TaskHost.get}. */
+/** The interface by which others send messages to a task; see {@link TaskHost.get}. */
 export interface TaskPort<M extends Messages> {
   /** Sends one message and resolves with its answer. */
   ask<K extends keyof M>(type: K, input: M[K]["in"]): Promise<M[K]["out"]>;
 }
 
-/** What a task finds around it when it starts: the kernel. */
+/** The environment that a task gets when it starts, implemented by the kernel. */
 export interface TaskHost {
   readonly clock: Clock;
   readonly log: Log;
@@ -38,17 +38,17 @@
 /** A service of the daemon. The kernel starts services in order and closes them in reverse. */
 export abstract class Task<M extends Messages = Messages>
   implements TaskPort<M> {
-  /** The name others find it by. */
+  /** The name by which others find it. */
   abstract readonly name: string;
   protected abstract readonly handlers: Handlers<M>;
 
   /** Opens sockets and timers. Services started earlier can be found through `kernel`. */
   abstract start(kernel: TaskHost): Promise<void>;
 
-  /** Stops taking work, finishes what it holds until `deadlineMs` (wall clock), then frees everything. */
+  /** Accepts no more work, finishes the work in hand until `deadlineMs` (wall clock), then releases all resources. */
   abstract close(deadlineMs: number): Promise<void>;
 
-  /** The task's state for `ibisgap dump`; never holds a secret. */
+  /** The task's state for `ibisgap dump`; it never contains a secret. */
   abstract dump(): unknown;
 
   async ask<K extends keyof M>(
--- a/src/kernel/winston_log.ts
+++ b/src/kernel/winston_log.ts
@@ -1,5 +1,5 @@
 /**
- * Logs by `winston`, for processes whose reader never stalls.
+ * Logging by `winston`, for processes whose log reader never stalls.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   },
 );
 
-/** A logger that writes to standard error, with `fields` on each line. */
+/** Opens a logger that writes to standard error, with `fields` on each line. */
 export function openLog(
   level: LogLevel,
   fields: Record<string, string> = {},
