--- a/src/quota/local_quota_sim_test.ts
+++ b/src/quota/local_quota_sim_test.ts
@@ -17,7 +17,7 @@
 interface Cut {
   readonly isCut: (vm: number, nowMs: number) => boolean;
   /** Whether a VM restarts at a time. */
-  readonly startsAgain?: (vm: number, nowMs: number) => boolean;
+  readonly restarts?: (vm: number, nowMs: number) => boolean;
 }
 
 /**
@@ -28,7 +28,7 @@
 function simulate(
   limit: QuotaLimit,
   units: number,
-  { isCut, startsAgain }: Cut,
+  { isCut, restarts }: Cut,
   seed: number,
 ): number {
   const random = new Random(seed);
@@ -44,7 +44,7 @@
   const use = { workspace: WORKSPACE, units };
   for (let nowMs = 0; nowMs < SECONDS * 1_000; nowMs += STEP_MS) {
     for (let vm = 0; vm < VMS; vm++) {
-      if (startsAgain?.(vm, nowMs)) quotas[vm] = createQuota(vm, nowMs);
+      if (restarts?.(vm, nowMs)) quotas[vm] = createQuota(vm, nowMs);
       if (!isCut(vm, nowMs)) heardMs[vm] = nowMs;
     }
     const heardShares = REGIONS.map((_, region) => {
@@ -100,7 +100,7 @@
     },
     "all cut and restarted": {
       isCut: (_vm, nowMs) => isOn(nowMs),
-      startsAgain: (_vm, nowMs) => nowMs === 9_000,
+      restarts: (_vm, nowMs) => nowMs === 9_000,
     },
   };
   for (const [name, cut] of Object.entries(cuts)) {
--- a/src/quota/shares_sim_test.ts
+++ b/src/quota/shares_sim_test.ts
@@ -40,7 +40,7 @@
   readonly successions?: readonly {
     readonly region: string;
     readonly atMs: number;
-    readonly isTold: boolean;
+    readonly isReplicated: boolean;
   }[];
   readonly limit: QuotaLimit;
 }
@@ -84,10 +84,10 @@
   let messages = 0;
   const standby = new Map<string, StandbyRow[]>();
   for (let nowMs = 0; nowMs < SECONDS * 1_000; nowMs += STEP_MS) {
-    for (const { region, atMs, isTold } of scenario.successions ?? []) {
+    for (const { region, atMs, isReplicated } of scenario.successions ?? []) {
       if (atMs !== nowMs) continue;
       const next = createLead(createShares, region, limit, nowMs);
-      if (isTold) {
+      if (isReplicated) {
         for (const row of standby.get(region) ?? []) {
           next.quota.applyStandby(row, nowMs);
         }
@@ -275,18 +275,18 @@
       },
       "when a lead's state was replicated to its successor": {
         successions: [
-          { region: "north", atMs: 12_000, isTold: true },
-          { region: "south", atMs: 14_000, isTold: true },
+          { region: "north", atMs: 12_000, isReplicated: true },
+          { region: "south", atMs: 14_000, isReplicated: true },
         ],
       },
       "when all leads of a region restart": {
         successions: [
-          { region: "north", atMs: 12_000, isTold: false },
-          { region: "north", atMs: 15_000, isTold: false },
+          { region: "north", atMs: 12_000, isReplicated: false },
+          { region: "north", atMs: 15_000, isReplicated: false },
         ],
       },
       "when a region restarts while it is cut off": {
-        successions: [{ region: "north", atMs: 12_000, isTold: false }],
+        successions: [{ region: "north", atMs: 12_000, isReplicated: false }],
         passes: (from, to, nowMs) =>
           (from !== "north" && to !== "north") || nowMs < 9_000 ||
           nowMs > 25_000,
@@ -295,7 +295,7 @@
         successions: REGIONS.map((region) => ({
           region,
           atMs: 12_000,
-          isTold: false,
+          isReplicated: false,
         })),
       },
     };
--- a/src/region/view_sim_test.ts
+++ b/src/region/view_sim_test.ts
@@ -17,9 +17,9 @@
 const REGIONS = ["north", "south", "west"];
 
 type Message =
-  | { readonly type: "report"; readonly said: Report }
-  | { readonly type: "roster"; readonly said: Roster }
-  | { readonly type: "digest"; readonly said: RegionDigest };
+  | { readonly type: "report"; readonly body: Report }
+  | { readonly type: "roster"; readonly body: Roster }
+  | { readonly type: "digest"; readonly body: RegionDigest };
 
 interface Vm {
   readonly record: VmRecord;
@@ -143,10 +143,10 @@
     const vm = this.vms.get(to);
     if (!vm?.isUp || vm.isFrozen) return;
     if (message.type === "report") {
-      this.#send(vm, vm.view.onReport(message.said, this.nowMs));
+      this.#send(vm, vm.view.onReport(message.body, this.nowMs));
     } else if (message.type === "roster") {
-      vm.view.onRoster(message.said, this.nowMs);
-    } else vm.view.known.noteDigest(message.said, this.nowMs);
+      vm.view.onRoster(message.body, this.nowMs);
+    } else vm.view.known.noteDigest(message.body, this.nowMs);
   }
 
   #send(from: Vm, messages: readonly DueMessage[]): void {
@@ -157,7 +157,7 @@
         const message = this.#message(from, due);
         this.sent++;
         const isFar = to.record.region !== from.record.region;
-        if (isFar) this.farBytes += JSON.stringify(message.said).length;
+        if (isFar) this.farBytes += JSON.stringify(message.body).length;
         const isLost = this.#random.next() < this.#loss;
         if (isLost || !this.passes(from.record, to.record)) continue;
         const atMs = this.nowMs + (isFar ? FAR_MS : NEAR_MS);
@@ -170,7 +170,7 @@
 
   #message({ record, view }: Vm, due: DueMessage): Message {
     if (due.type === "report") {
-      const said = {
+      const body = {
         ...record,
         everyMs: view.reportEveryMs,
         ready: this.nowMs - record.bornMs > 300,
@@ -179,17 +179,17 @@
         load: {},
         asked: 0,
       };
-      return { type: "report", said };
+      return { type: "report", body };
     }
     if (due.type === "roster") {
-      const said = { ...view.buildRoster(this.nowMs, due.withNames), load: {} };
-      return { type: "roster", said };
+      const body = { ...view.buildRoster(this.nowMs, due.withNames), load: {} };
+      return { type: "roster", body };
     }
-    const said = {
+    const body = {
       ...view.buildDigest(this.nowMs, due.toRegion),
       room: { model: { free: 1, queue: 1 } },
     };
-    return { type: "digest", said };
+    return { type: "digest", body };
   }
 }
 
