--- a/bench/control_members.ts
+++ b/bench/control_members.ts
@@ -95,7 +95,7 @@
     }
   });
   const settledMs = await quiet(vms);
-  const bytesBefore = vms.map((vm) => vm.transport.bytesBySubject());
+  const bytesBefore = vms.map((vm) => vm.transport.bytesByService());
   const cpuBefore = process.cpuUsage();
   const startMs = performance.now();
   await systemClock.sleep(COUNT_MS);
@@ -155,7 +155,7 @@
   for (const subject of ["members", "slots"]) {
     for (const way of ["sent", "received"] as const) {
       const rates = vms.map((vm, n) => {
-        const now = vm.transport.bytesBySubject()[subject]?.[way] ?? 0;
+        const now = vm.transport.bytesByService()[subject]?.[way] ?? 0;
         return (now - (before[n][subject]?.[way] ?? 0)) / tookS;
       });
       const mean = rates.reduce((sum, rate) => sum + rate, 0) / rates.length;
@@ -186,7 +186,7 @@
 async function requestBytes(region: readonly Vm[], row: MakeRow): Promise<Row> {
   const entry = region.find((vm) => vm.leads().length === 0)!;
   const total = () => {
-    const slots = entry.transport.bytesBySubject().slots;
+    const slots = entry.transport.bytesByService().slots;
     return (slots?.sent ?? 0) + (slots?.received ?? 0);
   };
   const before = total();
--- a/bench/control_table.ts
+++ b/bench/control_table.ts
@@ -8,11 +8,11 @@
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
 import {
-  imageOf,
+  joinPages,
   type LoggedEdit,
-  pagesOf,
   parseEdit,
   parsePage,
+  splitImage,
   Table,
   TableLog,
   type TableRow,
@@ -113,7 +113,9 @@
   const perRegion = vms.length / REGIONS.length;
   const watches = Math.min(2, perRegion) * REGIONS.length;
   for (;;) {
-    const known = await Promise.all(vms.map((vm) => vm.table.fleet.region()));
+    const known = await Promise.all(
+      vms.map((vm) => vm.table.fleet.regionVms()),
+    );
     const whole = known.every((region) => region.length === perRegion);
     const inForce = vms.every((vm) => vm.version >= 1);
     if (whole && inForce && platform.store.watchCount === watches) return;
@@ -240,7 +242,7 @@
 
 function tableBytes(vms: readonly TableVm[]): number {
   return vms.reduce((sum, vm) => {
-    const table = vm.transport.bytesBySubject().table;
+    const table = vm.transport.bytesByService().table;
     return sum + (table?.sent ?? 0);
   }, 0);
 }
@@ -260,10 +262,10 @@
   collect();
   const heapBytes = process.memoryUsage().heapUsed - heapBefore;
   const applyUs = measureApply(log, size);
-  const pages = pagesOf(log.image());
+  const pages = splitImage(log.image());
   const texts = pages.map((page) => JSON.stringify(page));
   const startMs = performance.now();
-  imageOf(texts.map((text) => parsePage(JSON.parse(text))));
+  joinPages(texts.map((text) => parsePage(JSON.parse(text))));
   const loadMs = performance.now() - startMs;
   const bytes = texts.reduce((sum, text) => sum + text.length, 0);
   return [
--- a/src/adapters/etcd_codec.ts
+++ b/src/adapters/etcd_codec.ts
@@ -19,21 +19,21 @@
 }
 
 /** The answer of `/v3/kv/range`. */
-export interface RangeAnswer {
+export interface RangeResponse {
   readonly header?: EtcdHeader;
   readonly kvs?: readonly EtcdPair[];
   readonly more?: boolean;
 }
 
 /** The answer of `/v3/kv/txn`. */
-export interface TxnAnswer {
+export interface TxnResponse {
   readonly header?: EtcdHeader;
   readonly succeeded?: boolean;
-  readonly responses?: readonly { readonly response_range?: RangeAnswer }[];
+  readonly responses?: readonly { readonly response_range?: RangeResponse }[];
 }
 
 /** One line of the answer of `/v3/watch`. */
-export interface WatchAnswer {
+export interface WatchResponse {
   readonly result?: {
     readonly canceled?: boolean;
     readonly compact_revision?: string;
@@ -47,20 +47,20 @@
 }
 
 /** Text to base64. */
-export function encode(text: string): string {
+export function encodeBase64(text: string): string {
   return Buffer.from(text, "utf8").toString("base64");
 }
 
 /** Base64 to text. */
-export function decode(base64: string | undefined): string {
+export function decodeBase64(base64: string | undefined): string {
   return Buffer.from(base64 ?? "", "base64").toString("utf8");
 }
 
 /** A pair as the contract's {@link Entry}. */
 export function toEntry(pair: EtcdPair): Entry {
   return {
-    key: decode(pair.key),
-    value: decode(pair.value),
+    key: decodeBase64(pair.key),
+    value: decodeBase64(pair.value),
     rev: Number(pair.mod_revision ?? 0),
   };
 }
@@ -69,40 +69,40 @@
 export type EtcdWrite = Write & Pick<PutOptions, "leaseId">;
 
 /** The request of `/v3/kv/txn`: on a failed compare it reads the compared keys, so that the loser sees what stands. */
-export function txnRequest(writes: readonly EtcdWrite[]): unknown {
+export function toTxnRequest(writes: readonly EtcdWrite[]): unknown {
   const compared = writes.filter((write) => write.ifRev !== undefined);
   return {
     compare: compared.map((write) => ({
-      key: encode(write.key),
+      key: encodeBase64(write.key),
       target: "MOD",
       result: "EQUAL",
       mod_revision: String(write.ifRev),
     })),
     success: writes.map((write) =>
       write.type === "delete"
-        ? { request_delete_range: { key: encode(write.key) } }
+        ? { request_delete_range: { key: encodeBase64(write.key) } }
         : {
           request_put: {
-            key: encode(write.key),
-            value: encode(write.value),
+            key: encodeBase64(write.key),
+            value: encodeBase64(write.value),
             lease: write.leaseId ?? "0",
           },
         }
     ),
     failure: compared.map((write) => ({
-      request_range: { key: encode(write.key) },
+      request_range: { key: encodeBase64(write.key) },
     })),
   };
 }
 
-/** The entry whose compare failed, from the answer to {@link txnRequest}. */
-export function failedCompare(
+/** The entry whose compare failed, from the answer to {@link toTxnRequest}. */
+export function findFailedCompare(
   writes: readonly EtcdWrite[],
-  answer: TxnAnswer,
+  response: TxnResponse,
 ): { readonly key: string; readonly current?: Entry } {
   const compared = writes.filter((write) => write.ifRev !== undefined);
   for (const [i, write] of compared.entries()) {
-    const pair = answer.responses?.[i]?.response_range?.kvs?.[0];
+    const pair = response.responses?.[i]?.response_range?.kvs?.[0];
     const current = pair && toEntry(pair);
     if ((current?.rev ?? 0) !== write.ifRev) return { key: write.key, current };
   }
--- a/src/adapters/etcd_key_value.ts
+++ b/src/adapters/etcd_key_value.ts
@@ -7,14 +7,14 @@
 import { createInterface } from "node:readline";
 import { err, ok, type Result } from "neverthrow";
 import {
-  encode,
+  encodeBase64,
   type EtcdWrite,
-  failedCompare,
-  type RangeAnswer,
+  findFailedCompare,
+  type RangeResponse,
   toEntry,
-  type TxnAnswer,
-  txnRequest,
-  type WatchAnswer,
+  toTxnRequest,
+  type TxnResponse,
+  type WatchResponse,
 } from "./etcd_codec.ts";
 import {
   type Entry,
@@ -32,7 +32,7 @@
   type PlatformAnswer,
   PlatformClient,
   type PlatformOptions,
-  refusal,
+  toPlatformError,
 } from "./platform_http.ts";
 
 /** A connection to etcd. No call is repeated: a lost answer is the caller's to settle. */
@@ -56,9 +56,9 @@
     key: string,
     purpose: StorePurpose,
   ): Promise<Result<Entry | undefined, StoreError>> {
-    const answer = await this.#call<RangeAnswer>(
+    const answer = await this.#call<RangeResponse>(
       "/v3/kv/range",
-      { key: encode(key) },
+      { key: encodeBase64(key) },
       purpose,
     );
     return answer.map(({ kvs }) => kvs?.[0] && toEntry(kvs[0]));
@@ -69,9 +69,9 @@
     options: { readonly fromKey?: string; readonly limit?: number },
     purpose: StorePurpose,
   ): Promise<Result<Listing, StoreError>> {
-    const answer = await this.#call<RangeAnswer>("/v3/kv/range", {
-      key: encode(options.fromKey ?? prefix),
-      range_end: encode(prefixEnd(prefix)),
+    const answer = await this.#call<RangeResponse>("/v3/kv/range", {
+      key: encodeBase64(options.fromKey ?? prefix),
+      range_end: encodeBase64(prefixEnd(prefix)),
       limit: String(options.limit ?? 0),
     }, purpose);
     return answer.map(({ header, kvs, more }) => ({
@@ -146,15 +146,15 @@
     this.#counts[purpose]++;
     const stream = this.#client.stream("/v3/watch", {
       create_request: {
-        key: encode(prefix),
-        range_end: encode(prefixEnd(prefix)),
+        key: encodeBase64(prefix),
+        range_end: encodeBase64(prefixEnd(prefix)),
         start_revision: String(fromRev),
       },
     });
-    let open = true;
+    let isOpen = true;
     const end = (message?: string) => {
-      if (!open) return;
-      open = false;
+      if (!isOpen) return;
+      isOpen = false;
       this.#watches.delete(watch);
       lines.close();
       stream.destroy();
@@ -164,7 +164,7 @@
     const watch = { close: () => end() };
     this.#watches.add(watch);
     lines.on("line", (line) => {
-      if (open) readWatchLine(line, onEvent, end);
+      if (isOpen) readWatchLine(line, onEvent, end);
     });
     lines.on("close", () => end("the stream ended"));
     // The stream's error is emitted again by the reader of its lines; either one unheard would end the process.
@@ -188,14 +188,14 @@
     writes: readonly EtcdWrite[],
     purpose: StorePurpose,
   ): Promise<Result<number, StoreError>> {
-    const answer = await this.#call<TxnAnswer>(
+    const answer = await this.#call<TxnResponse>(
       "/v3/kv/txn",
-      txnRequest(writes),
+      toTxnRequest(writes),
       purpose,
     );
     return answer.andThen((txn): Result<number, StoreError> => {
       if (txn.succeeded) return ok(Number(txn.header?.revision ?? 0));
-      const { key, current } = failedCompare(writes, txn);
+      const { key, current } = findFailedCompare(writes, txn);
       const message = `${key} has changed`;
       return err({ kind: "conflict", message, current });
     });
@@ -209,7 +209,7 @@
     this.#counts[purpose]++;
     const answer = await this.#client.call("POST", path, body);
     return answer.andThen((it: PlatformAnswer): Result<T, StoreError> =>
-      it.status === 200 ? ok(it.body as T) : err(refusal(it))
+      it.status === 200 ? ok(it.body as T) : err(toPlatformError(it))
     );
   }
 }
@@ -220,20 +220,20 @@
   end: (message: string) => void,
 ): void {
   if (line.trim() === "") return;
-  let answer: WatchAnswer;
+  let response: WatchResponse;
   try {
-    answer = JSON.parse(line) as WatchAnswer;
+    response = JSON.parse(line) as WatchResponse;
   } catch {
     return end("a line of the stream is not JSON");
   }
-  if (!answer.result) return end(answer.error?.message ?? "no result");
-  for (const { type, kv } of answer.result.events ?? []) {
+  if (!response.result) return end(response.error?.message ?? "no result");
+  for (const { type, kv } of response.result.events ?? []) {
     const entry = toEntry(kv);
     if (type === "DELETE") {
       onEvent({ type: "delete", key: entry.key, rev: entry.rev });
     } else onEvent({ type: "put", entry });
   }
-  if (answer.result.canceled) {
-    end(`canceled; compacted up to ${answer.result.compact_revision}`);
+  if (response.result.canceled) {
+    end(`canceled; compacted up to ${response.result.compact_revision}`);
   }
 }
--- a/src/adapters/http_platform.ts
+++ b/src/adapters/http_platform.ts
@@ -18,7 +18,7 @@
   PlatformClient,
   type PlatformError,
   type PlatformOptions,
-  refusal,
+  toPlatformError,
 } from "./platform_http.ts";
 
 const listedVms = z.object({
@@ -42,7 +42,7 @@
   async list(): Promise<Result<readonly ListedVm[], PlatformError>> {
     const answer = await this.#client.call("GET", "/vms");
     if (answer.isErr()) return err(answer.error);
-    if (answer.value.status !== 200) return err(refusal(answer.value));
+    if (answer.value.status !== 200) return err(toPlatformError(answer.value));
     const parsed = listedVms.safeParse(answer.value.body);
     if (parsed.success) return ok(parsed.data.vms);
     return err({ kind: "unavailable", message: "the VM list is malformed" });
@@ -69,7 +69,7 @@
     const path = `/weights/${encodeURIComponent(service)}/${
       encodeURIComponent(region)
     }`;
-    return replace(this.#client, path, { weights });
+    return putJson(this.#client, path, { weights });
   }
   close(): Promise<void> {
     this.#client.close();
@@ -90,7 +90,7 @@
     entries: readonly DirectoryEntry[],
   ): Promise<Result<void, PlatformError>> {
     const path = `/directory/${encodeURIComponent(region)}`;
-    return replace(this.#client, path, { entries });
+    return putJson(this.#client, path, { entries });
   }
   close(): Promise<void> {
     this.#client.close();
@@ -98,7 +98,7 @@
   }
 }
 
-async function replace(
+async function putJson(
   client: PlatformClient,
   path: string,
   body: unknown,
@@ -107,5 +107,5 @@
   if (answer.isErr()) return err(answer.error);
   return answer.value.status === 200
     ? ok(undefined)
-    : err(refusal(answer.value));
+    : err(toPlatformError(answer.value));
 }
--- a/src/adapters/http_upstream.ts
+++ b/src/adapters/http_upstream.ts
@@ -18,16 +18,16 @@
 } from "./upstream.ts";
 
 const CONNECT_TIMEOUT_MS = 1000;
-const DEFAULT_STALL_MS = 15_000;
+const DEFAULT_STALL_TIMEOUT_MS = 15_000;
 
 /** The {@link UpstreamClient} for HTTP upstreams. */
 export class HttpUpstreamClient extends UpstreamClient {
   readonly #agent: Dispatcher.ComposedDispatcher;
   /** Signals of calls whose bytes have begun to leave. */
-  readonly #leaving = new WeakSet<AbortSignal>();
+  readonly #startedSignals = new WeakSet<AbortSignal>();
 
   /** A body of which nothing comes for `stallMs` breaks off, or the slot of a hung upstream would never come back. */
-  constructor(stallMs = DEFAULT_STALL_MS) {
+  constructor(stallMs = DEFAULT_STALL_TIMEOUT_MS) {
     super();
     // The wait for the head is the edge's to end; one request at a time on a connection keeps answers apart.
     const agent = new Agent({
@@ -42,7 +42,7 @@
       // Called as the call is written to its connection; until then it waits for one.
       handler.onConnect = (abort) => {
         if (signal instanceof AbortSignal && !signal.aborted) {
-          this.#leaving.add(signal);
+          this.#startedSignals.add(signal);
         }
         onConnect?.(abort);
       };
@@ -54,7 +54,7 @@
     call: UpstreamCall,
     signal: AbortSignal,
   ): Promise<Result<UpstreamAnswer, UpstreamError>> {
-    if (signal.aborted) return err(this.#canceled(signal));
+    if (signal.aborted) return err(this.#cancelError(signal));
     const { origin, pathname } = new URL(call.url);
     try {
       const answer = await this.#agent.request({
@@ -69,12 +69,12 @@
       answer.body.on("error", () => {});
       return ok({
         httpStatus: answer.statusCode,
-        headers: flatHeaders(answer.headers),
+        headers: flattenHeaders(answer.headers),
         body: answer.body,
       });
     } catch (error) {
-      if (signal.aborted) return err(this.#canceled(signal));
-      return err(classify(error as Error & { code?: string }));
+      if (signal.aborted) return err(this.#cancelError(signal));
+      return err(classifyError(error as Error & { code?: string }));
     }
   }
 
@@ -82,21 +82,21 @@
     await this.#agent.destroy();
   }
 
-  #canceled(signal: AbortSignal): UpstreamError {
-    return this.#leaving.has(signal)
+  #cancelError(signal: AbortSignal): UpstreamError {
+    return this.#startedSignals.has(signal)
       ? { kind: "canceled", message: "canceled" }
       : { kind: "withdrawn", message: "canceled before it was sent" };
   }
 }
 
-function classify(error: Error & { code?: string }): UpstreamError {
+function classifyError(error: Error & { code?: string }): UpstreamError {
   return {
     kind: isNotSent(error) ? "unreachable" : "lost",
     message: `${error.code ?? error.name}: ${error.message}`,
   };
 }
 
-function flatHeaders(
+function flattenHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
   const flat: Record<string, string> = {};
--- a/src/adapters/http_upstream_test.ts
+++ b/src/adapters/http_upstream_test.ts
@@ -6,7 +6,7 @@
 import { HttpUpstreamClient } from "./http_upstream.ts";
 
 /** A server that takes requests and never answers. */
-async function openSilent(t: ExecutionContext) {
+async function openSilentServer(t: ExecutionContext) {
   const server = createServer();
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
@@ -30,7 +30,7 @@
 describe("a call to an upstream", () => {
   // Its caller was told that it may have run.
   it("that is canceled before its bytes leave has not run", async (t) => {
-    const { server, client, call } = await openSilent(t);
+    const { server, client, call } = await openSilentServer(t);
     let requests = 0;
     server.on("request", () => requests++);
     const abort = new AbortController();
@@ -42,7 +42,7 @@
   });
 
   it("that is canceled after its bytes left may have run", async (t) => {
-    const { server, client, call } = await openSilent(t);
+    const { server, client, call } = await openSilentServer(t);
     const abort = new AbortController();
     const answer = client.open(call, abort.signal);
     await once(server, "request");
--- a/src/adapters/link_faults.ts
+++ b/src/adapters/link_faults.ts
@@ -33,7 +33,7 @@
   readonly delayMs: number;
 }
 
-const noEffect: LinkEffect = { cut: false, delayMs: 0 };
+const NO_EFFECT: LinkEffect = { cut: false, delayMs: 0 };
 
 /** The faults in force at one VM's end of its links. */
 export class LinkFaults {
@@ -57,7 +57,7 @@
 
   /** What happens to a message to or from `peer`: the worst of all matching faults. */
   effect(peer: Peer, direction: LinkDirection): LinkEffect {
-    if (this.#faults.size === 0) return noEffect;
+    if (this.#faults.size === 0) return NO_EFFECT;
     let cut = false;
     let delayMs = 0;
     for (const fault of this.#faults.values()) {
@@ -75,8 +75,8 @@
   }
 }
 
-function matches(wanted: Peer, peer: Peer): boolean {
-  return (wanted.address === undefined || wanted.address === peer.address) &&
-    (wanted.vmId === undefined || wanted.vmId === peer.vmId) &&
-    (wanted.region === undefined || wanted.region === peer.region);
+function matches(pattern: Peer, peer: Peer): boolean {
+  return (pattern.address === undefined || pattern.address === peer.address) &&
+    (pattern.vmId === undefined || pattern.vmId === peer.vmId) &&
+    (pattern.region === undefined || pattern.region === peer.region);
 }
--- a/src/adapters/not_sent.ts
+++ b/src/adapters/not_sent.ts
@@ -5,7 +5,7 @@
  */
 
 /** What these calls may report when no connection was made. Any other code, a reset among them, counts as sent. */
-const NO_CONNECTION = new Set([
+const NO_CONNECTION_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -14,7 +14,7 @@
 ]);
 
 /** System calls that come before the first byte of a request. */
-const BEFORE_SENDING = new Set(["connect", "getaddrinfo"]);
+const CONNECT_SYSCALLS = new Set(["connect", "getaddrinfo"]);
 
 interface SystemError {
   readonly code?: unknown;
@@ -33,7 +33,8 @@
   const { code, syscall, cause, errors } = error as SystemError;
   if (code === "UND_ERR_CONNECT_TIMEOUT") return true;
   if (typeof syscall === "string") {
-    return BEFORE_SENDING.has(syscall) && NO_CONNECTION.has(String(code));
+    return CONNECT_SYSCALLS.has(syscall) &&
+      NO_CONNECTION_CODES.has(String(code));
   }
   if (Array.isArray(errors)) {
     return errors.length > 0 && errors.every(isNotSent);
--- a/src/adapters/platform_http.ts
+++ b/src/adapters/platform_http.ts
@@ -34,7 +34,7 @@
   readonly #urls: readonly string[];
   readonly #agent = new Agent({ keepAlive: true, keepAliveMsecs: 5000 });
   readonly #got: Got;
-  #preferred = 0;
+  #preferredIndex = 0;
 
   constructor(options: PlatformOptions) {
     this.#urls = options.urls;
@@ -55,26 +55,29 @@
     path: string,
     json?: unknown,
   ): Promise<Result<PlatformAnswer, PlatformError>> {
-    let last: PlatformError = { kind: "unavailable", message: "no address" };
+    let lastError: PlatformError = {
+      kind: "unavailable",
+      message: "no address",
+    };
     for (let i = 0; i < this.#urls.length; i++) {
-      const index = (this.#preferred + i) % this.#urls.length;
-      const result = await this.#callOne(
+      const index = (this.#preferredIndex + i) % this.#urls.length;
+      const result = await this.#callUrl(
         method,
         this.#urls[index] + path,
         json,
       );
       if (result.isOk() || result.error.kind !== "unavailable") {
-        this.#preferred = index;
+        this.#preferredIndex = index;
         return result;
       }
-      last = result.error;
+      lastError = result.error;
     }
-    return err(last);
+    return err(lastError);
   }
 
   /** Opens a streamed answer at the preferred base URL. */
   stream(path: string, json: unknown) {
-    return this.#got.stream.post(this.#urls[this.#preferred] + path, {
+    return this.#got.stream.post(this.#urls[this.#preferredIndex] + path, {
       json,
       timeout: { request: undefined, connect: 1000, response: 5000 },
     });
@@ -84,7 +87,7 @@
     this.#agent.destroy();
   }
 
-  async #callOne(
+  async #callUrl(
     method: "GET" | "POST" | "PUT",
     url: string,
     json: unknown,
@@ -96,7 +99,7 @@
         body: response.body === "" ? undefined : JSON.parse(response.body),
       });
     } catch (error) {
-      return err(classify(error));
+      return err(classifyError(error));
     }
   }
 }
@@ -105,18 +108,18 @@
  * A connection that was never made proves that the call had no effect. Anything else may have reached the store: to
  * call that "unavailable" would let a caller write twice, so it is `lost`, and the caller reads back.
  */
-function classify(error: unknown): PlatformError {
+function classifyError(error: unknown): PlatformError {
   const message = error instanceof Error ? error.message : String(error);
-  const connectTimeout = error instanceof TimeoutError &&
+  const isConnectTimeout = error instanceof TimeoutError &&
     (error.event === "connect" || error.event === "lookup");
   return {
-    kind: connectTimeout || isNotSent(error) ? "unavailable" : "lost",
+    kind: isConnectTimeout || isNotSent(error) ? "unavailable" : "lost",
     message,
   };
 }
 
 /** What an answer that is not a success says; 503 is given before a call takes effect, other 5xx may come after. */
-export function refusal(answer: PlatformAnswer): PlatformError {
+export function toPlatformError(answer: PlatformAnswer): PlatformError {
   const { message = "", code } = (answer.body ?? {}) as {
     message?: string;
     code?: number;
@@ -129,7 +132,7 @@
   if (answer.status === 413 || message.includes("too large")) {
     return { kind: "tooLarge", message: text };
   }
-  const refused = answer.status === 503 && code === 14 &&
+  const isRefused = answer.status === 503 && code === 14 &&
     !message.includes("timed out");
-  return { kind: refused ? "unavailable" : "lost", message: text };
+  return { kind: isRefused ? "unavailable" : "lost", message: text };
 }
--- a/src/adapters/reach.ts
+++ b/src/adapters/reach.ts
@@ -8,10 +8,10 @@
 import type { Clock } from "../base/mod.ts";
 
 /** A connection inside a region takes a few ms, however busy the upstream is: the system takes it, not the program. */
-const CONNECT_WAIT_MS = 250;
+const CONNECT_TIMEOUT_MS = 250;
 
 /** What an upstream's address says to a new connection. */
-export type Reach =
+export type Reachability =
   /** It takes it: the program runs. One that has too many connections resets it after taking it, and runs too. */
   | "open"
   /** It refuses it: the machine is there and the program has ended. */
@@ -20,19 +20,19 @@
   | "dark";
 
 /** Tries a connection. */
-export function reachOf(
+export function probeAddress(
   host: string,
   port: number,
   clock: Clock,
-): Promise<Reach> {
+): Promise<Reachability> {
   return new Promise((resolve) => {
     const socket = connect({ host, port });
-    const end = (reach: Reach) => {
+    const end = (reach: Reachability) => {
       timer.close();
       socket.destroy();
       resolve(reach);
     };
-    const timer = clock.after(CONNECT_WAIT_MS, () => end("dark"));
+    const timer = clock.after(CONNECT_TIMEOUT_MS, () => end("dark"));
     socket.once("connect", () => end("open"));
     socket.once("error", ({ code }: NodeJS.ErrnoException) => {
       if (code === "ECONNRESET") return end("open");
@@ -42,10 +42,10 @@
 }
 
 /** Whether nobody answers requests there now. */
-export async function isDark(
+export async function isUnreachable(
   host: string,
   port: number,
   clock: Clock,
 ): Promise<boolean> {
-  return await reachOf(host, port, clock) !== "open";
+  return await probeAddress(host, port, clock) !== "open";
 }
--- a/src/adapters/suspect_store.ts
+++ b/src/adapters/suspect_store.ts
@@ -9,11 +9,11 @@
 import type { KeyValue } from "./key_value.ts";
 
 /** The longest lease that the store gives; a restart of all VMs takes seconds. */
-const RECORD_MS = 10 * 60_000;
+const RECORD_LEASE_MS = 10 * 60_000;
 /** A request that runs once more has ended its upstream or survived by then; a VM that was lost meanwhile holds it up so long. */
-const TRIAL_MS = 15_000;
+const TRIAL_LEASE_MS = 15_000;
 /** A caller is told sooner than by a store that is slow; twice two ways of 80 ms are usual from another region. */
-const TRIAL_WAIT_MS = 1_000;
+const TRIAL_TIMEOUT_MS = 1_000;
 
 /** Options of {@link SuspectStore}. */
 export interface SuspectStoreOptions {
@@ -40,7 +40,7 @@
     const listing = await store.list(suspectPrefix, {}, "other");
     if (listing.isErr()) return undefined;
     return listing.value.entries.flatMap(({ key, value }) => {
-      const upstreams = decode(value);
+      const upstreams = decodeUpstreams(value);
       return upstreams
         ? [{ digest: key.slice(suspectPrefix.length), upstreams }]
         : [];
@@ -51,24 +51,24 @@
     return await this.#putLeased(
       this.#options.suspectPrefix + digest,
       JSON.stringify(upstreams),
-      RECORD_MS,
+      RECORD_LEASE_MS,
     );
   }
 
   async acquireTrial(digest: string): Promise<boolean> {
-    const isTaken = this.#putLeased(
+    const acquiring = this.#putLeased(
       this.#options.trialPrefix + digest,
       this.#options.vmId,
-      TRIAL_MS,
+      TRIAL_LEASE_MS,
       0,
     );
     let timer: NodeJS.Timeout | undefined;
-    const isLate = new Promise<boolean>((resolve) => {
-      timer = setTimeout(() => resolve(false), TRIAL_WAIT_MS);
+    const timeout = new Promise<boolean>((resolve) => {
+      timer = setTimeout(() => resolve(false), TRIAL_TIMEOUT_MS);
     });
-    const isMine = await Promise.race([isTaken, isLate]);
+    const isAcquired = await Promise.race([acquiring, timeout]);
     clearTimeout(timer);
-    return isMine;
+    return isAcquired;
   }
 
   async delete(digest: string): Promise<void> {
@@ -104,7 +104,7 @@
 }
 
 /** A value from the store; `undefined` if it is not ours. */
-function decode(value: string): string[] | undefined {
+function decodeUpstreams(value: string): string[] | undefined {
   try {
     const keys: unknown = JSON.parse(value);
     if (!Array.isArray(keys)) return undefined;
--- a/src/adapters/ws_link.ts
+++ b/src/adapters/ws_link.ts
@@ -17,15 +17,15 @@
 import type { CallError } from "./transport.ts";
 import {
   type ByteCounter,
+  PeerSocket,
+  type PeerSocketContext,
   PROTOCOL,
   REGION_HEADER,
   VM_HEADER,
-  Wire,
-  type WireContext,
 } from "./ws_wire.ts";
 
 /** What a {@link WsLink} needs of its transport. */
-export interface LinkContext extends WireContext {
+export interface LinkContext extends PeerSocketContext {
   readonly vmId: string;
   readonly region: string;
   readonly secret: string;
@@ -35,19 +35,19 @@
 }
 
 /** Short: a VM replaced under the same address must be found again within a heartbeat or two. */
-const RECONNECT = { firstMs: 50, maxMs: 1000 };
+const RECONNECT_BACKOFF = { firstMs: 50, maxMs: 1000 };
 
 /**
  * A VM that is frozen, or behind a cut, keeps its connection open and answers nothing; every call then waits for its
  * whole deadline. After this many calls in a row without a byte received the connection is given up. One quiet call
  * proves nothing: a handler may be slow.
  */
-const MOST_SILENT_CALLS = 3;
+const MAX_SILENT_CALLS = 3;
 
 /** Mark answers that were made here because none came. Compared by identity, so that no peer can send them. */
 const LOST = {};
-const UNSENT = {};
-const LOCAL_CODE = -32000;
+const NOT_SENT = {};
+const LOCAL_ERROR_CODE = -32000;
 
 /** The client's end of a link. */
 export class WsLink {
@@ -56,11 +56,11 @@
   lastUsedMonoMs: number;
   readonly #context: LinkContext;
   readonly #client: JSONRPCClient;
-  readonly #methods = new Map<number, string>();
-  #wire: Wire | undefined;
-  #connecting: Promise<Result<Wire, CallError>> | undefined;
+  readonly #pendingMethods = new Map<number, string>();
+  #socket: PeerSocket | undefined;
+  #connecting: Promise<Result<PeerSocket, CallError>> | undefined;
   #failures = 0;
-  #notBeforeMonoMs = 0;
+  #reconnectAtMonoMs = 0;
   #silentCalls = 0;
   #nextId = 0;
   #closed = false;
@@ -74,7 +74,7 @@
 
   /** The number of calls that wait for an answer. */
   get pending(): number {
-    return this.#methods.size;
+    return this.#pendingMethods.size;
   }
 
   async call(
@@ -82,14 +82,14 @@
     params: unknown,
     deadlineMs: number,
   ): Promise<Result<unknown, CallError>> {
-    const wire = await this.#ready(deadlineMs);
-    if (wire.isErr()) return err(wire.error);
+    const connected = await this.#waitConnected(deadlineMs);
+    if (connected.isErr()) return err(connected.error);
     const id = ++this.#nextId;
     const sentMonoMs = this.#context.clock.monoMs();
-    this.#methods.set(id, method);
+    this.#pendingMethods.set(id, method);
     const timer = this.#context.clock.after(
       Math.max(0, deadlineMs - this.#context.clock.nowMs()),
-      () => this.#timeOut(id, sentMonoMs),
+      () => this.#handleTimeout(id, sentMonoMs),
     );
     const response = await this.#client.requestAdvanced({
       jsonrpc: "2.0",
@@ -98,51 +98,53 @@
       params,
     });
     timer.close();
-    this.#methods.delete(id);
+    this.#pendingMethods.delete(id);
     return toResult(response);
   }
 
   notify(method: string, params: unknown): void {
-    const send = (wire: Wire) => {
+    const send = (socket: PeerSocket) => {
       const text = JSON.stringify({ jsonrpc: "2.0", method, params });
-      wire.send(text, (bytes) => this.#context.bytes.add(method, bytes, 0));
+      socket.send(text, (bytes) => this.#context.bytes.add(method, bytes, 0));
     };
     this.lastUsedMonoMs = this.#context.clock.monoMs();
-    if (this.#wire?.open) send(this.#wire);
-    else void this.#connect().then((wire) => wire.map(send));
+    if (this.#socket?.isOpen) send(this.#socket);
+    else void this.#connect().then((connected) => connected.map(send));
   }
 
   close(): void {
     this.#closed = true;
-    this.#wire?.close();
-    this.#loseAll("the link was closed");
+    this.#socket?.close();
+    this.#failPending("the link was closed");
   }
 
   /** Ends the connection at once. */
   terminate(): void {
     this.#closed = true;
-    this.#wire?.terminate();
+    this.#socket?.terminate();
   }
 
   #send(request: { id: number; method: string }): void {
-    const sent = this.#wire?.send(
+    const sent = this.#socket?.send(
       JSON.stringify(request),
       (bytes) => this.#context.bytes.add(request.method, bytes, 0),
     ) ?? "closed";
     if (sent === "sent") return;
     this.#client.receive(
-      createJSONRPCErrorResponse(request.id, LOCAL_CODE, sent, UNSENT),
+      createJSONRPCErrorResponse(request.id, LOCAL_ERROR_CODE, sent, NOT_SENT),
     );
   }
 
-  async #ready(deadlineMs: number): Promise<Result<Wire, CallError>> {
+  async #waitConnected(
+    deadlineMs: number,
+  ): Promise<Result<PeerSocket, CallError>> {
     this.lastUsedMonoMs = this.#context.clock.monoMs();
-    if (this.#wire?.open) return ok(this.#wire);
+    if (this.#socket?.isOpen) return ok(this.#socket);
     const leftMs = deadlineMs - this.#context.clock.nowMs();
     return await new Promise((resolve) => {
       const timer = this.#context.clock.after(
         Math.max(0, leftMs),
-        () => resolve(unreachable("no connection before the deadline")),
+        () => resolve(unreachableError("no connection before the deadline")),
       );
       void this.#connect().then((result) => {
         timer.close();
@@ -151,11 +153,11 @@
     });
   }
 
-  #connect(): Promise<Result<Wire, CallError>> {
-    if (this.#closed) return Promise.resolve(unreachable("closed"));
+  #connect(): Promise<Result<PeerSocket, CallError>> {
+    if (this.#closed) return Promise.resolve(unreachableError("closed"));
     if (this.#connecting) return this.#connecting;
-    if (this.#context.clock.monoMs() < this.#notBeforeMonoMs) {
-      return Promise.resolve(unreachable("waiting to reconnect"));
+    if (this.#context.clock.monoMs() < this.#reconnectAtMonoMs) {
+      return Promise.resolve(unreachableError("waiting to reconnect"));
     }
     this.#connecting = this.#dial().then((result) => {
       this.#connecting = undefined;
@@ -169,22 +171,22 @@
   #backOff(): void {
     const waitMs = backoffMs(
       this.#failures++,
-      RECONNECT,
+      RECONNECT_BACKOFF,
       this.#context.random,
     );
-    this.#notBeforeMonoMs = this.#context.clock.monoMs() + waitMs;
+    this.#reconnectAtMonoMs = this.#context.clock.monoMs() + waitMs;
   }
 
-  async #dial(): Promise<Result<Wire, CallError>> {
+  async #dial(): Promise<Result<PeerSocket, CallError>> {
     const { clock, faults, handshakeTimeoutMs } = this.#context;
     if (faults.blocks({ address: this.address })) {
       await clock.sleep(handshakeTimeoutMs);
-      return unreachable("the handshake timed out");
+      return unreachableError("the handshake timed out");
     }
-    return await new Promise((resolve) => this.#open(resolve));
+    return await new Promise((resolve) => this.#openSocket(resolve));
   }
 
-  #open(resolve: (result: Result<Wire, CallError>) => void): void {
+  #openSocket(resolve: (result: Result<PeerSocket, CallError>) => void): void {
     const { vmId, region, secret, mostMessageBytes, handshakeTimeoutMs } =
       this.#context;
     const socket = new WebSocket(`ws://${this.address}/`, PROTOCOL, {
@@ -198,11 +200,11 @@
       perMessageDeflate: false,
     });
     let peer: Peer = { address: this.address };
-    let wire: Wire | undefined;
+    let peerSocket: PeerSocket | undefined;
     socket.on("upgrade", (response) => (peer = peerOf(this.address, response)));
-    socket.on("error", (error) => resolve(unreachable(error.message)));
+    socket.on("error", (error) => resolve(unreachableError(error.message)));
     socket.on("open", () => {
-      wire = new Wire(
+      peerSocket = new PeerSocket(
         this.#context,
         socket,
         peer,
@@ -210,19 +212,19 @@
         (text, bytes) => this.#receive(text, bytes),
       );
       if (this.#closed || this.#context.faults.blocks(peer)) {
-        wire.terminate();
-        resolve(unreachable("the handshake timed out"));
+        peerSocket.terminate();
+        resolve(unreachableError("the handshake timed out"));
         return;
       }
-      this.#wire = wire;
+      this.#socket = peerSocket;
       this.#silentCalls = 0;
-      resolve(ok(wire));
+      resolve(ok(peerSocket));
     });
     socket.on("close", () => {
-      resolve(unreachable("the connection was refused"));
-      if (!wire || this.#wire !== wire) return;
-      this.#wire = undefined;
-      this.#loseAll("the connection was lost");
+      resolve(unreachableError("the connection was refused"));
+      if (!peerSocket || this.#socket !== peerSocket) return;
+      this.#socket = undefined;
+      this.#failPending("the connection was lost");
     });
   }
 
@@ -232,25 +234,25 @@
     try {
       response = JSON.parse(text);
     } catch {
-      this.#wire?.terminate();
+      this.#socket?.terminate();
       return;
     }
-    const method = this.#methods.get(response.id as number);
+    const method = this.#pendingMethods.get(response.id as number);
     this.#context.bytes.add(method ?? "late", 0, bytes);
     this.#client.receive(response);
   }
 
-  #timeOut(id: number, sentMonoMs: number): void {
-    const wire = this.#wire;
-    this.#client.receive(lost(id, "no answer before the deadline"));
-    if (!wire || wire.lastReceivedMonoMs > sentMonoMs) return;
+  #handleTimeout(id: number, sentMonoMs: number): void {
+    const socket = this.#socket;
+    this.#client.receive(lostResponse(id, "no answer before the deadline"));
+    if (!socket || socket.lastReceivedMonoMs > sentMonoMs) return;
     this.#silentCalls++;
-    if (this.#silentCalls >= MOST_SILENT_CALLS) wire.terminate();
+    if (this.#silentCalls >= MAX_SILENT_CALLS) socket.terminate();
   }
 
-  #loseAll(message: string): void {
-    for (const id of [...this.#methods.keys()]) {
-      this.#client.receive(lost(id, message));
+  #failPending(message: string): void {
+    for (const id of [...this.#pendingMethods.keys()]) {
+      this.#client.receive(lostResponse(id, message));
     }
   }
 }
@@ -263,17 +265,17 @@
   };
 }
 
-function unreachable(message: string): Result<never, CallError> {
+function unreachableError(message: string): Result<never, CallError> {
   return err({ kind: "unreachable", message });
 }
 
-function lost(id: number, message: string): JSONRPCResponse {
-  return createJSONRPCErrorResponse(id, LOCAL_CODE, message, LOST);
+function lostResponse(id: number, message: string): JSONRPCResponse {
+  return createJSONRPCErrorResponse(id, LOCAL_ERROR_CODE, message, LOST);
 }
 
 function toResult(response: JSONRPCResponse): Result<unknown, CallError> {
   if (!response.error) return ok(response.result);
   const { message, data } = response.error;
   if (data === LOST) return err({ kind: "lost", message });
-  return err({ kind: data === UNSENT ? "unreachable" : "failed", message });
+  return err({ kind: data === NOT_SENT ? "unreachable" : "failed", message });
 }
--- a/src/adapters/ws_transport.ts
+++ b/src/adapters/ws_transport.ts
@@ -34,10 +34,10 @@
 import { type LinkContext, WsLink } from "./ws_link.ts";
 import {
   ByteCounter,
+  PeerSocket,
   PROTOCOL,
   REGION_HEADER,
   VM_HEADER,
-  Wire,
 } from "./ws_wire.ts";
 
 /** Who this VM is and where it listens. */
@@ -59,9 +59,9 @@
   readonly handshakeTimeoutMs?: number;
 }
 
-const IDLE_MS = 60_000;
-const SWEEP_MS = 15_000;
-const MEGABYTE = 1024 * 1024;
+const IDLE_TIMEOUT_MS = 60_000;
+const SWEEP_INTERVAL_MS = 15_000;
+const MIB = 1024 * 1024;
 
 /** The links of one VM. */
 export class WsTransport extends Transport {
@@ -69,51 +69,54 @@
   readonly #options: WsTransportOptions;
   readonly #context: LinkContext;
   readonly #secretDigests: readonly string[];
-  readonly #http: Server;
-  readonly #sockets: WebSocketServer;
-  readonly #rpc: JSONRPCServer<Sender>;
+  readonly #httpServer: Server;
+  readonly #wsServer: WebSocketServer;
+  readonly #rpcServer: JSONRPCServer<Sender>;
   readonly #links = new Map<string, WsLink>();
-  readonly #sweep: Timer;
-  readonly #pause: PauseDetector;
+  readonly #sweepTimer: Timer;
+  readonly #pauseDetector: PauseDetector;
   #closed = false;
 
   private constructor(options: WsTransportOptions) {
     super();
     this.#options = options;
     this.faults = options.faults ?? new LinkFaults();
-    this.#context = contextOf(options, this.faults);
+    this.#context = createLinkContext(options, this.faults);
     const secrets = [options.secret, options.alsoAccepted ?? options.secret];
     this.#secretDigests = secrets.map(secretDigest);
-    this.#rpc = new JSONRPCServer({
+    this.#rpcServer = new JSONRPCServer({
       errorListener: (message) =>
         options.log?.warn("peer call failed", { error: message }),
     });
-    this.#http = createServer((_request, response) => {
+    this.#httpServer = createServer((_request, response) => {
       response.writeHead(426, { connection: "close" }).end();
     });
-    this.#sockets = this.#listen();
-    this.#pause = new PauseDetector(this.#context.clock);
-    this.#sweep = this.#context.clock.every(SWEEP_MS, () => this.#closeIdle());
+    this.#wsServer = this.#createWsServer();
+    this.#pauseDetector = new PauseDetector(this.#context.clock);
+    this.#sweepTimer = this.#context.clock.every(
+      SWEEP_INTERVAL_MS,
+      () => this.#closeIdleLinks(),
+    );
   }
 
   /** Opens the listener; rejects if the port is taken. */
   static async open(options: WsTransportOptions): Promise<WsTransport> {
     const transport = new WsTransport(options);
     await new Promise<void>((resolve, reject) => {
-      transport.#http.once("error", reject);
-      transport.#http.listen(options.port, options.host, resolve);
+      transport.#httpServer.once("error", reject);
+      transport.#httpServer.listen(options.port, options.host, resolve);
     });
     return transport;
   }
 
   /** `host:port` it listens on. */
   get address(): string {
-    const { port } = this.#http.address() as AddressInfo;
+    const { port } = this.#httpServer.address() as AddressInfo;
     return `${this.#options.host}:${port}`;
   }
 
   handle(method: string, handler: Handler): void {
-    this.#rpc.addMethod(method, (params, from) => handler(params, from));
+    this.#rpcServer.addMethod(method, (params, from) => handler(params, from));
   }
 
   async call(
@@ -123,11 +126,11 @@
     deadlineMs: number,
   ): Promise<Result<unknown, CallError>> {
     if (this.#closed) return err({ kind: "unreachable", message: "closed" });
-    return await this.#link(address).call(method, params, deadlineMs);
+    return await this.#getLink(address).call(method, params, deadlineMs);
   }
 
   notify(address: string, method: string, params: unknown): void {
-    if (!this.#closed) this.#link(address).notify(method, params);
+    if (!this.#closed) this.#getLink(address).notify(method, params);
   }
 
   bytes(): { readonly sent: number; readonly received: number } {
@@ -135,8 +138,8 @@
   }
 
   /** Bytes by service: the part of a method before its dot. */
-  bytesBySubject(): Record<string, { sent: number; received: number }> {
-    return this.#context.bytes.bySubject();
+  bytesByService(): Record<string, { sent: number; received: number }> {
+    return this.#context.bytes.byService();
   }
 
   /** Open links and accepted connections, for a dump. */
@@ -144,8 +147,8 @@
     return {
       address: this.#closed ? undefined : this.address,
       links: [...this.#links.keys()],
-      accepted: this.#sockets.clients.size,
-      bytes: this.bytesBySubject(),
+      accepted: this.#wsServer.clients.size,
+      bytes: this.bytesByService(),
       faults: this.faults.list(),
     };
   }
@@ -159,20 +162,20 @@
   async close(): Promise<void> {
     if (this.#closed) return;
     this.#closed = true;
-    this.#sweep.close();
-    this.#pause.close();
+    this.#sweepTimer.close();
+    this.#pauseDetector.close();
     for (const link of this.#links.values()) link.close();
     this.#links.clear();
     const closed = new Promise<void>((resolve) =>
-      this.#http.close(() => resolve())
+      this.#httpServer.close(() => resolve())
     );
-    for (const socket of this.#sockets.clients) socket.terminate();
-    this.#sockets.close();
-    this.#http.closeAllConnections();
+    for (const socket of this.#wsServer.clients) socket.terminate();
+    this.#wsServer.close();
+    this.#httpServer.closeAllConnections();
     await closed;
   }
 
-  #link(address: string): WsLink {
+  #getLink(address: string): WsLink {
     let link = this.#links.get(address);
     if (!link) {
       link = new WsLink(address, this.#context);
@@ -182,8 +185,8 @@
   }
 
   /** A link per VM ever seen would grow with the fleet; only those in use stay. */
-  #closeIdle(): void {
-    const idleSinceMs = this.#context.clock.monoMs() - IDLE_MS;
+  #closeIdleLinks(): void {
+    const idleSinceMs = this.#context.clock.monoMs() - IDLE_TIMEOUT_MS;
     for (const [address, link] of this.#links) {
       if (link.pending > 0 || link.lastUsedMonoMs > idleSinceMs) continue;
       link.close();
@@ -191,36 +194,36 @@
     }
   }
 
-  #listen(): WebSocketServer {
-    const sockets = new WebSocketServer({
-      server: this.#http,
+  #createWsServer(): WebSocketServer {
+    const wsServer = new WebSocketServer({
+      server: this.#httpServer,
       maxPayload: this.#context.mostMessageBytes,
       perMessageDeflate: false,
       clientTracking: true,
       handleProtocols: () => PROTOCOL,
       verifyClient: ({ req }, answer) => {
-        const status = this.#admit(req);
+        const status = this.#checkHandshake(req);
         answer(status === 101, status === 101 ? undefined : status);
       },
     });
-    sockets.on("headers", (headers) => {
+    wsServer.on("headers", (headers) => {
       headers.push(`${VM_HEADER}: ${this.#options.vmId}`);
       headers.push(`${REGION_HEADER}: ${this.#options.region}`);
     });
-    sockets.on("connection", (socket, request) => {
+    wsServer.on("connection", (socket, request) => {
       this.#accept(socket, request);
     });
-    return sockets;
+    return wsServer;
   }
 
   /** The status a handshake is answered with; 101 admits it. */
-  #admit(request: IncomingMessage): 101 | 400 | 401 | 426 {
+  #checkHandshake(request: IncomingMessage): 101 | 400 | 401 | 426 {
     const given = request.headers.authorization ?? "";
     const secret = given.startsWith("Bearer ") ? given.slice(7) : "";
-    const known = this.#secretDigests.some((digest) =>
+    const isKnown = this.#secretDigests.some((digest) =>
       secretMatches(secret, digest)
     );
-    if (!known) return 401;
+    if (!isKnown) return 401;
     const offered = request.headers["sec-websocket-protocol"]?.split(/,\s*/);
     if (!offered?.includes(PROTOCOL)) return 426;
     return senderOf(request) ? 101 : 400;
@@ -234,10 +237,16 @@
         error: error.message,
       });
     });
-    const wire = new Wire(this.#context, socket, from, false, (text, bytes) => {
-      void this.#answer(wire, from, text, bytes);
-    });
-    if (this.faults.blocks(from)) wire.terminate();
+    const peerSocket = new PeerSocket(
+      this.#context,
+      socket,
+      from,
+      false,
+      (text, bytes) => {
+        void this.#handleMessage(peerSocket, from, text, bytes);
+      },
+    );
+    if (this.faults.blocks(from)) peerSocket.terminate();
   }
 
   /**
@@ -245,44 +254,44 @@
    * that woke granted them slots that nobody used, and its own callers waited 30 s behind them until their deadline.
    * Peers connect anew; what they still want they ask again.
    */
-  #dropAccepted(): void {
+  #closeAccepted(): void {
     this.#options.log?.warn("paused; links dropped", {
-      accepted: this.#sockets.clients.size,
+      accepted: this.#wsServer.clients.size,
     });
-    for (const socket of this.#sockets.clients) socket.terminate();
+    for (const socket of this.#wsServer.clients) socket.terminate();
   }
 
-  async #answer(
-    wire: Wire,
+  async #handleMessage(
+    peerSocket: PeerSocket,
     from: Sender,
     text: string,
     bytes: number,
   ): Promise<void> {
-    if (this.#pause.consumePause()) this.#dropAccepted();
-    if (!wire.open) return;
-    const request = parse(text);
+    if (this.#pauseDetector.consumePause()) this.#closeAccepted();
+    if (!peerSocket.isOpen) return;
+    const request = parseRequest(text);
     if (!request) {
-      wire.terminate();
+      peerSocket.terminate();
       return;
     }
-    const count = this.#context.bytes;
-    count.add(request.method, 0, bytes);
-    const response = await this.#rpc.receive(request, from);
+    const counter = this.#context.bytes;
+    counter.add(request.method, 0, bytes);
+    const response = await this.#rpcServer.receive(request, from);
     if (!response) return;
-    const sent = wire.send(
+    const sent = peerSocket.send(
       JSON.stringify(response),
-      (size) => count.add(request.method, size, 0),
+      (size) => counter.add(request.method, size, 0),
     );
     if (sent !== "tooLarge") return;
     const error = { code: -32001, message: "the answer is too large" };
-    wire.send(
+    peerSocket.send(
       JSON.stringify({ jsonrpc: "2.0", id: request.id, error }),
-      (size) => count.add(request.method, size, 0),
+      (size) => counter.add(request.method, size, 0),
     );
   }
 }
 
-function contextOf(
+function createLinkContext(
   options: WsTransportOptions,
   faults: LinkFaults,
 ): LinkContext {
@@ -292,8 +301,8 @@
     secret: options.secret,
     clock: options.clock ?? systemClock,
     faults,
-    mostMessageBytes: options.mostMessageBytes ?? MEGABYTE,
-    mostBufferedBytes: options.mostBufferedBytes ?? 4 * MEGABYTE,
+    mostMessageBytes: options.mostMessageBytes ?? MIB,
+    mostBufferedBytes: options.mostBufferedBytes ?? 4 * MIB,
     handshakeTimeoutMs: options.handshakeTimeoutMs ?? 2000,
     random: new Random(hash32(options.vmId)),
     bytes: new ByteCounter(),
@@ -307,9 +316,9 @@
   return vmId && region ? { vmId, region } : undefined;
 }
 
-type Request = { jsonrpc: "2.0"; id?: number; method: string };
+type RpcRequest = { jsonrpc: "2.0"; id?: number; method: string };
 
-function parse(text: string): Request | undefined {
+function parseRequest(text: string): RpcRequest | undefined {
   try {
     const value = JSON.parse(text);
     return typeof value?.method === "string" ? value : undefined;
--- a/src/adapters/ws_transport_test.ts
+++ b/src/adapters/ws_transport_test.ts
@@ -21,22 +21,27 @@
   return transport;
 }
 
-const soonMs = () => Date.now() + 10_000;
-const shortlyMs = () => Date.now() + 200;
+const longDeadlineMs = () => Date.now() + 10_000;
+const shortDeadlineMs = () => Date.now() + 200;
 
 describe("transport", () => {
   it("answers a call with the sender's names and counts bytes", async (t) => {
     const a = await open(t, "a");
     const b = await open(t, "b");
     b.handle("echo.say", (params, from) => ({ params, from }));
-    const answer = await a.call(b.address, "echo.say", { x: 1 }, soonMs());
+    const answer = await a.call(
+      b.address,
+      "echo.say",
+      { x: 1 },
+      longDeadlineMs(),
+    );
     t.deepEqual(answer._unsafeUnwrap(), {
       params: { x: 1 },
       from: { vmId: "a", region: "agadir" },
     });
     t.is(a.bytes().sent, b.bytes().received);
     t.is(a.bytes().received, b.bytes().sent);
-    t.deepEqual(Object.keys(b.bytesBySubject()), ["echo"]);
+    t.deepEqual(Object.keys(b.bytesByService()), ["echo"]);
   });
 
   it("delivers a notification and an error of a handler", async (t) => {
@@ -48,7 +53,7 @@
     });
     a.notify(b.address, "x.note", [7]);
     t.deepEqual(await heard, [7]);
-    const answer = await a.call(b.address, "x.fail", {}, soonMs());
+    const answer = await a.call(b.address, "x.fail", {}, longDeadlineMs());
     t.like(answer._unsafeUnwrapErr(), {
       kind: "failed",
       message: "no such thing",
@@ -58,7 +63,7 @@
   it("refuses a wrong secret, another version and a nameless peer", async (t) => {
     const a = await open(t, "a", { secret: "wrong" });
     const b = await open(t, "b");
-    const answer = await a.call(b.address, "echo.say", {}, soonMs());
+    const answer = await a.call(b.address, "echo.say", {}, longDeadlineMs());
     t.is(answer._unsafeUnwrapErr().kind, "unreachable");
     const status = (protocol: string, headers: Record<string, string>) =>
       new Promise<number | undefined>((resolve) => {
@@ -82,7 +87,12 @@
     const changed = await open(t, "a", { secret: "new-one" });
     const old = await open(t, "b", { alsoAccepted: "new-one" });
     old.handle("echo.say", (params) => params);
-    const answer = await changed.call(old.address, "echo.say", {}, soonMs());
+    const answer = await changed.call(
+      old.address,
+      "echo.say",
+      {},
+      longDeadlineMs(),
+    );
     t.true(answer.isOk());
   });
 
@@ -116,7 +126,8 @@
       old.handle("x.who", () => "old");
       const port = Number(old.address.split(":")[1]);
       t.is(
-        (await a.call(old.address, "x.who", {}, soonMs()))._unsafeUnwrap(),
+        (await a.call(old.address, "x.who", {}, longDeadlineMs()))
+          ._unsafeUnwrap(),
         "old",
       );
       const address = old.address;
@@ -126,7 +137,9 @@
       let who: unknown;
       while (who !== "new") {
         await new Promise((resolve) => setTimeout(resolve, 20));
-        who = (await a.call(address, "x.who", {}, soonMs())).unwrapOr("");
+        who = (await a.call(address, "x.who", {}, longDeadlineMs())).unwrapOr(
+          "",
+        );
       }
       t.is(who, "new");
     });
@@ -140,13 +153,13 @@
       const b = await open(t, "b");
       let handled = 0;
       b.handle("x.count", () => ++handled);
-      await a.call(b.address, "x.count", {}, soonMs());
+      await a.call(b.address, "x.count", {}, longDeadlineMs());
       a.faults.set("deaf", { peer: { vmId: "b" }, direction: "in", cut: true });
-      const answer = await a.call(b.address, "x.count", {}, shortlyMs());
+      const answer = await a.call(b.address, "x.count", {}, shortDeadlineMs());
       t.is(answer._unsafeUnwrapErr().kind, "lost");
       t.is(handled, 2);
       a.faults.clear();
-      t.true((await a.call(b.address, "x.count", {}, soonMs())).isOk());
+      t.true((await a.call(b.address, "x.count", {}, longDeadlineMs())).isOk());
     });
 
     // A cut link before any connection: the handshake hangs, as packets that are dropped make it, and the call ends
@@ -156,10 +169,10 @@
       const b = await open(t, "b");
       b.handle("x.count", () => 1);
       b.faults.set("wall", { peer: { region: "agadir" }, cut: true });
-      const blocked = await a.call(b.address, "x.count", {}, shortlyMs());
+      const blocked = await a.call(b.address, "x.count", {}, shortDeadlineMs());
       t.true(blocked.isErr());
       a.faults.set("wall", { peer: { address: b.address }, cut: true });
-      const unsent = await a.call(b.address, "x.count", {}, shortlyMs());
+      const unsent = await a.call(b.address, "x.count", {}, shortDeadlineMs());
       t.is(unsent._unsafeUnwrapErr().kind, "unreachable");
     });
 
@@ -170,7 +183,7 @@
       b.handle("x.see", (params) => seen.push(params));
       a.faults.set("slow", { peer: {}, direction: "out", delayMs: 40 });
       const answers = [1, 2, 3].map((n) =>
-        a.call(b.address, "x.see", n, soonMs())
+        a.call(b.address, "x.see", n, longDeadlineMs())
       );
       await Promise.all(answers);
       t.deepEqual(seen, [1, 2, 3]);
@@ -182,11 +195,11 @@
     const b = await open(t, "b", { mostMessageBytes: 2000 });
     b.handle("x.big", (size) => "y".repeat(size as number));
     const tooMuch = "y".repeat(3000);
-    const sent = await a.call(b.address, "x.big", tooMuch, soonMs());
+    const sent = await a.call(b.address, "x.big", tooMuch, longDeadlineMs());
     t.is(sent._unsafeUnwrapErr().kind, "unreachable");
-    const answer = await a.call(b.address, "x.big", 3000, soonMs());
+    const answer = await a.call(b.address, "x.big", 3000, longDeadlineMs());
     t.is(answer._unsafeUnwrapErr().kind, "failed");
-    const fits = await a.call(b.address, "x.big", 1000, soonMs());
+    const fits = await a.call(b.address, "x.big", 1000, longDeadlineMs());
     t.is((fits._unsafeUnwrap() as string).length, 1000);
   });
 });
--- a/src/adapters/ws_wire.ts
+++ b/src/adapters/ws_wire.ts
@@ -19,31 +19,31 @@
 export class ByteCounter {
   #sent = 0;
   #received = 0;
-  readonly #bySubject = new Map<string, { sent: number; received: number }>();
+  readonly #byService = new Map<string, { sent: number; received: number }>();
 
   add(method: string, sent: number, received: number): void {
     this.#sent += sent;
     this.#received += received;
-    const subject = method.split(".", 1)[0];
-    const counts = this.#bySubject.get(subject) ?? { sent: 0, received: 0 };
+    const service = method.split(".", 1)[0];
+    const counts = this.#byService.get(service) ?? { sent: 0, received: 0 };
     counts.sent += sent;
     counts.received += received;
-    this.#bySubject.set(subject, counts);
+    this.#byService.set(service, counts);
   }
   total(): { readonly sent: number; readonly received: number } {
     return { sent: this.#sent, received: this.#received };
   }
-  bySubject(): Record<string, { sent: number; received: number }> {
+  byService(): Record<string, { sent: number; received: number }> {
     const copy: Record<string, { sent: number; received: number }> = {};
-    for (const [subject, counts] of this.#bySubject) {
-      copy[subject] = { ...counts };
+    for (const [service, counts] of this.#byService) {
+      copy[service] = { ...counts };
     }
     return copy;
   }
 }
 
-/** What a {@link Wire} needs of its transport. */
-export interface WireContext {
+/** What a {@link PeerSocket} needs of its transport. */
+export interface PeerSocketContext {
   readonly clock: Clock;
   readonly faults: LinkFaults;
   readonly mostMessageBytes: number;
@@ -54,45 +54,45 @@
 export type SendResult = "sent" | "full" | "tooLarge" | "closed";
 
 /** A WebSocket with faults and bounds. */
-export class Wire {
+export class PeerSocket {
   peer: Peer;
   /** Monotonic time of the last message received. */
   lastReceivedMonoMs: number;
-  readonly #context: WireContext;
+  readonly #context: PeerSocketContext;
   readonly #socket: WebSocket;
   /** Client frames carry a mask of four bytes. */
-  readonly #masks: boolean;
+  readonly #isClient: boolean;
 
   constructor(
-    context: WireContext,
+    context: PeerSocketContext,
     socket: WebSocket,
     peer: Peer,
-    masks: boolean,
+    isClient: boolean,
     onText: (text: string, bytes: number) => void,
   ) {
     this.#context = context;
     this.#socket = socket;
-    this.#masks = masks;
+    this.#isClient = isClient;
     this.peer = peer;
     this.lastReceivedMonoMs = context.clock.monoMs();
     socket.on("message", (data) => this.#receive(data, onText));
   }
 
-  get open(): boolean {
+  get isOpen(): boolean {
     return this.#socket.readyState === 1;
   }
 
   /** Sends one text; `onBytes` gets its size on the wire. */
   send(text: string, onBytes: (bytes: number) => void): SendResult {
-    if (!this.open) return "closed";
+    if (!this.isOpen) return "closed";
     const payloadBytes = Buffer.byteLength(text);
     if (payloadBytes > this.#context.mostMessageBytes) return "tooLarge";
     const buffered = this.#socket.bufferedAmount + payloadBytes;
     if (buffered > this.#context.mostBufferedBytes) return "full";
-    onBytes(frameBytes(payloadBytes, this.#masks));
+    onBytes(frameBytes(payloadBytes, this.#isClient));
     const effect = this.#context.faults.effect(this.peer, "out");
-    this.#through(effect, () => {
-      if (this.open) this.#socket.send(text);
+    this.#applyEffect(effect, () => {
+      if (this.isOpen) this.#socket.send(text);
     });
     return "sent";
   }
@@ -107,23 +107,23 @@
 
   #receive(data: RawData, onText: (text: string, bytes: number) => void): void {
     const text = data.toString();
-    const bytes = frameBytes(Buffer.byteLength(text), !this.#masks);
+    const bytes = frameBytes(Buffer.byteLength(text), !this.#isClient);
     const effect = this.#context.faults.effect(this.peer, "in");
-    this.#through(effect, () => {
+    this.#applyEffect(effect, () => {
       this.lastReceivedMonoMs = this.#context.clock.monoMs();
       onText(text, bytes);
     });
   }
 
-  #through(effect: LinkEffect, pass: () => void): void {
+  #applyEffect(effect: LinkEffect, deliver: () => void): void {
     if (effect.cut) return;
-    if (effect.delayMs > 0) this.#context.clock.after(effect.delayMs, pass);
-    else pass();
+    if (effect.delayMs > 0) this.#context.clock.after(effect.delayMs, deliver);
+    else deliver();
   }
 }
 
 /** The size of a frame with its header; headers of TCP and IP are not counted. */
-function frameBytes(payloadBytes: number, masked: boolean): number {
+function frameBytes(payloadBytes: number, isMasked: boolean): number {
   const lengthBytes = payloadBytes < 126 ? 0 : payloadBytes < 65_536 ? 2 : 8;
-  return payloadBytes + 2 + lengthBytes + (masked ? 4 : 0);
+  return payloadBytes + 2 + lengthBytes + (isMasked ? 4 : 0);
 }
--- a/src/agreement/claim_batch.ts
+++ b/src/agreement/claim_batch.ts
@@ -26,25 +26,25 @@
 }
 
 /** A head and the revision it was read or written at. */
-export interface HeadAt {
+export interface StoredHead {
   readonly head: ShardHead;
   readonly rev: number;
 }
 
 /** A write of the head that is under way. Sent again unchanged until settled, so that the store's copy proves it. */
-export interface Batch {
+export interface CommitBatch {
   readonly head: ShardHead;
   readonly writes: readonly Write[];
   /** The bytes of `head.open`. */
   readonly openBytes: number;
   /** When it was first sent (monotonic); `head.touchedAtMs` states the same moment. */
-  readonly madeMonoMs: number;
+  readonly firstSentMonoMs: number;
 }
 
 /** What goes into a batch. */
-export interface BatchInput {
+export interface CommitBatchInput {
   readonly keys: ShardKeys;
-  readonly base: HeadAt;
+  readonly base: StoredHead;
   readonly baseOpenBytes: number;
   readonly events: readonly ClaimEvent[];
   readonly owner: VmRef | undefined;
@@ -58,12 +58,12 @@
 }
 
 /** Builds the next write of an owner. */
-export function makeBatch(input: BatchInput): Batch {
+export function makeBatch(input: CommitBatchInput): CommitBatch {
   const { keys, base, events } = input;
   const old = base.head;
   const open = [...old.open, ...events];
   const bytes = input.baseOpenBytes + eventsBytes(events);
-  const rolls = bytes > input.segmentBytes;
+  const startsSegment = bytes > input.segmentBytes;
   const head: ShardHead = {
     ...old,
     commit: old.commit + 1,
@@ -71,13 +71,13 @@
     witnesses: [...input.witnesses],
     nextN: Math.max(old.nextN, (events.at(-1)?.n ?? -1) + 1),
     firstSegment: old.firstSegment + input.expiredSegments,
-    nextSegment: old.nextSegment + (rolls ? 1 : 0),
+    nextSegment: old.nextSegment + (startsSegment ? 1 : 0),
     touchedAtMs: input.nowMs,
-    open: rolls ? [] : open,
+    open: startsSegment ? [] : open,
   };
-  const writes: Write[] = [putHead(keys, head, base.rev)];
-  if (rolls) {
-    writes.push(putSegment(keys, old.nextSegment, open));
+  const writes: Write[] = [makeHeadWrite(keys, head, base.rev)];
+  if (startsSegment) {
+    writes.push(makeSegmentWrite(keys, old.nextSegment, open));
   }
   for (let i = 0; i < input.expiredSegments; i++) {
     const key = segmentKey(keys, old.firstSegment + i);
@@ -86,13 +86,13 @@
   return {
     head,
     writes,
-    openBytes: rolls ? 0 : bytes,
-    madeMonoMs: input.monoMs,
+    openBytes: startsSegment ? 0 : bytes,
+    firstSentMonoMs: input.monoMs,
   };
 }
 
 /** The write of a head, which fails if another was written since `rev`. */
-export function putHead(
+export function makeHeadWrite(
   keys: ShardKeys,
   head: ShardHead,
   rev: number,
@@ -106,7 +106,7 @@
 }
 
 /** The write of a segment; it goes with the head's, which guards it. */
-export function putSegment(
+export function makeSegmentWrite(
   keys: ShardKeys,
   segment: number,
   events: readonly ClaimEvent[],
@@ -128,13 +128,13 @@
 /** Splits events into runs of at most `mostBytes`. */
 export function splitEvents(
   events: readonly ClaimEvent[],
-  mostBytes: number,
+  maxBytes: number,
 ): ClaimEvent[][] {
   const runs: ClaimEvent[][] = [];
   let bytes = Infinity;
   for (const event of events) {
     const size = eventBytes(event);
-    if (bytes + size > mostBytes) {
+    if (bytes + size > maxBytes) {
       runs.push([]);
       bytes = 0;
     }
--- a/src/agreement/claim_commit.ts
+++ b/src/agreement/claim_commit.ts
@@ -9,82 +9,82 @@
 import { backoffMs, type Random } from "../base/mod.ts";
 import type { Result } from "neverthrow";
 import {
-  type Batch,
-  type HeadAt,
+  type CommitBatch,
   makeBatch,
   type ShardKeys,
+  type StoredHead,
 } from "./claim_batch.ts";
 import { parseHead, type ShardHead } from "./claim_head.ts";
-import type { ClaimLog } from "./claim_log.ts";
+import type { UncommittedLog } from "./claim_log.ts";
 import type { Now, Outbox, ShardLimits, ShardView } from "./claim_machine.ts";
 import { sameVm, type VmRef } from "./claim_record.ts";
-import type { Owned } from "./claim_takeover.ts";
+import type { OwnedShard } from "./claim_takeover.ts";
 
 /** Most segments deleted in one write. */
-const expireSegments = 8;
+const MAX_EXPIRED_SEGMENTS = 8;
 
 /** What a call to the store came to: the batch is in, another VM owns the shard, or neither is known yet. */
 export type CommitOutcome = "committed" | "replaced" | "open";
 
 /** See the module's comment. */
-export class ClaimCommit {
+export class ClaimCommitter {
   readonly #me: VmRef;
   readonly #keys: ShardKeys;
   readonly #limits: ShardLimits;
   readonly #random: Random;
-  readonly #out: Outbox;
-  #at: HeadAt;
-  #newest: ShardHead;
+  readonly #outbox: Outbox;
+  #storedHead: StoredHead;
+  #newestHead: ShardHead;
   #openBytes: number;
-  #okMonoMs: number;
-  #batch: Batch | undefined;
+  #storeOkMonoMs: number;
+  #batch: CommitBatch | undefined;
   #busySinceMonoMs: number | undefined;
   #failures = 0;
-  #retryMonoMs = 0;
+  #retryAtMonoMs = 0;
   #nextWriteMonoMs = 0;
   /** Wall clock of the newest event of each stored segment. */
-  readonly #segmentTimes: number[];
+  readonly #segmentNewestMs: number[];
 
   constructor(
     me: VmRef,
     keys: ShardKeys,
     limits: ShardLimits,
     random: Random,
-    out: Outbox,
-    owned: Owned,
+    outbox: Outbox,
+    owned: OwnedShard,
   ) {
     this.#me = me;
     this.#keys = keys;
     this.#limits = limits;
     this.#random = random;
-    this.#out = out;
-    this.#at = owned.at;
-    this.#newest = owned.at.head;
+    this.#outbox = outbox;
+    this.#storedHead = owned.storedHead;
+    this.#newestHead = owned.storedHead.head;
     this.#openBytes = owned.openBytes;
-    this.#okMonoMs = owned.okMonoMs;
-    this.#segmentTimes = owned.segments.map((events) =>
+    this.#storeOkMonoMs = owned.storeOkMonoMs;
+    this.#segmentNewestMs = owned.segments.map((events) =>
       Math.max(0, ...events.map((event) => event.atMs))
     );
   }
 
   /** The head as last written, or as found when another VM took over. */
-  get at(): HeadAt {
-    return this.#at;
+  get storedHead(): StoredHead {
+    return this.#storedHead;
   }
   /** The newest head that this VM wrote. */
-  get newest(): ShardHead {
-    return this.#newest;
+  get newestHead(): ShardHead {
+    return this.#newestHead;
   }
   /** When the last write that took effect was sent (monotonic). */
-  get okMonoMs(): number {
-    return this.#okMonoMs;
+  get storeOkMonoMs(): number {
+    return this.#storeOkMonoMs;
   }
   get failures(): number {
     return this.#failures;
   }
   /** The witnesses of every head that may stand in the store. */
   get witnessLists(): (readonly VmRef[])[] {
-    const lists = [this.#at.head.witnesses];
+    const lists = [this.#storedHead.head.witnesses];
     if (this.#batch) lists.push(this.#batch.head.witnesses);
     return lists;
   }
@@ -92,37 +92,38 @@
   isFailing(now: Now): boolean {
     const busyMs = now.monoMs - (this.#busySinceMonoMs ?? now.monoMs);
     return this.#failures > 0 || busyMs >= this.#limits.slowMs ||
-      this.inOutage(now);
+      this.isInOutage(now);
   }
 
-  inOutage(now: Now): boolean {
-    return now.monoMs - this.#okMonoMs >= this.#limits.outageAfterMs;
+  isInOutage(now: Now): boolean {
+    return now.monoMs - this.#storeOkMonoMs >= this.#limits.outageAfterMs;
   }
 
   /**
    * Sends what is due. `urgent` asks for a write although the log is empty; `leaving` gives the shard up with the write
    * that empties the log. Returns whether a new batch was made.
    */
-  pump(
+  sendDue(
     now: Now,
     view: ShardView,
-    log: ClaimLog,
-    urgent: boolean,
+    log: UncommittedLog,
+    isUrgent: boolean,
     leaving: boolean,
   ): boolean {
     if (this.#busySinceMonoMs !== undefined) return false;
-    if (now.monoMs < this.#retryMonoMs) return false;
-    const makes = !this.#batch;
-    if (makes) {
-      const isDue = urgent || leaving || log.size > 0 || this.#isStale(now) ||
-        this.#witnessesDiffer(view);
+    if (now.monoMs < this.#retryAtMonoMs) return false;
+    const isNewBatch = !this.#batch;
+    if (isNewBatch) {
+      const isDue = isUrgent || leaving || log.size > 0 ||
+        this.#isTouchDue(now) ||
+        this.#haveWitnessesChanged(view);
       if (!isDue || now.monoMs < this.#nextWriteMonoMs) return false;
       this.#batch = this.#makeBatch(now, view, log, leaving);
     }
     this.#nextWriteMonoMs = now.monoMs + 1000 / view.writesPerS;
     this.#busySinceMonoMs = now.monoMs;
-    this.#out.push({ type: "write", writes: this.#batch!.writes });
-    return makes;
+    this.#outbox.push({ type: "write", writes: this.#batch!.writes });
+    return isNewBatch;
   }
 
   /**
@@ -131,11 +132,13 @@
    */
   onWritten(now: Now, result: Result<number, StoreError>): CommitOutcome {
     this.#busySinceMonoMs = undefined;
-    if (result.isOk()) return this.#committed(now, result.value);
-    if (result.error.kind !== "conflict") return this.#fail(now);
-    if (result.error.current) return this.#onHead(now, result.error.current);
+    if (result.isOk()) return this.#onCommitted(now, result.value);
+    if (result.error.kind !== "conflict") return this.#scheduleRetry(now);
+    if (result.error.current) {
+      return this.#onConflictingHead(now, result.error.current);
+    }
     this.#busySinceMonoMs = now.monoMs;
-    this.#out.push({ type: "read" });
+    this.#outbox.push({ type: "read" });
     return "open";
   }
 
@@ -145,8 +148,8 @@
     result: Result<Entry | undefined, StoreError>,
   ): CommitOutcome {
     this.#busySinceMonoMs = undefined;
-    if (result.isErr()) return this.#fail(now);
-    return this.#onHead(now, result.value);
+    if (result.isErr()) return this.#scheduleRetry(now);
+    return this.#onConflictingHead(now, result.value);
   }
 
   /** Forgets the write under way; only broken variants do. */
@@ -154,12 +157,12 @@
     this.#batch = undefined;
   }
 
-  #isStale(now: Now): boolean {
-    return now.monoMs - this.#okMonoMs >= this.#limits.touchMs;
+  #isTouchDue(now: Now): boolean {
+    return now.monoMs - this.#storeOkMonoMs >= this.#limits.touchMs;
   }
 
-  #witnessesDiffer(view: ShardView): boolean {
-    const listed = this.#at.head.witnesses;
+  #haveWitnessesChanged(view: ShardView): boolean {
+    const listed = this.#storedHead.head.witnesses;
     return listed.length !== view.witnesses.length ||
       listed.some((vm) => !view.witnesses.some((other) => sameVm(vm, other)));
   }
@@ -167,65 +170,68 @@
   #makeBatch(
     now: Now,
     view: ShardView,
-    log: ClaimLog,
+    log: UncommittedLog,
     leaving: boolean,
-  ): Batch {
+  ): CommitBatch {
     const events = log.events(0, this.#limits.batch);
-    const empties = events.length === log.size;
+    const emptiesLog = events.length === log.size;
     return makeBatch({
       keys: this.#keys,
-      base: this.#at,
+      base: this.#storedHead,
       baseOpenBytes: this.#openBytes,
       events,
-      owner: leaving && empties ? undefined : this.#me,
+      owner: leaving && emptiesLog ? undefined : this.#me,
       witnesses: view.witnesses,
       nowMs: now.nowMs,
       monoMs: now.monoMs,
-      expiredSegments: this.#expired(now),
+      expiredSegments: this.#countExpired(now),
       segmentBytes: this.#limits.segmentBytes,
     });
   }
 
-  #expired(now: Now): number {
+  #countExpired(now: Now): number {
     const beforeMs = now.nowMs - this.#limits.retentionMs;
-    const times = this.#segmentTimes.slice(0, expireSegments);
-    const kept = times.findIndex((newestMs) => newestMs >= beforeMs);
-    return kept < 0 ? times.length : kept;
+    const times = this.#segmentNewestMs.slice(0, MAX_EXPIRED_SEGMENTS);
+    const firstKept = times.findIndex((newestMs) => newestMs >= beforeMs);
+    return firstKept < 0 ? times.length : firstKept;
   }
 
-  #committed(now: Now, rev: number): CommitOutcome {
+  #onCommitted(now: Now, rev: number): CommitOutcome {
     const batch = this.#batch;
     if (!batch) return "open";
-    const before = this.#at.head;
-    this.#at = { head: batch.head, rev };
-    this.#newest = batch.head;
+    const before = this.#storedHead.head;
+    this.#storedHead = { head: batch.head, rev };
+    this.#newestHead = batch.head;
     this.#openBytes = batch.openBytes;
-    this.#okMonoMs = batch.madeMonoMs;
+    this.#storeOkMonoMs = batch.firstSentMonoMs;
     this.#failures = 0;
     this.#batch = undefined;
-    this.#segmentTimes.splice(0, batch.head.firstSegment - before.firstSegment);
+    this.#segmentNewestMs.splice(
+      0,
+      batch.head.firstSegment - before.firstSegment,
+    );
     if (batch.head.nextSegment > before.nextSegment) {
-      this.#segmentTimes.push(now.nowMs);
+      this.#segmentNewestMs.push(now.nowMs);
     }
     return "committed";
   }
 
   /** What stands in the store where another head was expected. */
-  #onHead(now: Now, entry: Entry | undefined): CommitOutcome {
+  #onConflictingHead(now: Now, entry: Entry | undefined): CommitOutcome {
     const head = entry && parseHead(entry.value).unwrapOr(undefined);
-    const isSame = (other: ShardHead | undefined) =>
+    const isSameWrite = (other: ShardHead | undefined) =>
       head && other && head.epoch === other.epoch &&
       head.commit === other.commit;
-    if (entry && isSame(this.#batch?.head)) {
-      return this.#committed(now, entry.rev);
+    if (entry && isSameWrite(this.#batch?.head)) {
+      return this.#onCommitted(now, entry.rev);
     }
-    if (head) this.#at = { head, rev: entry!.rev };
+    if (head) this.#storedHead = { head, rev: entry!.rev };
     return "replaced";
   }
 
-  #fail(now: Now): CommitOutcome {
+  #scheduleRetry(now: Now): CommitOutcome {
     const { backoff } = this.#limits;
-    this.#retryMonoMs = now.monoMs +
+    this.#retryAtMonoMs = now.monoMs +
       backoffMs(this.#failures++, backoff, this.#random);
     return "open";
   }
--- a/src/agreement/claim_head.ts
+++ b/src/agreement/claim_head.ts
@@ -75,7 +75,7 @@
 }
 
 /** What a VM knows when it weighs to take a shard over. */
-export interface TakeView {
+export interface TakeoverView {
   readonly me: VmRef;
   readonly live: readonly VmRef[];
   readonly nowMs: number;
@@ -87,14 +87,14 @@
 }
 
 /** Times that bound when an owner may grant without the store. */
-export interface TakeLimits {
+export interface TakeoverLimits {
   readonly outageAfterMs: number;
   readonly outageLimitMs: number;
   readonly clockSkewMs: number;
 }
 
 /** Whether a take-over is allowed now, and whether grants of the old owner may be missing afterwards. */
-export type TakeDecision = "no" | "complete" | "lossy";
+export type TakeoverDecision = "no" | "complete" | "lossy";
 
 /** Whether this run of the VM is certainly over: the id runs again under a higher incarnation. */
 export function isReplaced(vm: VmRef, live: readonly VmRef[]): boolean {
@@ -108,11 +108,11 @@
  * while a new owner grants it again; the call runs twice. An owner grants from memory only while all its witnesses
  * hold it a promise and hold its grants, so each rule below waits out a promise or has proof that the owner is over.
  */
-export function mayTake(
+export function decideTakeover(
   head: ShardHead | undefined,
-  view: TakeView,
-  limits: TakeLimits,
-): TakeDecision {
+  view: TakeoverView,
+  limits: TakeoverLimits,
+): TakeoverDecision {
   if (!head?.owner) return "complete";
   // This very run owned the shard and found the store gone back: what it granted since is not on record.
   if (sameVm(head.owner, view.me)) return "lossy";
@@ -124,8 +124,10 @@
   const live = [...view.live, view.me];
   if (isReplaced(head.owner, live)) {
     // An owner that was in touch so recently has not yet granted without the store.
-    const silentMs = view.nowMs - head.touchedAtMs;
-    if (silentMs < limits.outageAfterMs - limits.clockSkewMs) return "complete";
+    const untouchedMs = view.nowMs - head.touchedAtMs;
+    if (untouchedMs < limits.outageAfterMs - limits.clockSkewMs) {
+      return "complete";
+    }
     if (head.witnesses.every((w) => isReplaced(w, live))) return "lossy";
   }
   const unchangedMs = view.monoMs - view.unchangedSinceMonoMs;
--- a/src/agreement/claim_head_test.ts
+++ b/src/agreement/claim_head_test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from "../base/describe.ts";
 import {
-  defaultShardLimits,
-  mayTake,
+  decideTakeover,
+  DEFAULT_SHARD_LIMITS,
   type ShardHead,
-  type TakeDecision,
-  type TakeView,
+  type TakeoverDecision,
+  type TakeoverView,
 } from "./mod.ts";
 
 const vm = (id: string, incarnation = 1) => ({ id, incarnation });
@@ -24,7 +24,7 @@
   open: [],
 };
 
-const view: TakeView = {
+const view: TakeoverView = {
   me: vm("b"),
   live: [vm("c")],
   nowMs: 1_060_000,
@@ -36,8 +36,8 @@
 interface Case {
   readonly what: string;
   readonly head?: ShardHead;
-  readonly view: Partial<TakeView>;
-  readonly decision: TakeDecision;
+  readonly view: Partial<TakeoverView>;
+  readonly decision: TakeoverDecision;
 }
 
 const cases: readonly Case[] = [
@@ -101,10 +101,10 @@
   for (const { what, head: other, view: more, decision } of cases) {
     it(`${what}: ${decision}`, (t) => {
       const seen = { ...view, ...more };
-      t.is(mayTake(other ?? head, seen, defaultShardLimits), decision);
+      t.is(decideTakeover(other ?? head, seen, DEFAULT_SHARD_LIMITS), decision);
     });
   }
   it("a missing head: complete", (t) => {
-    t.is(mayTake(undefined, view, defaultShardLimits), "complete");
+    t.is(decideTakeover(undefined, view, DEFAULT_SHARD_LIMITS), "complete");
   });
 });
--- a/src/agreement/claim_log.ts
+++ b/src/agreement/claim_log.ts
@@ -4,14 +4,18 @@
  * @module
  */
 
-import { type ClaimAsk, type ClaimEvent, eventBytes } from "./claim_record.ts";
+import {
+  type ClaimEvent,
+  type ClaimRequest,
+  eventBytes,
+} from "./claim_record.ts";
 
 /** Names who waits for a reply; the driver of the machine gives it out. */
 export type Ticket = number;
 
 /** An ask for a key whose first claim is not settled yet. */
-export interface ParkedAsk {
-  readonly ask: ClaimAsk;
+export interface WaitingRequest {
+  readonly request: ClaimRequest;
   readonly ticket: Ticket;
 }
 
@@ -28,14 +32,14 @@
   readonly ticket: Ticket | undefined;
   readonly deadlineMs: number;
   /** Asks that wait to learn how this one ends. */
-  readonly parked: ParkedAsk[];
+  readonly waiters: WaitingRequest[];
 }
 
 /**
  * The events from the first that is not in the store. In a long outage there are many, nearly all settled, so what is
  * asked at each claim goes by maps and not over all.
  */
-export class ClaimLog {
+export class UncommittedLog {
   #entries: LogEntry[] = [];
   #bytes = 0;
   readonly #unsettled = new Map<number, LogEntry>();
@@ -49,7 +53,7 @@
     return this.#bytes;
   }
   /** How many entries wait to be settled. */
-  get waiting(): number {
+  get unsettledCount(): number {
     return this.#unsettled.size;
   }
   /** The highest `n` in the log, or -1. */
@@ -71,7 +75,7 @@
 
   #push(event: ClaimEvent, ticket: Ticket | undefined, deadlineMs: number) {
     const bytes = eventBytes(event);
-    const entry: LogEntry = { event, bytes, ticket, deadlineMs, parked: [] };
+    const entry: LogEntry = { event, bytes, ticket, deadlineMs, waiters: [] };
     this.#entries.push(entry);
     this.#bytes += bytes;
     return entry;
@@ -91,34 +95,36 @@
   }
 
   /** The entries to settle, up to `n`, in order. */
-  unsettled(n = Infinity): LogEntry[] {
+  unsettled(maxN = Infinity): LogEntry[] {
     const found: LogEntry[] = [];
     for (const entry of this.#unsettled.values()) {
-      if (entry.event.n > n) break;
+      if (entry.event.n > maxN) break;
       found.push(entry);
     }
     return found;
   }
 
   /** The events from `fromN` on, as many as fit; one always does. */
-  events(fromN: number, most: EventLimits): ClaimEvent[] {
+  events(fromN: number, limits: EventLimits): ClaimEvent[] {
     const events: ClaimEvent[] = [];
     let bytes = 0;
-    for (let i = this.#position(fromN); i < this.#entries.length; i++) {
+    for (let i = this.#indexFrom(fromN); i < this.#entries.length; i++) {
       const entry = this.#entries[i];
       bytes += entry.bytes;
-      if (events.length >= most.events) break;
-      if (events.length > 0 && bytes > most.bytes) break;
+      if (events.length >= limits.events) break;
+      if (events.length > 0 && bytes > limits.bytes) break;
       events.push(entry.event);
     }
     return events;
   }
 
   /** Drops what the store now holds; unsettled entries among it are returned. */
-  dropBelow(nextN: number): LogEntry[] {
-    const kept = this.#position(nextN);
-    for (const { bytes } of this.#entries.slice(0, kept)) this.#bytes -= bytes;
-    this.#entries = this.#entries.slice(kept);
+  dropStored(nextN: number): LogEntry[] {
+    const firstKept = this.#indexFrom(nextN);
+    for (const { bytes } of this.#entries.slice(0, firstKept)) {
+      this.#bytes -= bytes;
+    }
+    this.#entries = this.#entries.slice(firstKept);
     return this.unsettled(nextN - 1);
   }
 
@@ -130,7 +136,7 @@
   }
 
   /** Where the first event with at least this `n` stands. */
-  #position(n: number): number {
+  #indexFrom(n: number): number {
     let low = 0;
     let high = this.#entries.length;
     while (low < high) {
--- a/src/agreement/claim_machine.ts
+++ b/src/agreement/claim_machine.ts
@@ -7,7 +7,7 @@
 import type { Write } from "../adapters/mod.ts";
 import type { BackoffLimits } from "../base/mod.ts";
 import type { ClaimAnswer } from "./claim.ts";
-import type { TakeLimits } from "./claim_head.ts";
+import type { TakeoverLimits } from "./claim_head.ts";
 import type { EventLimits, Ticket } from "./claim_log.ts";
 import type { PromiseLimits } from "./claim_outage.ts";
 import type { ClaimState, VmRef } from "./claim_record.ts";
@@ -20,7 +20,7 @@
 }
 
 /** Limits of a shard. */
-export interface ShardLimits extends TakeLimits, PromiseLimits {
+export interface ShardLimits extends TakeoverLimits, PromiseLimits {
   readonly shardCount: number;
   /** How long a claim is remembered after its last step. */
   readonly retentionMs: number;
@@ -47,7 +47,7 @@
 }
 
 /** The defaults; docs/design/claims.md says why. */
-export const defaultShardLimits: ShardLimits = {
+export const DEFAULT_SHARD_LIMITS: ShardLimits = {
   shardCount: 1,
   retentionMs: 7_200_000,
   callerRetryMs: 3_600_000,
--- a/src/agreement/claim_outage.ts
+++ b/src/agreement/claim_outage.ts
@@ -7,28 +7,28 @@
 import { isReplaced } from "./claim_head.ts";
 import { sameVm, type VmRef } from "./claim_record.ts";
 
-interface Hold {
+interface WitnessState {
   readonly vm: VmRef;
   /** The witness holds every event up to this. */
   ackedN: number;
   promisedUntilMonoMs: number;
   sentMonoMs: number;
-  waiting: boolean;
+  awaitsAnswer: boolean;
   /** Whether the last message failed or was refused. */
-  failed: boolean;
+  hasFailed: boolean;
   /** It ended while its promise ran. */
-  over: boolean;
+  endedInPromise: boolean;
 }
 
-function newHold(vm: VmRef): Hold {
+function newWitnessState(vm: VmRef): WitnessState {
   return {
     vm,
     ackedN: -1,
     promisedUntilMonoMs: -Infinity,
     sentMonoMs: -Infinity,
-    waiting: false,
-    failed: false,
-    over: false,
+    awaitsAnswer: false,
+    hasFailed: false,
+    endedInPromise: false,
   };
 }
 
@@ -40,9 +40,9 @@
 }
 
 /** What an owner knows of its witnesses. */
-export class ClaimOutage {
+export class WitnessTracker {
   readonly #limits: PromiseLimits;
-  #listed: Hold[] = [];
+  #listedWitnesses: WitnessState[] = [];
 
   constructor(limits: PromiseLimits) {
     this.#limits = limits;
@@ -56,7 +56,7 @@
    * A witness that was replaced is dropped only if that is seen while its promise runs: it ended without taking over.
    * One that ended later may have taken over first, and its successor may have taken over from it.
    */
-  require(
+  setLists(
     lists: readonly (readonly VmRef[])[],
     live: readonly VmRef[],
     monoMs: number,
@@ -65,72 +65,73 @@
     for (const vm of lists.flat()) {
       if (!wanted.some((other) => sameVm(other, vm))) wanted.push(vm);
     }
-    this.#listed = wanted.map((vm) =>
-      this.#listed.find((hold) => sameVm(hold.vm, vm)) ?? newHold(vm)
+    this.#listedWitnesses = wanted.map((vm) =>
+      this.#listedWitnesses.find((state) => sameVm(state.vm, vm)) ??
+        newWitnessState(vm)
     );
-    for (const hold of this.#listed) {
-      hold.over ||= isReplaced(hold.vm, live) &&
-        hold.promisedUntilMonoMs > monoMs;
+    for (const state of this.#listedWitnesses) {
+      state.endedInPromise ||= isReplaced(state.vm, live) &&
+        state.promisedUntilMonoMs > monoMs;
     }
     return lists.every((list) => list.length > 0);
   }
 
-  get #holds(): Hold[] {
-    return this.#listed.filter((hold) => !hold.over);
+  get #witnesses(): WitnessState[] {
+    return this.#listedWitnesses.filter((state) => !state.endedInPromise);
   }
 
   /** Until when no witness takes over; `Infinity` if all are certainly over. */
   get promisedUntilMonoMs(): number {
     return Math.min(
       Infinity,
-      ...this.#holds.map((hold) => hold.promisedUntilMonoMs),
+      ...this.#witnesses.map((state) => state.promisedUntilMonoMs),
     );
   }
 
   /** Every event up to this is held by all witnesses. */
-  get heldN(): number {
-    return Math.min(Infinity, ...this.#holds.map((hold) => hold.ackedN));
+  get replicatedN(): number {
+    return Math.min(Infinity, ...this.#witnesses.map((state) => state.ackedN));
   }
 
   /** Whether a needed promise has run out and was not renewed when asked. */
-  isHopeless(monoMs: number): boolean {
-    return this.#holds.some((hold) =>
-      hold.failed && hold.promisedUntilMonoMs < monoMs
+  hasLapsedPromise(monoMs: number): boolean {
+    return this.#witnesses.some((state) =>
+      state.hasFailed && state.promisedUntilMonoMs < monoMs
     );
   }
 
   /** The witnesses to send to now, and from which event on. */
-  due(lastN: number, monoMs: number): { vm: VmRef; fromN: number }[] {
+  dueMessages(lastN: number, monoMs: number): { vm: VmRef; fromN: number }[] {
     const renewMs = this.#limits.promiseMs / 4;
     const retryMs = this.#limits.promiseMs / 8;
-    return this.#holds
-      .filter((hold) => {
-        const idleMs = monoMs - hold.sentMonoMs;
-        if (hold.waiting) return idleMs >= renewMs;
-        if (hold.failed) return idleMs >= retryMs;
-        return hold.ackedN < lastN || idleMs >= renewMs;
+    return this.#witnesses
+      .filter((state) => {
+        const idleMs = monoMs - state.sentMonoMs;
+        if (state.awaitsAnswer) return idleMs >= renewMs;
+        if (state.hasFailed) return idleMs >= retryMs;
+        return state.ackedN < lastN || idleMs >= renewMs;
       })
-      .map((hold) => ({ vm: hold.vm, fromN: hold.ackedN + 1 }));
+      .map((state) => ({ vm: state.vm, fromN: state.ackedN + 1 }));
   }
 
-  sent(vm: VmRef, monoMs: number): void {
-    const hold = this.#holds.find((h) => sameVm(h.vm, vm));
+  recordSent(vm: VmRef, monoMs: number): void {
+    const hold = this.#witnesses.find((h) => sameVm(h.vm, vm));
     if (!hold) return;
     hold.sentMonoMs = monoMs;
-    hold.waiting = true;
+    hold.awaitsAnswer = true;
   }
 
   /** Takes an answer to a message that was sent at `sentMonoMs` with events up to `uptoN`. */
-  answered(
+  recordAnswer(
     vm: VmRef,
     accepted: boolean,
     uptoN: number,
     sentMonoMs: number,
   ): void {
-    const hold = this.#holds.find((h) => sameVm(h.vm, vm));
+    const hold = this.#witnesses.find((h) => sameVm(h.vm, vm));
     if (!hold) return;
-    if (hold.sentMonoMs === sentMonoMs) hold.waiting = false;
-    hold.failed = !accepted;
+    if (hold.sentMonoMs === sentMonoMs) hold.awaitsAnswer = false;
+    hold.hasFailed = !accepted;
     if (!accepted) return;
     hold.ackedN = Math.max(hold.ackedN, uptoN);
     const { promiseMs, promiseMarginMs } = this.#limits;
@@ -143,6 +144,6 @@
 
   /** Forgets the promises: the store is back. */
   reset(): void {
-    this.#listed = [];
+    this.#listedWitnesses = [];
   }
 }
--- a/src/agreement/claim_owner.ts
+++ b/src/agreement/claim_owner.ts
@@ -8,10 +8,10 @@
 import type { Entry, StoreError } from "../adapters/mod.ts";
 import type { Random } from "../base/mod.ts";
 import type { Result } from "neverthrow";
-import type { HeadAt, ShardKeys } from "./claim_batch.ts";
+import type { ShardKeys, StoredHead } from "./claim_batch.ts";
 import type { ShardHead } from "./claim_head.ts";
-import { ClaimCommit, type CommitOutcome } from "./claim_commit.ts";
-import { ClaimLog, type LogEntry, type Ticket } from "./claim_log.ts";
+import { ClaimCommitter, type CommitOutcome } from "./claim_commit.ts";
+import { type LogEntry, type Ticket, UncommittedLog } from "./claim_log.ts";
 import type {
   ClaimChange,
   Now,
@@ -20,76 +20,76 @@
   ShardReply,
   ShardView,
 } from "./claim_machine.ts";
-import { ClaimOutage } from "./claim_outage.ts";
+import { WitnessTracker } from "./claim_outage.ts";
 import {
-  type ClaimAsk,
   type ClaimEvent,
   ClaimIndex,
-  type Standing,
+  type ClaimRequest,
+  type KeyStatus,
   type VmRef,
 } from "./claim_record.ts";
-import { asReply, boundedAnswer, stepEvent } from "./claim_step.ts";
-import { isGone, type Owned } from "./claim_takeover.ts";
+import { makeChangeEvent, toReply, truncateAnswer } from "./claim_step.ts";
+import { isGone, type OwnedShard } from "./claim_takeover.ts";
 
 /** When a caller may come back that found the queue full. */
-const queueRetryMs = 1000;
+const QUEUE_RETRY_MS = 1000;
 /** When a caller may come back that found the store and the promises away. */
-const outageRetryMs = 2000;
+const OUTAGE_RETRY_MS = 2000;
 
 /** See the module's comment. */
 export class ClaimOwner {
   protected readonly limits: ShardLimits;
   protected readonly index = new ClaimIndex();
-  protected readonly log = new ClaimLog();
+  protected readonly log = new UncommittedLog();
   readonly #me: VmRef;
-  readonly #out: Outbox;
-  readonly #outage: ClaimOutage;
-  readonly #commit: ClaimCommit;
+  readonly #outbox: Outbox;
+  readonly #witnesses: WitnessTracker;
+  readonly #committer: ClaimCommitter;
   #view: ShardView;
   /** Lookups that wait for a write made after they came, and those that the batch under way will answer. */
   #lookups: Ticket[] = [];
   #batchLookups: Ticket[] = [];
   #nextN: number;
-  #stopping = false;
-  #ended = false;
+  #isStopping = false;
+  #hasEnded = false;
 
   constructor(
     me: VmRef,
     keys: ShardKeys,
     limits: ShardLimits,
     random: Random,
-    out: Outbox,
+    outbox: Outbox,
     view: ShardView,
-    owned: Owned,
-    commit = new ClaimCommit(me, keys, limits, random, out, owned),
+    owned: OwnedShard,
+    committer = new ClaimCommitter(me, keys, limits, random, outbox, owned),
   ) {
     this.#me = me;
     this.limits = limits;
-    this.#out = out;
+    this.#outbox = outbox;
     this.#view = view;
-    this.#commit = commit;
-    this.#outage = new ClaimOutage(limits);
+    this.#committer = committer;
+    this.#witnesses = new WitnessTracker(limits);
     for (const event of owned.segments.flat()) this.index.apply(event);
-    for (const event of owned.at.head.open) this.index.apply(event);
-    this.#nextN = owned.at.head.nextN;
+    for (const event of owned.storedHead.head.open) this.index.apply(event);
+    this.#nextN = owned.storedHead.head.nextN;
   }
 
-  get at(): HeadAt {
-    return this.#commit.at;
+  get storedHead(): StoredHead {
+    return this.#committer.storedHead;
   }
   /** The newest head that this VM wrote. */
-  get newest(): ShardHead {
-    return this.#commit.newest;
+  get newestHead(): ShardHead {
+    return this.#committer.newestHead;
   }
   /** Whether another VM owns the shard now, or the shard was handed over. */
-  get ended(): boolean {
-    return this.#ended;
+  get hasEnded(): boolean {
+    return this.#hasEnded;
   }
-  get stopping(): boolean {
-    return this.#stopping;
+  get isStopping(): boolean {
+    return this.#isStopping;
   }
   /** Bytes that one answer may take: the log must stay within one write. */
-  get #answerRoom(): number {
+  get #maxAnswerBytes(): number {
     return (this.limits.logBytes / 2 - this.log.bytes) / 8;
   }
 
@@ -97,32 +97,32 @@
     return {
       claims: this.index.size,
       notInStore: this.log.size,
-      waiting: this.log.waiting,
-      failures: this.#commit.failures,
-      storeOkMonoMs: this.#commit.okMonoMs,
-      promisedUntilMonoMs: this.#outage.promisedUntilMonoMs,
+      waiting: this.log.unsettledCount,
+      failures: this.#committer.failures,
+      storeOkMonoMs: this.#committer.storeOkMonoMs,
+      promisedUntilMonoMs: this.#witnesses.promisedUntilMonoMs,
     };
   }
 
   /** A claim; replied to once it is settled. */
-  ask(now: Now, ask: ClaimAsk, ticket: Ticket): void {
+  claim(now: Now, ask: ClaimRequest, ticket: Ticket): void {
     const pending = this.log.pendingClaim(ask.key);
     if (pending) {
-      pending.parked.push({ ask, ticket });
+      pending.waiters.push({ request: ask, ticket });
       return;
     }
-    const standing = this.#standing(now, ask);
-    if (standing.type === "free") return this.#admitOrRefuse(now, ask, ticket);
-    if (standing.type === "mine") return this.#grant(now, ask.claimId, ticket);
-    this.reply(ticket, asReply(standing));
+    const status = this.#keyStatus(now, ask);
+    if (status.type === "free") return this.#admitOrRefuse(now, ask, ticket);
+    if (status.type === "mine") return this.#grant(now, ask.claimId, ticket);
+    this.reply(ticket, toReply(status));
   }
 
   /** A step of a granted claim; replied to once it is kept. A step of another claim id changes nothing. */
   change(now: Now, change: ClaimChange, ticket: Ticket): void {
     const pending = this.log.pendingClaim(change.key)?.event;
     const known = pending ?? this.index.get(change.key);
-    const bounded = boundedAnswer(change, this.#answerRoom);
-    const event = stepEvent(known, bounded, now.nowMs, this.#nextN);
+    const bounded = truncateAnswer(change, this.#maxAnswerBytes);
+    const event = makeChangeEvent(known, bounded, now.nowMs, this.#nextN);
     if (event) this.#nextN++;
     else return this.reply(ticket, { type: "done" });
     // Believed before it is kept: if it is lost, the key stands "running" or "unknown" again, never free.
@@ -139,42 +139,44 @@
       return this.reply(ticket, { type: "running" });
     }
     const body = this.index.get(key)?.body ?? "";
-    const standing = this.#standing(now, { key, body, claimId: "" });
-    if (standing.type !== "free" && standing.type !== "spent") {
-      return this.reply(ticket, asReply(standing));
+    const status = this.#keyStatus(now, { key, body, claimId: "" });
+    if (status.type !== "free" && status.type !== "spent") {
+      return this.reply(ticket, toReply(status));
     }
-    if (this.#commit.isFailing(now) && !this.#canOutlast(now)) {
-      const retryAtMs = now.nowMs + outageRetryMs;
+    if (this.#committer.isFailing(now) && !this.#canGrantFromMemory(now)) {
+      const retryAtMs = now.nowMs + OUTAGE_RETRY_MS;
       return this.reply(ticket, { type: "unavailable", retryAtMs });
     }
-    if (this.denies()) return this.reply(ticket, { type: "none" });
+    if (this.canDenyWithoutWrite()) return this.reply(ticket, { type: "none" });
     this.#lookups.push(ticket);
   }
 
   /** Time passes, or something has changed: sends what is due. */
-  pump(now: Now, view: ShardView): void {
+  advance(now: Now, view: ShardView): void {
     this.#view = view;
-    if (this.#ended) return;
+    if (this.#hasEnded) return;
     this.index.expire(now.nowMs - this.limits.retentionMs);
-    if (this.#commit.inOutage(now)) this.#pumpOutage(now);
-    this.#refuseLate(now);
+    if (this.#committer.isInOutage(now)) this.#advanceOutage(now);
+    this.#refuseExpired(now);
     const urgent = this.#lookups.length > 0;
-    if (this.#commit.pump(now, view, this.log, urgent, this.#stopping)) {
+    if (
+      this.#committer.sendDue(now, view, this.log, urgent, this.#isStopping)
+    ) {
       this.#batchLookups = this.#lookups.splice(0);
     }
   }
 
   /** Takes no more claims, and hands the shard over once everything is in the store. */
   stop(): void {
-    this.#stopping = true;
+    this.#isStopping = true;
   }
 
   onWritten(now: Now, result: Result<number, StoreError>): void {
-    this.#onOutcome(now, this.#commit.onWritten(now, result));
+    this.#onOutcome(now, this.#committer.onWritten(now, result));
   }
 
   onRead(now: Now, result: Result<Entry | undefined, StoreError>): void {
-    this.#onOutcome(now, this.#commit.onRead(now, result));
+    this.#onOutcome(now, this.#committer.onRead(now, result));
   }
 
   onReplicaAnswer(
@@ -182,12 +184,12 @@
     accepted: boolean,
     sent: { readonly uptoN: number; readonly sentMonoMs: number },
   ): void {
-    this.#outage.answered(from, accepted, sent.uptoN, sent.sentMonoMs);
+    this.#witnesses.recordAnswer(from, accepted, sent.uptoN, sent.sentMonoMs);
   }
 
   /** Queues a claim until it may be granted. */
-  protected admit(now: Now, ask: ClaimAsk, ticket: Ticket): void {
-    const { key, body, claimId, claimer, deadlineMs } = ask;
+  protected admit(now: Now, request: ClaimRequest, ticket: Ticket): void {
+    const { key, body, claimId, claimer, deadlineMs } = request;
     const n = this.#nextN++;
     const atMs = now.nowMs;
     this.log.add(
@@ -198,88 +200,97 @@
   }
 
   /** Whether grants may be made from memory at all, in this outage. */
-  protected promisesHold(now: Now): boolean {
-    return this.#outage.promisedUntilMonoMs > now.monoMs;
+  protected arePromisesValid(now: Now): boolean {
+    return this.#witnesses.promisedUntilMonoMs > now.monoMs;
   }
 
   /** Every event up to this is held by all witnesses. */
-  protected heldN(): number {
-    return this.#outage.heldN;
+  protected replicatedN(): number {
+    return this.#witnesses.replicatedN;
   }
 
   /** Whether a lookup may be answered "none" without a write. */
-  protected denies(): boolean {
+  protected canDenyWithoutWrite(): boolean {
     return false;
   }
 
   protected reply(ticket: Ticket | undefined, reply: ShardReply): void {
-    if (ticket !== undefined) this.#out.push({ type: "reply", ticket, reply });
+    if (ticket !== undefined) {
+      this.#outbox.push({ type: "reply", ticket, reply });
+    }
   }
 
-  #standing(
+  #keyStatus(
     now: Now,
-    ask: Pick<ClaimAsk, "key" | "body" | "claimId">,
-  ): Standing {
+    request: Pick<ClaimRequest, "key" | "body" | "claimId">,
+  ): KeyStatus {
     const live = [...this.#view.live, this.#me];
-    const standing = this.index.standing(
-      ask,
-      (event) => this.#isOver(now, event, live),
+    const status = this.index.keyStatus(
+      request,
+      (event) => this.#isClaimerGone(now, event, live),
     );
     // Also for a key that was released: the grant that is not on record may have come after the release.
-    const doubted = now.nowMs < this.#commit.at.head.doubtUntilMs;
-    if (standing.type === "free" && doubted) return { type: "unknown" };
-    return standing;
+    const doubted = now.nowMs < this.#committer.storedHead.head.doubtUntilMs;
+    if (status.type === "free" && doubted) return { type: "unknown" };
+    return status;
   }
 
-  #isOver(now: Now, event: ClaimEvent, live: readonly VmRef[]): boolean {
+  #isClaimerGone(now: Now, event: ClaimEvent, live: readonly VmRef[]): boolean {
     if (event.claimer.region === this.#view.region) {
       return isGone(event.claimer, live);
     }
     return now.nowMs - event.atMs > this.limits.remoteRunMs;
   }
 
-  #admitOrRefuse(now: Now, ask: ClaimAsk, ticket: Ticket): void {
-    if (this.#stopping) {
+  #admitOrRefuse(now: Now, request: ClaimRequest, ticket: Ticket): void {
+    if (this.#isStopping) {
       return this.reply(ticket, { type: "notOwner" });
     }
-    const retryAtMs = this.#refusal(now, ask.deadlineMs);
-    if (retryAtMs === undefined) return this.admit(now, ask, ticket);
+    const retryAtMs = this.#findRetryAtMs(now, request.deadlineMs);
+    if (retryAtMs === undefined) return this.admit(now, request, ticket);
     this.reply(ticket, { type: "unavailable", retryAtMs });
   }
 
   /** When to come back, if a claim with this deadline can't be granted in time; refused at once rather than held. */
-  #refusal(now: Now, deadlineMs: number): number | undefined {
+  #findRetryAtMs(now: Now, deadlineMs: number): number | undefined {
     const { queueLimit, logBytes } = this.limits;
-    if (this.log.waiting >= queueLimit || this.log.bytes >= logBytes / 2) {
-      return now.nowMs + queueRetryMs;
+    if (
+      this.log.unsettledCount >= queueLimit || this.log.bytes >= logBytes / 2
+    ) {
+      return now.nowMs + QUEUE_RETRY_MS;
     }
-    if (!this.#commit.isFailing(now)) return undefined;
-    if (!this.#canOutlast(now)) return now.nowMs + outageRetryMs;
-    const waitMs = this.#commit.okMonoMs + this.limits.outageAfterMs -
+    if (!this.#committer.isFailing(now)) return undefined;
+    if (!this.#canGrantFromMemory(now)) return now.nowMs + OUTAGE_RETRY_MS;
+    const waitMs = this.#committer.storeOkMonoMs + this.limits.outageAfterMs -
       now.monoMs;
-    const fromMs = now.nowMs + Math.max(0, waitMs);
-    return fromMs >= deadlineMs ? fromMs + 100 : undefined;
+    const grantsFromMs = now.nowMs + Math.max(0, waitMs);
+    return grantsFromMs >= deadlineMs ? grantsFromMs + 100 : undefined;
   }
 
   /** Whether grants from memory are possible while the store is away. */
-  #canOutlast(now: Now): boolean {
-    const endMonoMs = this.#commit.okMonoMs + this.limits.outageLimitMs;
-    const listed = this.#outage.require(
-      this.#commit.witnessLists,
+  #canGrantFromMemory(now: Now): boolean {
+    const endMonoMs = this.#committer.storeOkMonoMs + this.limits.outageLimitMs;
+    const hasWitnesses = this.#witnesses.setLists(
+      this.#committer.witnessLists,
       this.#view.live,
       now.monoMs,
     );
-    return listed && now.monoMs < endMonoMs &&
-      !this.#outage.isHopeless(now.monoMs);
-  }
-
-  #pumpOutage(now: Now): void {
-    const can = this.#canOutlast(now);
-    const { head, rev } = this.at;
-    for (const { vm, fromN } of this.#outage.due(this.log.lastN, now.monoMs)) {
+    return hasWitnesses && now.monoMs < endMonoMs &&
+      !this.#witnesses.hasLapsedPromise(now.monoMs);
+  }
+
+  #advanceOutage(now: Now): void {
+    const canGrant = this.#canGrantFromMemory(now);
+    const { head, rev } = this.storedHead;
+    for (
+      const { vm, fromN } of this.#witnesses.dueMessages(
+        this.log.lastN,
+        now.monoMs,
+      )
+    ) {
       const events = this.log.events(fromN, this.limits.batch);
-      this.#outage.sent(vm, now.monoMs);
-      this.#out.push({
+      this.#witnesses.recordSent(vm, now.monoMs);
+      this.#outbox.push({
         type: "replicate",
         to: vm,
         message: {
@@ -292,36 +303,36 @@
         sentMonoMs: now.monoMs,
       });
     }
-    if (!can) return this.#refuseAll(now, now.nowMs + outageRetryMs);
-    if (!this.promisesHold(now)) return;
-    this.#settle(now, this.log.unsettled(this.heldN()));
+    if (!canGrant) return this.#refuseAll(now, now.nowMs + OUTAGE_RETRY_MS);
+    if (!this.arePromisesValid(now)) return;
+    this.#settle(now, this.log.unsettled(this.replicatedN()));
     this.#answerLookups({ type: "none" });
   }
 
   #onOutcome(now: Now, outcome: CommitOutcome): void {
     if (outcome === "open") return;
-    if (outcome === "replaced") return this.#end();
-    this.#outage.reset();
+    if (outcome === "replaced") return this.#endOwnership();
+    this.#witnesses.reset();
     for (const ticket of this.#batchLookups.splice(0)) {
       this.reply(ticket, { type: "none" });
     }
-    const { head } = this.at;
-    this.#settle(now, this.log.dropBelow(head.nextN));
-    if (!head.owner) this.#end();
+    const { head } = this.storedHead;
+    this.#settle(now, this.log.dropStored(head.nextN));
+    if (!head.owner) this.#endOwnership();
   }
 
   /** Who waits is sent to the next owner with the same claim id: a claim that is in the store already is theirs. */
-  #end(): void {
-    this.#ended = true;
+  #endOwnership(): void {
+    this.#hasEnded = true;
     const reply: ShardReply = { type: "notOwner" };
     for (const entry of this.log.clear()) this.#refuse(entry, reply);
     this.#answerLookups(reply);
   }
 
   #answerLookups(reply: ShardReply): void {
-    const waiting = [...this.#batchLookups.splice(0), ...this.#lookups];
+    const tickets = [...this.#batchLookups.splice(0), ...this.#lookups];
     this.#lookups = [];
-    for (const ticket of waiting) this.reply(ticket, reply);
+    for (const ticket of tickets) this.reply(ticket, reply);
   }
 
   /** Believes events, and grants the claims among them. */
@@ -334,7 +345,9 @@
         continue;
       }
       this.#grant(now, entry.event.claimId, entry.ticket);
-      for (const { ask, ticket } of entry.parked) this.ask(now, ask, ticket);
+      for (const { request: ask, ticket } of entry.waiters) {
+        this.claim(now, ask, ticket);
+      }
     }
   }
 
@@ -343,11 +356,11 @@
     this.reply(ticket, { type: "granted", claimId, dispatchBeforeMonoMs });
   }
 
-  #refuseLate(now: Now): void {
-    const late = this.log.unsettled().filter((entry) =>
+  #refuseExpired(now: Now): void {
+    const expired = this.log.unsettled().filter((entry) =>
       entry.event.state === "claimed" && entry.deadlineMs <= now.nowMs
     );
-    for (const entry of late) this.#withdraw(now, entry, now.nowMs + 1000);
+    for (const entry of expired) this.#withdraw(now, entry, now.nowMs + 1000);
   }
 
   #refuseAll(now: Now, retryAtMs: number): void {
@@ -377,6 +390,6 @@
   #refuse(entry: LogEntry, reply: ShardReply): void {
     this.log.settle(entry);
     this.reply(entry.ticket, reply);
-    for (const { ticket } of entry.parked) this.reply(ticket, reply);
+    for (const { ticket } of entry.waiters) this.reply(ticket, reply);
   }
 }
--- a/src/agreement/claim_record.ts
+++ b/src/agreement/claim_record.ts
@@ -70,7 +70,7 @@
 }
 
 /** What a VM asks of the owner. It makes `claimId` itself, so that asking again after a lost answer is harmless. */
-export interface ClaimAsk {
+export interface ClaimRequest {
   readonly key: string;
   readonly body: string;
   readonly claimId: string;
@@ -80,7 +80,7 @@
 }
 
 /** How a key stands for an ask; `free` is the only one that lets it run. */
-export type Standing =
+export type KeyStatus =
   | { readonly type: "free" }
   /** Granted to this very claim id. */
   | { readonly type: "mine" }
@@ -90,7 +90,7 @@
   | { readonly type: "answered"; readonly answer: ClaimAnswer };
 
 /** Claimers remembered for sharing; VMs come and go. */
-const MOST_CLAIMERS = 1000;
+const MAX_INTERNED_CLAIMERS = 1000;
 
 /** The claims of one shard within retention, by key, oldest change first. */
 export class ClaimIndex {
@@ -111,15 +111,15 @@
     const known = this.#byKey.get(event.key);
     if (known && known.n >= event.n) return;
     this.#byKey.delete(event.key);
-    const claimer = this.#shared(event.claimer);
+    const claimer = this.#intern(event.claimer);
     this.#byKey.set(event.key, { ...event, claimer });
   }
 
-  #shared(claimer: Claimer): Claimer {
+  #intern(claimer: Claimer): Claimer {
     const name = `${claimer.id}/${claimer.incarnation}`;
     const known = this.#claimers.get(name);
     if (known) return known;
-    if (this.#claimers.size >= MOST_CLAIMERS) this.#claimers.clear();
+    if (this.#claimers.size >= MAX_INTERNED_CLAIMERS) this.#claimers.clear();
     this.#claimers.set(name, claimer);
     return claimer;
   }
@@ -136,19 +136,19 @@
    * How a key stands. A claimer that is gone leaves its call's outcome unknown: it may have died on either side of
    * the dispatch. A released claim id stays spent, since a late duplicate of its ask would claim for nobody.
    */
-  standing(
-    ask: Pick<ClaimAsk, "key" | "body" | "claimId">,
+  keyStatus(
+    request: Pick<ClaimRequest, "key" | "body" | "claimId">,
     isGone: (event: ClaimEvent) => boolean,
-  ): Standing {
-    const known = this.#byKey.get(ask.key);
+  ): KeyStatus {
+    const known = this.#byKey.get(request.key);
     if (!known) return { type: "free" };
     if (known.state === "released") {
-      return { type: known.claimId === ask.claimId ? "spent" : "free" };
+      return { type: known.claimId === request.claimId ? "spent" : "free" };
     }
-    if (known.body !== ask.body) return { type: "mismatch" };
+    if (known.body !== request.body) return { type: "mismatch" };
     if (known.answer) return { type: "answered", answer: known.answer };
     if (known.state !== "claimed") return { type: "unknown" };
-    if (known.claimId === ask.claimId) return { type: "mine" };
+    if (known.claimId === request.claimId) return { type: "mine" };
     return { type: isGone(known) ? "unknown" : "running" };
   }
 }
--- a/src/agreement/claim_shard.ts
+++ b/src/agreement/claim_shard.ts
@@ -22,8 +22,8 @@
   type ShardView,
 } from "./claim_machine.ts";
 import { ClaimOwner } from "./claim_owner.ts";
-import type { ClaimAsk, ClaimEvent, VmRef } from "./claim_record.ts";
-import { ClaimTakeover, type Owned } from "./claim_takeover.ts";
+import type { ClaimEvent, ClaimRequest, VmRef } from "./claim_record.ts";
+import { ClaimTakeover, type OwnedShard } from "./claim_takeover.ts";
 import {
   ClaimWitness,
   type ReplicaAnswer,
@@ -31,29 +31,29 @@
 } from "./claim_witness.ts";
 
 /** Makes an owner of what a take-over brought. */
-export type MakeOwner = (
+export type OwnerFactory = (
   ...args: ConstructorParameters<typeof ClaimOwner>
 ) => ClaimOwner;
 
 /** What a {@link ClaimShard} is made of. */
-export interface ShardParts {
+export interface ShardOptions {
   readonly me: VmRef;
   readonly keys: ShardKeys;
   readonly limits: ShardLimits;
   readonly random: Random;
   /** Tests put faulty ones here. */
   readonly witness?: ClaimWitness;
-  readonly makeOwner?: MakeOwner;
+  readonly makeOwner?: OwnerFactory;
 }
 
 /** See the module's comment. */
 export class ClaimShard {
-  readonly #parts: ShardParts;
-  readonly #out = new Outbox();
+  readonly #options: ShardOptions;
+  readonly #outbox = new Outbox();
   readonly #witness: ClaimWitness;
   readonly #takeover: ClaimTakeover;
   #owner: ClaimOwner | undefined;
-  #stopped = false;
+  #isStopping = false;
   #view: ShardView = {
     region: "",
     live: [],
@@ -62,43 +62,45 @@
     writesPerS: 20,
   };
 
-  constructor(parts: ShardParts) {
-    this.#parts = parts;
-    this.#witness = parts.witness ?? new ClaimWitness();
-    const { me, keys, limits, random } = parts;
+  constructor(options: ShardOptions) {
+    this.#options = options;
+    this.#witness = options.witness ?? new ClaimWitness();
+    const { me, keys, limits, random } = options;
     this.#takeover = new ClaimTakeover(
       me,
       keys,
       limits,
       random,
       this.#witness,
-      this.#out,
+      this.#outbox,
     );
   }
 
   /** Whether this VM owns the shard and takes claims. */
   get isOwner(): boolean {
-    return this.#owner !== undefined && !this.#owner.stopping;
+    return this.#owner !== undefined && !this.#owner.isStopping;
   }
   /** The owner as far as this VM knows. */
   get owner(): VmRef | undefined {
-    return this.#owner ? this.#parts.me : this.#takeover.at?.head.owner;
+    return this.#owner
+      ? this.#options.me
+      : this.#takeover.storedHead?.head.owner;
   }
   /** Whether this VM has nothing left to hand over. */
   get isStopped(): boolean {
-    return this.#stopped && !this.#owner;
+    return this.#isStopping && !this.#owner;
   }
 
   /** For dumps. */
   state(): Record<string, unknown> {
-    const at = this.#owner?.at ?? this.#takeover.at;
+    const stored = this.#owner?.storedHead ?? this.#takeover.storedHead;
     return {
       role: this.#owner ? "owner" : this.#takeover.phase,
       owner: this.owner,
-      epoch: at?.head.epoch,
-      commit: at?.head.commit,
-      witnesses: at?.head.witnesses,
-      doubtUntilMs: at?.head.doubtUntilMs,
+      epoch: stored?.head.epoch,
+      commit: stored?.head.commit,
+      witnesses: stored?.head.witnesses,
+      doubtUntilMs: stored?.head.doubtUntilMs,
       heldForOwner: this.#witness.size,
       promisedUntilMonoMs: this.#witness.promisedUntilMonoMs,
       ...this.#owner?.state(),
@@ -110,24 +112,24 @@
   }
 
   /** A claim. Replied to once it is settled. */
-  ask(now: Now, ask: ClaimAsk, ticket: Ticket): Effect[] {
-    if (this.#owner) this.#owner.ask(now, ask, ticket);
+  claim(now: Now, ask: ClaimRequest, ticket: Ticket): Effect[] {
+    if (this.#owner) this.#owner.claim(now, ask, ticket);
     else this.#redirect(ticket);
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** A step of a granted claim; replied to with "done" once it is kept. */
   change(now: Now, change: ClaimChange, ticket: Ticket): Effect[] {
     if (this.#owner) this.#owner.change(now, change, ticket);
     else this.#redirect(ticket);
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** How a key stands, without claiming it. */
   lookup(now: Now, key: string, ticket: Ticket): Effect[] {
     if (this.#owner) this.#owner.lookup(now, key, ticket);
     else this.#redirect(ticket);
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** The VM that this one took for the owner said that it is not. */
@@ -137,28 +139,28 @@
 
   /** Time passes. Call it every 100 ms or so. */
   tick(now: Now): Effect[] {
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** Hands the shard over once everything is in the store. */
   stop(now: Now): Effect[] {
-    this.#stopped = true;
+    this.#isStopping = true;
     this.#owner?.stop();
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** The answer to a `read`. */
   onRead(now: Now, result: Result<Entry | undefined, StoreError>): Effect[] {
     if (this.#owner) this.#owner.onRead(now, result);
     else this.#takeover.onRead(now, this.#view, result);
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** The answer to a `write`. */
   onWritten(now: Now, result: Result<number, StoreError>): Effect[] {
     if (this.#owner) this.#owner.onWritten(now, result);
     else this.#takeover.onWritten(now, this.#view, result);
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** The answer to a `load`: the segments' events, oldest segment first. */
@@ -168,12 +170,12 @@
   ): Effect[] {
     const owned = this.#takeover.onLoaded(now, result);
     if (owned) this.#owner = this.#makeOwner(owned);
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
   /** An owner's grants and its wish for a promise, to this VM as a witness. */
   onReplica(now: Now, message: ReplicaMessage): ReplicaAnswer {
-    const { promiseMs } = this.#parts.limits;
+    const { promiseMs } = this.#options.limits;
     return this.#witness.accept(message, now.monoMs, promiseMs);
   }
 
@@ -185,28 +187,28 @@
     sent: { readonly uptoN: number; readonly sentMonoMs: number },
   ): Effect[] {
     this.#owner?.onReplicaAnswer(from, accepted, sent);
-    return this.#pump(now);
+    return this.#advance(now);
   }
 
-  #makeOwner(owned: Owned): ClaimOwner {
-    const { me, keys, limits, random, makeOwner } = this.#parts;
+  #makeOwner(owned: OwnedShard): ClaimOwner {
+    const { me, keys, limits, random, makeOwner } = this.#options;
     const make = makeOwner ?? ((...args) => new ClaimOwner(...args));
-    return make(me, keys, limits, random, this.#out, this.#view, owned);
+    return make(me, keys, limits, random, this.#outbox, this.#view, owned);
   }
 
   #redirect(ticket: Ticket): void {
     const reply = { type: "notOwner", owner: this.owner } as const;
-    this.#out.push({ type: "reply", ticket, reply });
+    this.#outbox.push({ type: "reply", ticket, reply });
   }
 
-  #pump(now: Now): Effect[] {
-    if (this.#owner && this.#stopped) this.#owner.stop();
-    this.#owner?.pump(now, this.#view);
-    if (this.#owner?.ended) {
-      this.#takeover.reset(this.#owner.at, this.#owner.newest, now);
+  #advance(now: Now): Effect[] {
+    if (this.#owner && this.#isStopping) this.#owner.stop();
+    this.#owner?.advance(now, this.#view);
+    if (this.#owner?.hasEnded) {
+      this.#takeover.reset(this.#owner.storedHead, this.#owner.newestHead, now);
       this.#owner = undefined;
     }
-    if (!this.#owner && !this.#stopped) this.#takeover.tick(now, this.#view);
-    return this.#out.drain();
+    if (!this.#owner && !this.#isStopping) this.#takeover.tick(now, this.#view);
+    return this.#outbox.drain();
   }
 }
--- a/src/agreement/claim_shard_test.ts
+++ b/src/agreement/claim_shard_test.ts
@@ -4,40 +4,41 @@
 import type { Step } from "../../test/fuzz_claims_world.ts";
 
 /** Schedules that once broke a rule, with what was wrong then. */
-const found: readonly { readonly was: string; readonly steps: Step[] }[] = [
-  {
-    // The region was restarted in an outage: a key on record as released was denied, its later grant being lost.
-    was: "a released key was not doubted after a lossy take-over",
-    steps: [
-      [3, 0, 5],
-      [21, 0, 0],
-      [0, 0, 0],
-      [4, 0, 61],
-      [5, 0, 0],
-      [7, 25, 0],
-      [7, 2, 0],
-      [7, 0, 0],
-      [20, 0, 0],
-      [0, 0, 0],
-      [17, 0, 29],
-    ],
-  },
-  {
-    // A witness took over and was restarted; the frozen old owner took it for one that could not have taken over.
-    was: "a replaced witness was dropped though it had taken over",
-    steps: [
-      [21, 0, 0],
-      [19, 56, 0],
-      [5, 0, 0],
-      [19, 10, 0],
-      [0, 0, 0],
-      [20, 0, 0],
-      [5, 0, 0],
-      [4, 0, 1],
-      [4, 16, 61],
-    ],
-  },
-];
+const regressions: readonly { readonly was: string; readonly steps: Step[] }[] =
+  [
+    {
+      // The region was restarted in an outage: a key on record as released was denied, its later grant being lost.
+      was: "a released key was not doubted after a lossy take-over",
+      steps: [
+        [3, 0, 5],
+        [21, 0, 0],
+        [0, 0, 0],
+        [4, 0, 61],
+        [5, 0, 0],
+        [7, 25, 0],
+        [7, 2, 0],
+        [7, 0, 0],
+        [20, 0, 0],
+        [0, 0, 0],
+        [17, 0, 29],
+      ],
+    },
+    {
+      // A witness took over and was restarted; the frozen old owner took it for one that could not have taken over.
+      was: "a replaced witness was dropped though it had taken over",
+      steps: [
+        [21, 0, 0],
+        [19, 56, 0],
+        [5, 0, 0],
+        [19, 10, 0],
+        [0, 0, 0],
+        [20, 0, 0],
+        [5, 0, 0],
+        [4, 0, 1],
+        [4, 16, 61],
+      ],
+    },
+  ];
 
 describe("claim shard", () => {
   describe("random schedules of faults", () => {
@@ -55,7 +56,7 @@
     }
   });
   describe("schedules that broke a rule once", () => {
-    for (const { was, steps } of found) {
+    for (const { was, steps } of regressions) {
       it(was, (t) => {
         t.deepEqual(replay(steps).violations, []);
       });
--- a/src/agreement/claim_step.ts
+++ b/src/agreement/claim_step.ts
@@ -5,20 +5,20 @@
  */
 
 import type { ClaimChange, ShardReply } from "./claim_machine.ts";
-import type { ClaimEvent, Standing } from "./claim_record.ts";
+import type { ClaimEvent, KeyStatus } from "./claim_record.ts";
 
 /** The change, with its answer less the body where that exceeds `mostBytes` and would crowd out claims. */
-export function boundedAnswer(
+export function truncateAnswer(
   change: ClaimChange,
-  mostBytes: number,
+  maxBytes: number,
 ): ClaimChange {
   const { answer } = change;
-  if (!answer || answer.bodyBase64.length <= mostBytes) return change;
+  if (!answer || answer.bodyBase64.length <= maxBytes) return change;
   return { ...change, answer: { ...answer, bodyBase64: "", truncated: true } };
 }
 
 /** The event with number `n` that a step makes of what is known of its key; `undefined` if it changes nothing. */
-export function stepEvent(
+export function makeChangeEvent(
   known: ClaimEvent | undefined,
   { key, claimId, state, answer }: ClaimChange,
   nowMs: number,
@@ -37,9 +37,9 @@
 }
 
 /** A standing that lets nothing run, as it is told to who asked. */
-export function asReply(standing: Standing): ShardReply {
-  if (standing.type === "answered") return standing;
-  if (standing.type === "free") return { type: "none" };
-  if (standing.type === "mine") return { type: "running" };
-  return { type: standing.type };
+export function toReply(status: KeyStatus): ShardReply {
+  if (status.type === "answered") return status;
+  if (status.type === "free") return { type: "none" };
+  if (status.type === "mine") return { type: "running" };
+  return { type: status.type };
 }
--- a/src/agreement/claim_takeover.ts
+++ b/src/agreement/claim_takeover.ts
@@ -1,5 +1,5 @@
 /**
- * How a VM comes to own a shard: it reads the head, weighs {@link mayTake}, swaps the head for one with its own name
+ * How a VM comes to own a shard: it reads the head, weighs {@link decideTakeover}, swaps the head for one with its own name
  * and a higher epoch, and loads the claims. From the swap on, every write of the old owner fails.
  *
  * @module
@@ -10,35 +10,35 @@
 import type { Result } from "neverthrow";
 import {
   eventsBytes,
-  type HeadAt,
-  putHead,
-  putSegment,
+  makeHeadWrite,
+  makeSegmentWrite,
   type ShardKeys,
   splitEvents,
+  type StoredHead,
 } from "./claim_batch.ts";
 import {
+  decideTakeover,
   isReplaced,
-  mayTake,
   parseHead,
   type ShardHead,
-  type TakeDecision,
+  type TakeoverDecision,
 } from "./claim_head.ts";
 import type { Now, Outbox, ShardLimits, ShardView } from "./claim_machine.ts";
 import { type ClaimEvent, sameVm, type VmRef } from "./claim_record.ts";
 import type { ClaimWitness } from "./claim_witness.ts";
 
 /** What a VM starts to own a shard with. */
-export interface Owned {
-  readonly at: HeadAt;
+export interface OwnedShard {
+  readonly storedHead: StoredHead;
   readonly openBytes: number;
   /** Monotonic time at which the write that made this VM the owner was sent. */
-  readonly okMonoMs: number;
+  readonly storeOkMonoMs: number;
   /** The segments' events, oldest first. */
   readonly segments: readonly (readonly ClaimEvent[])[];
 }
 
 /** Places after which VMs no longer wait longer. */
-const mostPlaces = 4;
+const MAX_RANK = 4;
 
 type Phase = "watching" | "taking" | "loading";
 
@@ -49,20 +49,20 @@
   readonly #limits: ShardLimits;
   readonly #random: Random;
   readonly #witness: ClaimWitness;
-  readonly #out: Outbox;
+  readonly #outbox: Outbox;
   #phase: Phase = "watching";
-  #known = false;
-  #at: HeadAt | undefined;
+  #isHeadKnown = false;
+  #storedHead: StoredHead | undefined;
   /** The newest head that this VM has seen; the store must not go back behind it. */
-  #newest: ShardHead | undefined;
+  #newestHead: ShardHead | undefined;
   #unchangedSinceMonoMs = 0;
-  #wanted: ShardHead | undefined;
-  #writes: readonly Write[] = [];
+  #takeoverHead: ShardHead | undefined;
+  #takeoverWrites: readonly Write[] = [];
   #busySinceMonoMs: number | undefined;
-  #sentMonoMs = 0;
+  #firstSentMonoMs = 0;
   #failures = 0;
-  #nextMonoMs = 0;
-  #goneSinceMonoMs: number | undefined;
+  #nextTryMonoMs = 0;
+  #ownerGoneSinceMonoMs: number | undefined;
 
   constructor(
     me: VmRef,
@@ -70,19 +70,19 @@
     limits: ShardLimits,
     random: Random,
     witness: ClaimWitness,
-    out: Outbox,
+    outbox: Outbox,
   ) {
     this.#me = me;
     this.#keys = keys;
     this.#limits = limits;
     this.#random = random;
     this.#witness = witness;
-    this.#out = out;
+    this.#outbox = outbox;
   }
 
   /** The head as last read. */
-  get at(): HeadAt | undefined {
-    return this.#at;
+  get storedHead(): StoredHead | undefined {
+    return this.#storedHead;
   }
 
   get phase(): Phase {
@@ -90,26 +90,30 @@
   }
 
   /** Starts over from a head, after this VM's ownership has ended. */
-  reset(at: HeadAt, newest: ShardHead, now: Now): void {
-    this.#newest = newest;
+  reset(stored: StoredHead, newest: ShardHead, now: Now): void {
+    this.#newestHead = newest;
     this.#phase = "watching";
-    this.#known = true;
-    this.#wanted = undefined;
-    this.#seeHead(at, now);
+    this.#isHeadKnown = true;
+    this.#takeoverHead = undefined;
+    this.#updateHead(stored, now);
   }
 
   /** Reads the head again soon: the VM that it names said that it is not the owner. */
   recheck(): void {
-    this.#known = false;
+    this.#isHeadKnown = false;
   }
 
   tick(now: Now, view: ShardView): void {
-    if (this.#busySinceMonoMs !== undefined || now.monoMs < this.#nextMonoMs) {
+    if (
+      this.#busySinceMonoMs !== undefined || now.monoMs < this.#nextTryMonoMs
+    ) {
       return;
     }
     if (this.#phase === "loading") this.#load(now);
-    else if (this.#phase === "taking") this.#sendTake(now);
-    else if (!this.#known || this.#isTurn(now, view)) this.#read(now);
+    else if (this.#phase === "taking") this.#sendTakeover(now);
+    else if (!this.#isHeadKnown || this.#isTimeToTry(now, view)) {
+      this.#read(now);
+    }
   }
 
   /** The answer to a `read`. */
@@ -119,11 +123,11 @@
     result: Result<Entry | undefined, StoreError>,
   ): void {
     this.#busySinceMonoMs = undefined;
-    if (result.isErr()) return this.#fail(now);
+    if (result.isErr()) return this.#scheduleRetry(now);
     this.#failures = 0;
-    this.#known = true;
-    this.#nextMonoMs = now.monoMs + this.#limits.rankDelayMs / 2;
-    this.#onHead(now, view, result.value);
+    this.#isHeadKnown = true;
+    this.#nextTryMonoMs = now.monoMs + this.#limits.rankDelayMs / 2;
+    this.#handleHead(now, view, result.value);
   }
 
   /** The answer to the write of a take-over. */
@@ -133,12 +137,15 @@
     result: Result<number, StoreError>,
   ): void {
     this.#busySinceMonoMs = undefined;
-    if (result.isOk() && this.#wanted) {
-      return this.#startLoading(now, { head: this.#wanted, rev: result.value });
+    if (result.isOk() && this.#takeoverHead) {
+      return this.#startLoading(now, {
+        head: this.#takeoverHead,
+        rev: result.value,
+      });
     }
     if (result.isOk()) return;
-    if (result.error.kind !== "conflict") return this.#fail(now);
-    if (result.error.current) this.#onHead(now, view, result.error.current);
+    if (result.error.kind !== "conflict") return this.#scheduleRetry(now);
+    if (result.error.current) this.#handleHead(now, view, result.error.current);
     else this.#read(now);
   }
 
@@ -146,52 +153,56 @@
   onLoaded(
     now: Now,
     result: Result<readonly (readonly ClaimEvent[])[], StoreError>,
-  ): Owned | undefined {
+  ): OwnedShard | undefined {
     this.#busySinceMonoMs = undefined;
-    if (result.isErr() || !this.#at) {
-      this.#fail(now);
+    if (result.isErr() || !this.#storedHead) {
+      this.#scheduleRetry(now);
       return undefined;
     }
     return {
-      at: this.#at,
-      openBytes: eventsBytes(this.#at.head.open),
-      okMonoMs: this.#sentMonoMs,
+      storedHead: this.#storedHead,
+      openBytes: eventsBytes(this.#storedHead.head.open),
+      storeOkMonoMs: this.#firstSentMonoMs,
       segments: result.value,
     };
   }
 
-  #onHead(now: Now, view: ShardView, entry: Entry | undefined): void {
+  #handleHead(now: Now, view: ShardView, entry: Entry | undefined): void {
     const parsed = entry && parseHead(entry.value);
     if (parsed?.isErr()) {
       this.#log("error", "claim head unreadable", parsed.error);
-      return this.#fail(now);
+      return this.#scheduleRetry(now);
     }
-    const at = entry && parsed?.isOk()
+    const stored = entry && parsed?.isOk()
       ? { head: parsed.value, rev: entry.rev }
       : undefined;
-    if (this.#phase === "taking" && at && this.#isOwnTake(at.head)) {
-      return this.#startLoading(now, at);
+    if (
+      this.#phase === "taking" && stored && this.#isOwnTakeover(stored.head)
+    ) {
+      return this.#startLoading(now, stored);
     }
     this.#phase = "watching";
-    this.#seeHead(at, now);
+    this.#updateHead(stored, now);
     const decision = this.#decide(now, view);
-    if (decision !== "no") this.#take(now, view, decision);
+    if (decision !== "no") this.#startTakeover(now, view, decision);
   }
 
   /** Whether the stored head is the one of this VM's own take-over, whose answer was lost. */
-  #isOwnTake(head: ShardHead): boolean {
+  #isOwnTakeover(head: ShardHead): boolean {
     return head.owner !== undefined && sameVm(head.owner, this.#me) &&
-      head.epoch === this.#wanted?.epoch;
+      head.epoch === this.#takeoverHead?.epoch;
   }
 
-  #seeHead(at: HeadAt | undefined, now: Now): void {
-    if (at?.rev !== this.#at?.rev) this.#unchangedSinceMonoMs = now.monoMs;
-    this.#at = at;
+  #updateHead(stored: StoredHead | undefined, now: Now): void {
+    if (stored?.rev !== this.#storedHead?.rev) {
+      this.#unchangedSinceMonoMs = now.monoMs;
+    }
+    this.#storedHead = stored;
     if (this.#hasRegressed()) {
       const detail =
-        `store has epoch=${at?.head.epoch} commit=${at?.head.commit}`;
+        `store has epoch=${stored?.head.epoch} commit=${stored?.head.commit}`;
       this.#log("error", "claim shard regressed", detail);
-    } else if (at) this.#newest = at.head;
+    } else if (stored) this.#newestHead = stored.head;
   }
 
   /**
@@ -199,62 +210,62 @@
    * are gone. Taking the shard over is lossy then, and an alarm.
    */
   #hasRegressed(): boolean {
-    const newest = this.#newest;
-    const head = this.#at?.head;
+    const newest = this.#newestHead;
+    const head = this.#storedHead?.head;
     if (!newest || !head) return newest !== undefined;
     return head.epoch < newest.epoch ||
       (head.epoch === newest.epoch && head.commit < newest.commit);
   }
 
   /** Whether it is time to read the head with a view to taking over. */
-  #isTurn(now: Now, view: ShardView): boolean {
-    const owner = this.#at?.head.owner;
+  #isTimeToTry(now: Now, view: ShardView): boolean {
+    const owner = this.#storedHead?.head.owner;
     const alive = owner !== undefined &&
       view.live.some((vm) => sameVm(vm, owner));
     if (alive) {
-      this.#goneSinceMonoMs = undefined;
+      this.#ownerGoneSinceMonoMs = undefined;
       return false;
     }
-    this.#goneSinceMonoMs ??= now.monoMs;
-    const waitMs = this.#place(view) * this.#limits.rankDelayMs;
-    return now.monoMs >= this.#goneSinceMonoMs + waitMs;
+    this.#ownerGoneSinceMonoMs ??= now.monoMs;
+    const waitMs = this.#takeoverRank(view) * this.#limits.rankDelayMs;
+    return now.monoMs >= this.#ownerGoneSinceMonoMs + waitMs;
   }
 
   /** How many are to try before this VM does: their writes would only conflict with each other. */
-  #place(view: ShardView): number {
-    const alive = (this.#at?.head.witnesses ?? []).filter((vm) =>
+  #takeoverRank(view: ShardView): number {
+    const alive = (this.#storedHead?.head.witnesses ?? []).filter((vm) =>
       sameVm(vm, this.#me) || view.live.some((other) => sameVm(vm, other))
     );
-    const listed = alive.findIndex((vm) => sameVm(vm, this.#me));
-    return listed >= 0 ? listed : Math.min(view.rank, mostPlaces);
+    const rank = alive.findIndex((vm) => sameVm(vm, this.#me));
+    return rank >= 0 ? rank : Math.min(view.rank, MAX_RANK);
   }
 
   /**
    * Whether the owner shows in the store that it is alive, though this VM does not see it. Two VMs that cannot see each
    * other but both reach the store would otherwise take the shard from each other for ever.
    */
-  #isTouched(now: Now, view: ShardView, head: ShardHead): boolean {
+  #isOwnerActive(now: Now, view: ShardView, head: ShardHead): boolean {
     if (!head.owner || isReplaced(head.owner, [...view.live, this.#me])) {
       return false;
     }
-    const silentMs = 1.5 * this.#limits.touchMs;
-    return now.nowMs - head.touchedAtMs < silentMs &&
-      now.monoMs - this.#unchangedSinceMonoMs < silentMs;
+    const maxAgeMs = 1.5 * this.#limits.touchMs;
+    return now.nowMs - head.touchedAtMs < maxAgeMs &&
+      now.monoMs - this.#unchangedSinceMonoMs < maxAgeMs;
   }
 
-  #decide(now: Now, view: ShardView): TakeDecision {
-    if (!this.#isTurn(now, view)) return "no";
-    const head = this.#at?.head;
-    if (head && this.#isTouched(now, view, head)) {
-      this.#nextMonoMs = now.monoMs + this.#limits.rankDelayMs;
+  #decide(now: Now, view: ShardView): TakeoverDecision {
+    if (!this.#isTimeToTry(now, view)) return "no";
+    const head = this.#storedHead?.head;
+    if (head && this.#isOwnerActive(now, view, head)) {
+      this.#nextTryMonoMs = now.monoMs + this.#limits.rankDelayMs;
       return "no";
     }
     if (head && head.shardCount !== this.#limits.shardCount) {
       this.#log("error", "claim shard count differs", `${head.shardCount}`);
-      this.#fail(now);
+      this.#scheduleRetry(now);
       return "no";
     }
-    const decision = mayTake(head, {
+    const decision = decideTakeover(head, {
       me: this.#me,
       live: view.live,
       nowMs: now.nowMs,
@@ -264,19 +275,21 @@
     }, this.#limits);
     if (decision === "no") {
       const waitMs = this.#limits.rankDelayMs * (1 + view.rank);
-      this.#nextMonoMs = now.monoMs + waitMs;
+      this.#nextTryMonoMs = now.monoMs + waitMs;
     }
     return decision;
   }
 
-  #take(now: Now, view: ShardView, decision: TakeDecision): void {
-    const old = this.#at?.head;
+  #startTakeover(now: Now, view: ShardView, decision: TakeoverDecision): void {
+    const old = this.#storedHead?.head;
     const isLossy = decision === "lossy" || this.#hasRegressed();
     const doubtUntilMs = isLossy
       ? now.nowMs + this.#limits.callerRetryMs
       : old?.doubtUntilMs ?? 0;
-    const carried = old ? this.#witness.missing(old.epoch, old.nextN) : [];
-    const segments = splitEvents(carried, this.#limits.batch.bytes);
+    const replicated = old
+      ? this.#witness.uncommittedEvents(old.epoch, old.nextN)
+      : [];
+    const segments = splitEvents(replicated, this.#limits.batch.bytes);
     const nextSegment = old?.nextSegment ?? 0;
     const head: ShardHead = {
       format: 1,
@@ -285,64 +298,64 @@
       commit: (old?.commit ?? 0) + 1,
       owner: this.#me,
       witnesses: [...view.witnesses],
-      nextN: Math.max(old?.nextN ?? 0, (carried.at(-1)?.n ?? -1) + 1),
+      nextN: Math.max(old?.nextN ?? 0, (replicated.at(-1)?.n ?? -1) + 1),
       firstSegment: old?.firstSegment ?? 0,
       nextSegment: nextSegment + segments.length,
       touchedAtMs: now.nowMs,
       doubtUntilMs,
       open: old?.open ?? [],
     };
-    this.#wanted = head;
+    this.#takeoverHead = head;
     // The old owner's grants go in with the same write: a VM that replaces this one before its first commit would
     // find them nowhere, and grant their keys again.
-    this.#writes = [
-      putHead(this.#keys, head, this.#at?.rev ?? 0),
+    this.#takeoverWrites = [
+      makeHeadWrite(this.#keys, head, this.#storedHead?.rev ?? 0),
       ...segments.map((events, i) =>
-        putSegment(this.#keys, nextSegment + i, events)
+        makeSegmentWrite(this.#keys, nextSegment + i, events)
       ),
     ];
     const kind = isLossy ? "lossy" : "complete";
     this.#log("info", "claim shard take-over", kind);
     this.#phase = "taking";
     // The first sending: the write may take effect from here on, and `touchedAtMs` states this moment.
-    this.#sentMonoMs = now.monoMs;
-    this.#sendTake(now);
+    this.#firstSentMonoMs = now.monoMs;
+    this.#sendTakeover(now);
   }
 
-  #sendTake(now: Now): void {
-    if (!this.#wanted) return;
-    const rev = this.#at?.rev ?? 0;
+  #sendTakeover(now: Now): void {
+    if (!this.#takeoverHead) return;
+    const rev = this.#storedHead?.rev ?? 0;
     // In the same step as the check of the promise: from here on this VM gives none for this head.
-    this.#witness.startTake(rev);
+    this.#witness.startTakeover(rev);
     this.#busySinceMonoMs = now.monoMs;
-    this.#out.push({ type: "write", writes: this.#writes });
+    this.#outbox.push({ type: "write", writes: this.#takeoverWrites });
   }
 
-  #startLoading(now: Now, at: HeadAt): void {
+  #startLoading(now: Now, stored: StoredHead): void {
     this.#phase = "loading";
-    this.#at = at;
+    this.#storedHead = stored;
     this.#failures = 0;
     this.#load(now);
   }
 
   #load(now: Now): void {
     this.#busySinceMonoMs = now.monoMs;
-    const { firstSegment, nextSegment } = this.#at!.head;
-    this.#out.push({ type: "load", from: firstSegment, to: nextSegment });
+    const { firstSegment, nextSegment } = this.#storedHead!.head;
+    this.#outbox.push({ type: "load", from: firstSegment, to: nextSegment });
   }
 
   #read(now: Now): void {
     this.#busySinceMonoMs = now.monoMs;
-    this.#out.push({ type: "read" });
+    this.#outbox.push({ type: "read" });
   }
 
-  #fail(now: Now): void {
+  #scheduleRetry(now: Now): void {
     const waitMs = backoffMs(
       this.#failures++,
       this.#limits.backoff,
       this.#random,
     );
-    this.#nextMonoMs = now.monoMs + waitMs;
+    this.#nextTryMonoMs = now.monoMs + waitMs;
   }
 
   #log(
@@ -350,7 +363,7 @@
     event: string,
     detail: string,
   ): void {
-    this.#out.push({ type: "log", level, event, detail });
+    this.#outbox.push({ type: "log", level, event, detail });
   }
 }
 
--- a/src/agreement/claim_witness.ts
+++ b/src/agreement/claim_witness.ts
@@ -26,7 +26,7 @@
   #epoch = 0;
   #promisedUntilMonoMs = -Infinity;
   #events = new Map<number, ClaimEvent>();
-  #takeIfRev = 0;
+  #takeoverRev = 0;
 
   get promisedUntilMonoMs(): number {
     return this.#promisedUntilMonoMs;
@@ -47,7 +47,7 @@
     monoMs: number,
     promiseMs: number,
   ): ReplicaAnswer {
-    if (message.epoch < this.#epoch || message.headRev <= this.#takeIfRev) {
+    if (message.epoch < this.#epoch || message.headRev <= this.#takeoverRev) {
       return { accepted: false };
     }
     if (message.epoch > this.#epoch) this.#events.clear();
@@ -64,12 +64,12 @@
   }
 
   /** From here on no promise is given for the head of this revision; call it before the take-over is sent. */
-  startTake(ifRev: number): void {
-    this.#takeIfRev = Math.max(this.#takeIfRev, ifRev);
+  startTakeover(headRev: number): void {
+    this.#takeoverRev = Math.max(this.#takeoverRev, headRev);
   }
 
   /** The events of an owner's `epoch` that are not in the store, in order. */
-  missing(epoch: number, nextN: number): ClaimEvent[] {
+  uncommittedEvents(epoch: number, nextN: number): ClaimEvent[] {
     if (epoch !== this.#epoch) return [];
     return [...this.#events.values()]
       .filter((event) => event.n >= nextN)
--- a/src/agreement/directory.ts
+++ b/src/agreement/directory.ts
@@ -15,7 +15,7 @@
 }
 
 /** An entry VM with its share of the caller's requests, 0 to 1; a share of 0 is for when all others fail. */
-export interface Ranked<T> {
+export interface RankedVm<T> {
   readonly vm: T;
   readonly weight: number;
 }
@@ -24,7 +24,7 @@
  * More VMs than this do not help a caller: the chance that so many fail before it asks again is nil, and the answer
  * stays small at 67 VMs a region.
  */
-const MOST_RANKED = 6;
+const MAX_RANKED_VMS = 6;
 
 /**
  * Ranks the VMs of a region for a workspace. The order is by rendezvous hash, so that a workspace's callers agree on it
@@ -35,15 +35,15 @@
 export function rankForWorkspace<T extends RankedCandidate>(
   workspace: string,
   vms: readonly T[],
-): Ranked<T>[] {
+): RankedVm<T>[] {
   const live = vms.filter((vm) => vm.state === "live");
   const order = rendezvous(`directory/${workspace}`, live, (vm) => vm.id);
   const first = order[0];
-  const other = order.findIndex((vm) =>
+  const otherDomain = order.findIndex((vm) =>
     vm.failureDomain !== first.failureDomain
   );
-  if (other > 1) order.splice(1, 0, ...order.splice(other, 1));
-  const ranked = order.slice(0, MOST_RANKED);
+  if (otherDomain > 1) order.splice(1, 0, ...order.splice(otherDomain, 1));
+  const ranked = order.slice(0, MAX_RANKED_VMS);
   let sum = 0;
   for (let rank = 1; rank <= ranked.length; rank++) sum += 1 / rank;
   return ranked.map((vm, index) => ({
--- a/src/agreement/fence.ts
+++ b/src/agreement/fence.ts
@@ -47,7 +47,7 @@
 }
 
 /** The defaults. */
-export const defaultFenceLimits: FenceLimits = {
+export const DEFAULT_FENCE_LIMITS: FenceLimits = {
   leaseMs: 15_000,
   marginMs: 3000,
   orderMs: 3000,
@@ -71,7 +71,7 @@
  * holder. For the others the old holder's lease is waited out, also if the holder is known to have ended: its last
  * order may still be on the wire.
  */
-export function nextFence(
+export function nextFenceStep(
   seen: SeenFence,
   me: VmRef,
   checksFence: boolean,
@@ -100,7 +100,7 @@
 }
 
 /** What a successful write that was sent at `sentMonoMs` gives. */
-export function heldFence(
+export function makeHeldFence(
   record: FenceRecord,
   rev: number,
   sentMonoMs: number,
@@ -112,6 +112,6 @@
 }
 
 /** Whether an order may start now: checked in the step that sends it. */
-export function maySend(held: HeldFence, monoMs: number): boolean {
+export function canSend(held: HeldFence, monoMs: number): boolean {
   return monoMs < held.sendUntilMonoMs;
 }
--- a/src/agreement/lead.ts
+++ b/src/agreement/lead.ts
@@ -83,13 +83,13 @@
 }
 
 /** A digest of a set of attempts that does not depend on their order. */
-export interface HeldDigest {
+export interface AttemptsDigest {
   readonly count: number;
   readonly xor: number;
 }
 
 /** The digest of these attempts; equal sets have equal digests. */
-export function heldDigest(attemptIds: Iterable<string>): HeldDigest {
+export function digestAttempts(attemptIds: Iterable<string>): AttemptsDigest {
   let count = 0;
   let xor = 0;
   for (const id of attemptIds) {
--- a/src/agreement/lead_book.ts
+++ b/src/agreement/lead_book.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { type HeldDigest, heldDigest } from "./lead.ts";
+import { type AttemptsDigest, digestAttempts } from "./lead.ts";
 
 /**
  * A grant younger than this may still be under way to its entry VM when that VM lists what it holds. Freeing it then
@@ -23,7 +23,7 @@
 }
 
 /** The grants of one lead. */
-export class LeadBook {
+export class GrantIndex {
   readonly #byVm = new Map<string, Map<string, number>>();
   readonly #vmOf = new Map<string, string>();
 
@@ -63,8 +63,8 @@
   }
 
   /** Whether `vmId` holds exactly what the book says. */
-  agrees(vmId: string, digest: HeldDigest): boolean {
-    const own = heldDigest(this.#byVm.get(vmId)?.keys() ?? []);
+  matches(vmId: string, digest: AttemptsDigest): boolean {
+    const own = digestAttempts(this.#byVm.get(vmId)?.keys() ?? []);
     return own.count === digest.count && own.xor === digest.xor;
   }
 
--- a/src/agreement/member_list.ts
+++ b/src/agreement/member_list.ts
@@ -8,7 +8,7 @@
 import type { MemberRecord } from "./member_record.ts";
 
 /** Times of membership. */
-export interface MembersTimes {
+export interface MembershipTimes {
   /** One ping in this time. */
   readonly periodMs: number;
   /** A suspect has this long to answer, and a part more for each doubling of the region. */
@@ -20,8 +20,8 @@
   readonly meetMs: number;
 }
 
-/** See {@link MembersTimes}. */
-export const MEMBERS_TIMES: MembersTimes = {
+/** See {@link MembershipTimes}. */
+export const DEFAULT_MEMBERSHIP_TIMES: MembershipTimes = {
   periodMs: 600,
   suspectMs: 1000,
   suspectPerDoublingMs: 200,
@@ -30,10 +30,10 @@
 };
 
 /** Bounds the memory that wrong records can take. */
-const MOST_MEMBERS = 1024;
+const MAX_MEMBERS = 1024;
 
 /** How long a VM's table version is passed on: all have heard it by then, and an idle table costs nothing. */
-const FRESH_VERSION_MS = 10_000;
+const VERSION_GOSSIP_MS = 10_000;
 
 /** One known VM. */
 export interface MemberEntry {
@@ -47,10 +47,10 @@
 
 /** See the module's comment. */
 export class MemberList {
-  readonly #times: MembersTimes;
+  readonly #times: MembershipTimes;
   readonly #entries = new Map<string, MemberEntry>();
 
-  constructor(times: MembersTimes) {
+  constructor(times: MembershipTimes) {
     this.#times = times;
   }
 
@@ -71,11 +71,11 @@
   /** Sets the record of its VM; answers whether there was room. */
   put(record: MemberRecord, nowMs: number): boolean {
     const known = this.#entries.get(record.id);
-    if (!known && this.#entries.size >= MOST_MEMBERS) return false;
+    if (!known && this.#entries.size >= MAX_MEMBERS) return false;
     const restarted = known?.record.incarnation !== record.incarnation;
     this.#entries.set(record.id, {
       record,
-      deadlineMs: this.#deadline(record, nowMs),
+      deadlineMs: this.#deadlineFor(record, nowMs),
       tableVersion: restarted ? 0 : known!.tableVersion,
       versionAtMs: restarted ? 0 : known!.versionAtMs,
     });
@@ -94,14 +94,14 @@
   }
 
   /** Gives all suspects their whole time again. */
-  forgive(nowMs: number): void {
+  restartSuspicions(nowMs: number): void {
     for (const entry of this.#entries.values()) {
       if (entry.record.status !== "suspect") continue;
-      entry.deadlineMs = this.#deadline(entry.record, nowMs);
+      entry.deadlineMs = this.#deadlineFor(entry.record, nowMs);
     }
   }
 
-  hearVersion(vmId: string, version: number, nowMs: number): void {
+  recordVersion(vmId: string, version: number, nowMs: number): void {
     const entry = this.#entries.get(vmId);
     if (!entry || version <= entry.tableVersion) return;
     entry.tableVersion = version;
@@ -109,18 +109,18 @@
   }
 
   /** The table versions of VMs that are present, where they are news. */
-  freshVersions(nowMs: number): [vmId: string, version: number][] {
+  recentVersions(nowMs: number): [vmId: string, version: number][] {
     const versions: [string, number][] = [];
     for (const entry of this.#entries.values()) {
       const { record, tableVersion, versionAtMs } = entry;
       if (record.status === "dead" || tableVersion === 0) continue;
-      if (nowMs - versionAtMs > FRESH_VERSION_MS) continue;
+      if (nowMs - versionAtMs > VERSION_GOSSIP_MS) continue;
       versions.push([record.id, tableVersion]);
     }
     return versions;
   }
 
-  #deadline(record: MemberRecord, nowMs: number): number {
+  #deadlineFor(record: MemberRecord, nowMs: number): number {
     if (record.status === "dead") return nowMs + this.#times.rememberDeadMs;
     const doublings = Math.log2(this.present().length + 1);
     return nowMs + this.#times.suspectMs +
--- a/src/agreement/member_news.ts
+++ b/src/agreement/member_news.ts
@@ -50,7 +50,7 @@
   | RegionNews
   | ContactNews;
 
-interface Queued {
+interface QueuedItem {
   readonly item: NewsItem;
   readonly bytes: number;
   sends: number;
@@ -60,13 +60,13 @@
 const RATE_BYTES_PER_S = 300;
 const BURST_BYTES = 2000;
 /** Most statements about VMs in one message: a region that starts, or loses half, is told in a few messages. */
-const MOST_MEMBER_ITEMS = 24;
+const MAX_MEMBER_ITEMS = 24;
 
 /** Items that wait to be passed on. */
 export class NewsQueue {
-  readonly #queued = new Map<string, Queued>();
-  #allowanceBytes = BURST_BYTES;
-  #filledAtMs: number | undefined;
+  readonly #queued = new Map<string, QueuedItem>();
+  #availableBytes = BURST_BYTES;
+  #refilledAtMs: number | undefined;
 
   /** Passes this item on, in place of an older one about the same thing. */
   add(item: NewsItem): void {
@@ -77,21 +77,21 @@
   }
 
   /** The items for the next message to one of `vms` VMs. */
-  take(vms: number, nowMs: number): NewsItem[] {
-    this.#fill(nowMs);
-    const log = Math.ceil(Math.log2(vms + 1));
+  take(vmCount: number, nowMs: number): NewsItem[] {
+    this.#refill(nowMs);
+    const rounds = Math.ceil(Math.log2(vmCount + 1));
     const queued = [...this.#queued].sort(([, a], [, b]) => a.sends - b.sends);
     const items: NewsItem[] = [];
     let members = 0;
     for (const [key, entry] of queued) {
       const isMember = entry.item.type === "member";
-      if (isMember && members >= MOST_MEMBER_ITEMS) continue;
-      if (!isMember && this.#allowanceBytes <= 0) continue;
+      if (isMember && members >= MAX_MEMBER_ITEMS) continue;
+      if (!isMember && this.#availableBytes <= 0) continue;
       if (isMember) members++;
-      else this.#allowanceBytes -= entry.bytes;
+      else this.#availableBytes -= entry.bytes;
       items.push(entry.item);
       entry.sends++;
-      if (entry.sends >= (isMember ? 2 * log : log + 1)) {
+      if (entry.sends >= (isMember ? 2 * rounds : rounds + 1)) {
         this.#queued.delete(key);
       }
     }
@@ -107,11 +107,14 @@
     return { all: this.#queued.size, members };
   }
 
-  #fill(nowMs: number): void {
-    const gainedMs = nowMs - (this.#filledAtMs ?? nowMs);
-    this.#filledAtMs = nowMs;
-    const gained = Math.max(0, gainedMs) * RATE_BYTES_PER_S / 1000;
-    this.#allowanceBytes = Math.min(BURST_BYTES, this.#allowanceBytes + gained);
+  #refill(nowMs: number): void {
+    const elapsedMs = nowMs - (this.#refilledAtMs ?? nowMs);
+    this.#refilledAtMs = nowMs;
+    const addedBytes = Math.max(0, elapsedMs) * RATE_BYTES_PER_S / 1000;
+    this.#availableBytes = Math.min(
+      BURST_BYTES,
+      this.#availableBytes + addedBytes,
+    );
   }
 }
 
--- a/src/agreement/member_record.ts
+++ b/src/agreement/member_record.ts
@@ -23,7 +23,11 @@
   readonly callerUrl: string;
 }
 
-const rank: Record<MemberStatus, number> = { live: 0, suspect: 1, dead: 2 };
+const STATUS_RANK: Record<MemberStatus, number> = {
+  live: 0,
+  suspect: 1,
+  dead: 2,
+};
 
 /**
  * Whether statement `a` replaces `b`. What a VM says of itself with a higher beat beats all that others say about an
@@ -33,5 +37,5 @@
 export function replaces(a: MemberRecord, b: MemberRecord): boolean {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation;
   if (a.beat !== b.beat) return a.beat > b.beat;
-  return rank[a.status] > rank[b.status];
+  return STATUS_RANK[a.status] > STATUS_RANK[b.status];
 }
--- a/src/agreement/member_view.ts
+++ b/src/agreement/member_view.ts
@@ -6,33 +6,33 @@
  */
 
 /** So many messages in a row that differ mean that something was lost. */
-const DIFFERENT_VIEWS = 4;
+const DIFFERENCES_BEFORE_SYNC = 4;
 /**
  * An exchange costs as many bytes as the region has VMs. Where it does not help (a VM that only some can reach is seen
  * differently for as long as that lasts) the next one waits longer.
  */
-const FIRST_PAUSE_MS = 3000;
-const MOST_PAUSE_MS = 60_000;
+const MIN_SYNC_INTERVAL_MS = 3000;
+const MAX_SYNC_INTERVAL_MS = 60_000;
 
 /** One VM's count of messages that differed. */
-export class ViewCheck {
+export class SyncTrigger {
   #differences = 0;
-  #pauseMs = FIRST_PAUSE_MS;
-  #notBeforeMs = 0;
+  #intervalMs = MIN_SYNC_INTERVAL_MS;
+  #nextSyncMs = 0;
 
   /** A message came whose sender sees the same. */
-  same(): void {
+  recordSame(): void {
     this.#differences = 0;
-    this.#pauseMs = FIRST_PAUSE_MS;
+    this.#intervalMs = MIN_SYNC_INTERVAL_MS;
   }
 
   /** A message came whose sender sees something else; answers whether to exchange all with it now. */
-  differs(nowMs: number): boolean {
+  recordDifference(nowMs: number): boolean {
     this.#differences++;
-    if (this.#differences < DIFFERENT_VIEWS) return false;
-    if (nowMs < this.#notBeforeMs) return false;
-    this.#notBeforeMs = nowMs + this.#pauseMs;
-    this.#pauseMs = Math.min(MOST_PAUSE_MS, 2 * this.#pauseMs);
+    if (this.#differences < DIFFERENCES_BEFORE_SYNC) return false;
+    if (nowMs < this.#nextSyncMs) return false;
+    this.#nextSyncMs = nowMs + this.#intervalMs;
+    this.#intervalMs = Math.min(MAX_SYNC_INTERVAL_MS, 2 * this.#intervalMs);
     return true;
   }
 }
--- a/src/agreement/members.ts
+++ b/src/agreement/members.ts
@@ -9,14 +9,14 @@
 import { hash32, Random } from "../base/mod.ts";
 import { type NewsItem, NewsQueue } from "./member_news.ts";
 import {
+  DEFAULT_MEMBERSHIP_TIMES,
   type MemberEntry,
   MemberList,
-  MEMBERS_TIMES,
-  type MembersTimes,
+  type MembershipTimes,
   viewDigest,
 } from "./member_list.ts";
 import { type MemberRecord, replaces } from "./member_record.ts";
-import { ViewCheck } from "./member_view.ts";
+import { SyncTrigger } from "./member_view.ts";
 
 /** Rides on each ping and answer. */
 export interface Gossip {
@@ -34,7 +34,7 @@
 export type TableVersion = readonly [vmId: string, version: number];
 
 /** What the task must do after a step. */
-export type MembersOutput =
+export type MembershipOutput =
   | { readonly type: "ping"; readonly target: MemberRecord }
   | {
     readonly type: "pingVia";
@@ -47,28 +47,28 @@
   | { readonly type: "tell"; readonly targets: readonly MemberRecord[] };
 
 /** VMs told at once when something must not wait for its turn. */
-const TELL_AT_ONCE = 8;
-const HELPERS = 2;
+const URGENT_FANOUT = 8;
+const PING_HELPERS = 2;
 const VERSIONS_PER_MESSAGE = 3;
 
 /** The machine of one VM. */
-export class Members {
+export class Membership {
   #self: MemberRecord;
-  readonly #times: MembersTimes;
+  readonly #times: MembershipTimes;
   readonly #random: Random;
   readonly #list: MemberList;
   readonly #news = new NewsQueue();
-  readonly #viewCheck = new ViewCheck();
+  readonly #syncTrigger = new SyncTrigger();
   #tableVersion = 0;
-  #round: string[] = [];
+  #pingOrder: string[] = [];
   #nextPingMs = 0;
-  #nextMeetMs = 0;
+  #nextContactMs = 0;
   #lastTickMs: number | undefined;
   #seeds: readonly string[] = [];
 
   constructor(
     self: Omit<MemberRecord, "beat" | "status" | "leaving">,
-    times: MembersTimes = MEMBERS_TIMES,
+    times: MembershipTimes = DEFAULT_MEMBERSHIP_TIMES,
   ) {
     this.#self = { ...self, beat: 0, status: "live", leaving: false };
     this.#times = times;
@@ -106,24 +106,24 @@
   }
 
   /** Passes an item on with the next messages. */
-  spread(item: NewsItem): void {
+  queueNews(item: NewsItem): void {
     this.#news.add(item);
   }
 
   /** This VM starts to leave, or is gone for good. Told at once: until it is known, others still send work here. */
-  leave(gone: boolean): MembersOutput[] {
+  leave(gone: boolean): MembershipOutput[] {
     if (this.#self.leaving && !gone) return [];
-    this.#raise({
+    this.#updateSelf({
       leaving: true,
       status: gone ? "dead" : this.#self.status,
     });
-    return [this.#tellAtOnce()];
+    return [this.#tellUrgently()];
   }
 
   /** Time passes; called several times in a period. */
-  tick(nowMs: number): MembersOutput[] {
-    const outputs: MembersOutput[] = [];
-    this.#forgivePause(nowMs);
+  tick(nowMs: number): MembershipOutput[] {
+    const outputs: MembershipOutput[] = [];
+    this.#handlePause(nowMs);
     for (const record of this.#list.expire(nowMs)) {
       this.learn({ ...record, status: "dead" }, nowMs);
     }
@@ -132,16 +132,16 @@
       const target = this.#nextTarget();
       if (target) outputs.push({ type: "ping", target });
     }
-    if (nowMs >= this.#nextMeetMs) {
-      this.#nextMeetMs = nowMs + this.#times.meetMs;
-      const address = this.#stranger();
+    if (nowMs >= this.#nextContactMs) {
+      this.#nextContactMs = nowMs + this.#times.meetMs;
+      const address = this.#pickAbsentAddress();
       if (address) outputs.push({ type: "sync", address });
     }
     return outputs;
   }
 
   /** A call to this VM failed: ping it now. */
-  check(vmId: string): MembersOutput[] {
+  probe(vmId: string): MembershipOutput[] {
     const target = this.#list.get(vmId)?.record;
     if (target?.status !== "live") return [];
     return [{ type: "ping", target }];
@@ -156,7 +156,7 @@
       table: this.#tableVersion,
       view: viewDigest(this.present()),
       versions: this.#random.sample(
-        this.#list.freshVersions(nowMs),
+        this.#list.recentVersions(nowMs),
         VERSIONS_PER_MESSAGE,
       ),
       news: this.#news.take(this.present().length, nowMs),
@@ -164,37 +164,37 @@
   }
 
   /** Takes what rode on a ping or an answer. Items other than statements about VMs are the caller's. */
-  hear(gossip: Gossip, nowMs: number): MembersOutput[] {
-    const outputs: MembersOutput[] = [];
+  receive(gossip: Gossip, nowMs: number): MembershipOutput[] {
+    const outputs: MembershipOutput[] = [];
     for (const item of gossip.news) {
       if (item.type === "member") {
         outputs.push(...this.learn(item.record, nowMs));
       }
     }
     for (const [id, version] of gossip.versions) {
-      this.#list.hearVersion(id, version, nowMs);
+      this.#list.recordVersion(id, version, nowMs);
     }
-    this.#list.hearVersion(gossip.vm, gossip.table, nowMs);
+    this.#list.recordVersion(gossip.vm, gossip.table, nowMs);
     const sender = this.#list.get(gossip.vm);
-    if (sender && this.#mustSync(sender, gossip, nowMs)) {
+    if (sender && this.#shouldSync(sender, gossip, nowMs)) {
       outputs.push({ type: "sync", address: sender.record.peerAddress });
     }
     return outputs;
   }
 
   /** No answer came to a ping. */
-  pingFailed(vmId: string): MembersOutput[] {
+  pingFailed(vmId: string): MembershipOutput[] {
     const target = this.#list.get(vmId)?.record;
     if (!target || target.status === "dead") return [];
     const others = this.#list.present().filter((record) =>
       record.id !== vmId && record.status === "live"
     );
-    const helpers = this.#random.sample(others, HELPERS);
+    const helpers = this.#random.sample(others, PING_HELPERS);
     return [{ type: "pingVia", target, helpers }];
   }
 
   /** No helper had an answer either: the VM of this record has until its deadline to contradict. */
-  unanswered(record: MemberRecord, nowMs: number): MembersOutput[] {
+  indirectPingFailed(record: MemberRecord, nowMs: number): MembershipOutput[] {
     const known = this.#list.get(record.id)?.record;
     if (known?.status !== "live") return [];
     if (this.replaces(known, record)) return [];
@@ -202,9 +202,9 @@
   }
 
   /** Takes a statement about a VM, if it is news. */
-  learn(record: MemberRecord, nowMs: number): MembersOutput[] {
+  learn(record: MemberRecord, nowMs: number): MembershipOutput[] {
     if (record.region !== this.#self.region) return [];
-    if (record.id === this.#self.id) return this.#hearOfSelf(record);
+    if (record.id === this.#self.id) return this.#refute(record);
     const known = this.#list.get(record.id);
     if (known && !this.replaces(record, known.record)) return [];
     if (this.#list.put(record, nowMs)) {
@@ -233,74 +233,81 @@
    * Another VM says that this one is suspect or dead, or that an older process with its id had a higher incarnation (its
    * clock was ahead). The only one who can contradict is this VM, with a statement that replaces theirs.
    */
-  #hearOfSelf(record: MemberRecord): MembersOutput[] {
+  #refute(record: MemberRecord): MembershipOutput[] {
     if (!this.replaces(record, this.#self)) return [];
     if (this.#self.status === "dead") return [];
-    const older = record.incarnation > this.#self.incarnation;
+    const isOutdated = record.incarnation > this.#self.incarnation;
     this.#self = {
       ...this.#self,
-      incarnation: older ? record.incarnation + 1 : this.#self.incarnation,
+      incarnation: isOutdated ? record.incarnation + 1 : this.#self.incarnation,
       beat: record.beat,
     };
-    this.#raise({});
-    return [this.#tellAtOnce()];
+    this.#updateSelf({});
+    return [this.#tellUrgently()];
   }
 
-  #raise(change: Partial<Pick<MemberRecord, "leaving" | "status">>): void {
+  #updateSelf(change: Partial<Pick<MemberRecord, "leaving" | "status">>): void {
     this.#self = { ...this.#self, beat: this.#self.beat + 1, ...change };
     this.#news.add({ type: "member", record: this.#self });
   }
 
-  #tellAtOnce(): MembersOutput {
+  #tellUrgently(): MembershipOutput {
     return {
       type: "tell",
-      targets: this.#random.sample(this.#list.present(), TELL_AT_ONCE),
+      targets: this.#random.sample(this.#list.present(), URGENT_FANOUT),
     };
   }
 
   /** This VM was paused, so the others had no chance to answer it: its suspicions start anew. */
-  #forgivePause(nowMs: number): void {
+  #handlePause(nowMs: number): void {
     const gapMs = nowMs - (this.#lastTickMs ?? nowMs);
     this.#lastTickMs = nowMs;
     if (gapMs < 2 * this.#times.periodMs) return;
-    this.#list.forgive(nowMs);
+    this.#list.restartSuspicions(nowMs);
   }
 
   /** Each VM once in a round of shuffled order: a dead one is found in a bounded time, not only on average. */
   #nextTarget(): MemberRecord | undefined {
     for (let tries = 0; tries < 2; tries++) {
-      while (this.#round.length > 0) {
-        const record = this.#list.get(this.#round.pop()!)?.record;
+      while (this.#pingOrder.length > 0) {
+        const record = this.#list.get(this.#pingOrder.pop()!)?.record;
         if (record && record.status !== "dead") return record;
       }
       const ids = this.#list.present().map((record) => record.id);
-      this.#round = this.#random.sample(ids, ids.length);
+      this.#pingOrder = this.#random.sample(ids, ids.length);
     }
     return undefined;
   }
 
   /** An address whose VM is not known to be present. */
-  #stranger(): string | undefined {
+  #pickAbsentAddress(): string | undefined {
     const present = new Set(this.present().map((record) => record.peerAddress));
-    const strangers = new Set(this.#seeds);
+    const candidates = new Set(this.#seeds);
     for (const { status, peerAddress } of this.#list.all()) {
-      if (status === "dead") strangers.add(peerAddress);
+      if (status === "dead") candidates.add(peerAddress);
     }
-    const addresses = [...strangers].filter((address) => !present.has(address));
+    const addresses = [...candidates].filter((address) =>
+      !present.has(address)
+    );
     return addresses.length > 0 ? this.#random.pick(addresses) : undefined;
   }
 
-  #mustSync(
+  #shouldSync(
     { record }: MemberEntry,
     { incarnation, beat, view }: Gossip,
     nowMs: number,
   ): boolean {
-    const said = { ...record, incarnation, beat, status: "live" as const };
-    const unknown = this.replaces(said, record);
-    if (!unknown && view === viewDigest(this.present())) {
-      this.#viewCheck.same();
+    const senderRecord = {
+      ...record,
+      incarnation,
+      beat,
+      status: "live" as const,
+    };
+    const isNewer = this.replaces(senderRecord, record);
+    if (!isNewer && view === viewDigest(this.present())) {
+      this.#syncTrigger.recordSame();
       return false;
     }
-    return this.#viewCheck.differs(nowMs);
+    return this.#syncTrigger.recordDifference(nowMs);
   }
 }
--- a/src/agreement/members_sim_test.ts
+++ b/src/agreement/members_sim_test.ts
@@ -2,11 +2,11 @@
 import fc from "fast-check";
 import { describe, it } from "../base/describe.ts";
 import {
+  DEFAULT_MEMBERSHIP_TIMES,
   type Gossip,
   type MemberRecord,
-  Members,
-  MEMBERS_TIMES,
-  type MembersOutput,
+  Membership,
+  type MembershipOutput,
   replaces,
 } from "./mod.ts";
 
@@ -26,25 +26,27 @@
 /** Enough for a suspicion to pass, a stranger to be met and all news to be heard. */
 const SETTLE_MS = 40_000;
 
-type Make = (self: ConstructorParameters<typeof Members>[0]) => Members;
+type MakeMembership = (
+  self: ConstructorParameters<typeof Membership>[0],
+) => Membership;
 
 /** VMs whose messages a schedule loses, doubles and delays. Time is a number; nothing here waits. */
-class Fleet {
-  readonly machines: (Members | undefined)[] = [];
+class SimRegion {
+  readonly machines: (Membership | undefined)[] = [];
   readonly violations: string[] = [];
-  readonly #make: Make;
+  readonly #make: MakeMembership;
   readonly #cuts = new Set<string>();
   readonly #paused = new Set<number>();
   readonly #sent: Gossip[] = [];
   readonly #seen = new Map<string, MemberRecord>();
   #nowMs = 1000;
   /** Until the first fault nobody may be suspected. */
-  #faulty = false;
+  #hadFault = false;
 
-  constructor(make: Make) {
+  constructor(make: MakeMembership) {
     this.#make = make;
     for (let n = 0; n < VMS; n++) this.#start(n);
-    this.#pass(SETTLE_MS / 4);
+    this.#advance(SETTLE_MS / 4);
   }
 
   run(steps: readonly Step[]): void {
@@ -55,7 +57,7 @@
   settle(): void {
     this.#cuts.clear();
     this.#paused.clear();
-    this.#pass(SETTLE_MS);
+    this.#advance(SETTLE_MS);
     const running = this.machines.filter((m) => m !== undefined);
     const wanted = running.map((m) => stateOf(m.self)).sort().join(" ");
     for (const machine of running) {
@@ -66,11 +68,11 @@
   }
 
   #step(step: Step): void {
-    this.#faulty ||= step.type === "cut" || step.type === "crash" ||
+    this.#hadFault ||= step.type === "cut" || step.type === "crash" ||
       step.type === "pause";
     switch (step.type) {
       case "pass":
-        return this.#pass(step.ms);
+        return this.#advance(step.ms);
       case "cut":
         return void this.#cuts.add(`${step.a}>${step.b}`);
       case "heal":
@@ -85,10 +87,10 @@
       case "resume":
         return void this.#paused.delete(step.a);
       case "leave":
-        return this.#do(step.a, this.machines[step.a]?.leave(false) ?? []);
+        return this.#perform(step.a, this.machines[step.a]?.leave(false) ?? []);
       case "replay": {
         const old = this.#sent[step.message % Math.max(1, this.#sent.length)];
-        if (old) this.#hear(step.a, old);
+        if (old) this.#deliver(step.a, old);
       }
     }
   }
@@ -107,13 +109,13 @@
     this.machines[n] = machine;
   }
 
-  #pass(ms: number): void {
+  #advance(ms: number): void {
     const endMs = this.#nowMs + ms;
     while (this.#nowMs < endMs) {
       this.#nowMs += TICK_MS;
       this.machines.forEach((machine, n) => {
         if (!machine || this.#paused.has(n)) return;
-        this.#do(n, machine.tick(this.#nowMs));
+        this.#perform(n, machine.tick(this.#nowMs));
         this.#check(machine);
       });
     }
@@ -124,14 +126,14 @@
       !this.#cuts.has(`${from}>${to}`);
   }
 
-  #do(n: number, outputs: readonly MembersOutput[]): void {
+  #perform(n: number, outputs: readonly MembershipOutput[]): void {
     const machine = this.machines[n];
     if (!machine || this.#paused.has(n)) return;
     for (const output of outputs) {
       if (output.type === "ping") {
         const target = Number(output.target.peerAddress);
         if (!this.#ping(n, target)) {
-          this.#do(n, machine.pingFailed(output.target.id));
+          this.#perform(n, machine.pingFailed(output.target.id));
         }
       } else if (output.type === "pingVia") {
         const { target, helpers } = output;
@@ -142,13 +144,13 @@
             this.#reaches(via, n);
         });
         if (answered) continue;
-        this.#do(n, machine.unanswered(target, this.#nowMs));
+        this.#perform(n, machine.indirectPingFailed(target, this.#nowMs));
       } else if (output.type === "sync") this.#sync(n, Number(output.address));
       else {
         for (const target of output.targets) {
           const to = Number(target.peerAddress);
           const gossip = this.#gossip(machine);
-          if (this.#reaches(n, to)) this.#hear(to, gossip);
+          if (this.#reaches(n, to)) this.#deliver(to, gossip);
         }
       }
     }
@@ -157,10 +159,10 @@
   #ping(from: number, to: number): boolean {
     const gossip = this.#gossip(this.machines[from]!);
     if (!this.#reaches(from, to)) return false;
-    this.#hear(to, gossip);
+    this.#deliver(to, gossip);
     const answer = this.#gossip(this.machines[to]!);
     if (!this.#reaches(to, from)) return false;
-    this.#hear(from, answer);
+    this.#deliver(from, answer);
     return true;
   }
 
@@ -174,31 +176,31 @@
   #learn(n: number, records: readonly MemberRecord[]): void {
     const machine = this.machines[n]!;
     for (const record of records) {
-      this.#do(n, machine.learn(record, this.#nowMs));
+      this.#perform(n, machine.learn(record, this.#nowMs));
     }
     this.#check(machine);
   }
 
-  #gossip(machine: Members): Gossip {
+  #gossip(machine: Membership): Gossip {
     const gossip = machine.gossip(this.#nowMs);
     if (gossip.news.length > 0) this.#sent.push(gossip);
     return gossip;
   }
 
-  #hear(n: number, gossip: Gossip): void {
+  #deliver(n: number, gossip: Gossip): void {
     const machine = this.machines[n];
     if (!machine || this.#paused.has(n)) return;
-    this.#do(n, machine.hear(gossip, this.#nowMs));
+    this.#perform(n, machine.receive(gossip, this.#nowMs));
     this.#check(machine);
   }
 
   /** What one VM knows of another never goes back: neither to an older process nor from leaving to staying. */
-  #check(machine: Members): void {
+  #check(machine: Membership): void {
     for (const record of machine.all()) {
       const key = `${machine.self.id}/${machine.self.incarnation}/${record.id}`;
       const before = this.#seen.get(key);
       this.#seen.set(key, record);
-      if (!this.#faulty && record.status !== "live") {
+      if (!this.#hadFault && record.status !== "live") {
         this.violations.push(`${key} is ${record.status} without a fault`);
       }
       if (!before || record.incarnation > before.incarnation) continue;
@@ -218,7 +220,7 @@
 
 const vm = fc.nat({ max: VMS - 1 });
 const step: fc.Arbitrary<Step> = fc.oneof(
-  { weight: 4, arbitrary: passing() },
+  { weight: 4, arbitrary: passStep() },
   {
     weight: 3,
     arbitrary: fc.record({
@@ -250,7 +252,7 @@
   },
 );
 
-function passing(): fc.Arbitrary<Step> {
+function passStep(): fc.Arbitrary<Step> {
   return fc.record({
     type: fc.constant("pass" as const),
     ms: fc.nat({ max: 5000 }),
@@ -267,10 +269,13 @@
 }
 
 /** Runs schedules; a violated rule is thrown with a schedule, its seed and its path, which replay it. */
-function search(make: Make, { runs, seed, rule, shrink }: Search): void {
+function search(
+  make: MakeMembership,
+  { runs, seed, rule, shrink }: Search,
+): void {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 14 }), (steps) => {
-      const fleet = new Fleet(make);
+      const fleet = new SimRegion(make);
       fleet.run(steps);
       fleet.settle();
       const found = fleet.violations.filter((text) => rule?.test(text) ?? true);
@@ -287,7 +292,11 @@
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 2000);
 
-function caught(t: ExecutionContext, make: Make, rule: RegExp): void {
+function checkCaught(
+  t: ExecutionContext,
+  make: MakeMembership,
+  rule: RegExp,
+): void {
   t.throws(() => search(make, { runs: 3000, seed: 1, rule }), {
     message: rule,
   });
@@ -298,7 +307,7 @@
   // lasts no VM's knowledge goes back; after it all that run agree on who runs.
   it("never goes back, and agrees once the faults end", (t) => {
     t.notThrows(() =>
-      search((self) => new Members(self), {
+      search((self) => new Membership(self), {
         runs: RUNS,
         seed: 20261,
         shrink: true,
@@ -308,40 +317,43 @@
 
   describe("a broken machine is caught", () => {
     it("that never contradicts what others say of it", (t) => {
-      class Silent extends Members {
-        override learn(record: MemberRecord, nowMs: number): MembersOutput[] {
+      class NeverRefutes extends Membership {
+        override learn(
+          record: MemberRecord,
+          nowMs: number,
+        ): MembershipOutput[] {
           if (record.id === this.self.id) return [];
           return super.learn(record, nowMs);
         }
       }
-      const make: Make = (self) => new Silent(self);
-      caught(t, make, / sees /);
+      const make: MakeMembership = (self) => new NeverRefutes(self);
+      checkCaught(t, make, / sees /);
     });
 
     it("that takes any statement for news", (t) => {
-      class Gullible extends Members {
+      class AcceptsAnyRecord extends Membership {
         protected override replaces(a: MemberRecord, b: MemberRecord): boolean {
           return a.id !== this.self.id || replaces(a, b);
         }
       }
-      const make: Make = (self) => new Gullible(self);
-      caught(t, make, /older process|stopped leaving/);
+      const make: MakeMembership = (self) => new AcceptsAnyRecord(self);
+      checkCaught(t, make, /older process|stopped leaving/);
     });
 
     it("that lets the dead stay dead", (t) => {
-      class Grim extends Members {
+      class NeverRevives extends Membership {
         protected override replaces(a: MemberRecord, b: MemberRecord): boolean {
           return b.status !== "dead" && replaces(a, b);
         }
       }
-      const make: Make = (self) => new Grim(self);
-      caught(t, make, / sees /);
+      const make: MakeMembership = (self) => new NeverRevives(self);
+      checkCaught(t, make, / sees /);
     });
 
     it("that forgets whom it once knew", (t) => {
-      const times = { ...MEMBERS_TIMES, meetMs: 1e9 };
-      const make: Make = (self) => new Members(self, times);
-      caught(t, make, / sees /);
+      const times = { ...DEFAULT_MEMBERSHIP_TIMES, meetMs: 1e9 };
+      const make: MakeMembership = (self) => new Membership(self, times);
+      checkCaught(t, make, / sees /);
     });
   });
 });
--- a/src/agreement/table.ts
+++ b/src/agreement/table.ts
@@ -45,7 +45,7 @@
 }
 
 /** Changed rows kept beside the base before both are merged. */
-const OVERLAY_LIMIT = 256;
+const MAX_OVERLAY_ROWS = 256;
 
 /**
  * Rows in two layers: a base shared by many versions, and the few rows changed since. Copying all rows for each edit
@@ -65,13 +65,13 @@
   /** The number of rows. */
   readonly size: number;
   readonly #layers: Layers;
-  readonly #index: Index;
+  readonly #index: TableIndex;
 
   private constructor(
     version: number,
     size: number,
     layers: Layers,
-    index: Index,
+    index: TableIndex,
   ) {
     this.version = version;
     this.size = size;
@@ -84,7 +84,7 @@
     const base = new Map<string, VersionedRow>();
     for (const versioned of rows) base.set(rowKey(versioned.row), versioned);
     const layers = { base, overlay: new Map() };
-    return new Table(version, base.size, layers, indexOf(base.values()));
+    return new Table(version, base.size, layers, buildIndex(base.values()));
   }
 
   /** The table after one edit. Throws if the edit is not the next one: a gap would lose an edit without a trace. */
@@ -97,7 +97,7 @@
     const { base } = this.#layers;
     const overlay = new Map(this.#layers.overlay);
     let { size } = this;
-    let indexed = false;
+    let affectsIndex = false;
     for (const change of edit.changes) {
       const key = change.type === "put" ? rowKey(change.row) : change.key;
       const before = overlay.has(key) ? overlay.get(key) : base.get(key);
@@ -106,13 +106,13 @@
         : undefined;
       overlay.set(key, after);
       size += (after ? 1 : 0) - (before ? 1 : 0);
-      indexed ||= /^(upstream|service)\//.test(key);
+      affectsIndex ||= /^(upstream|service)\//.test(key);
     }
-    const layers = overlay.size > OVERLAY_LIMIT
-      ? { base: merge(base, overlay), overlay: new Map() }
+    const layers = overlay.size > MAX_OVERLAY_ROWS
+      ? { base: mergeLayers(base, overlay), overlay: new Map() }
       : { base, overlay };
     // Most edits are of workspaces; the index is made again only for those that it depends on.
-    const index = indexed ? indexOf(rowsOf(layers)) : this.#index;
+    const index = affectsIndex ? buildIndex(rowsOf(layers)) : this.#index;
     return new Table(edit.version, size, layers, index);
   }
 
@@ -141,7 +141,7 @@
   }
   /** The upstreams of a service in a region, sorted by id. */
   upstreams(service: string, region: string): readonly UpstreamRow[] {
-    return this.#index.pools.get(`${service}/${region}`) ?? [];
+    return this.#index.upstreams.get(`${service}/${region}`) ?? [];
   }
   /** The service whose id or model list holds this model name. */
   serviceOfModel(model: string): ServiceRow | undefined {
@@ -150,9 +150,9 @@
 }
 
 /** What requests look up by other than the row's key. */
-interface Index {
+interface TableIndex {
   /** Upstreams by `SERVICE/REGION`, sorted by id. */
-  readonly pools: ReadonlyMap<string, readonly UpstreamRow[]>;
+  readonly upstreams: ReadonlyMap<string, readonly UpstreamRow[]>;
   /** Model services by their ids and model names. */
   readonly models: ReadonlyMap<string, ServiceRow>;
 }
@@ -166,7 +166,7 @@
   }
 }
 
-function merge(
+function mergeLayers(
   base: Layers["base"],
   overlay: Layers["overlay"],
 ): Map<string, VersionedRow> {
@@ -178,12 +178,12 @@
   return merged;
 }
 
-function indexOf(versioned: Iterable<VersionedRow>): Index {
+function buildIndex(versioned: Iterable<VersionedRow>): TableIndex {
   const rows = Array.from(versioned, ({ row }) => row);
-  return { pools: groupPools(rows), models: groupModels(rows) };
+  return { upstreams: groupUpstreams(rows), models: indexModels(rows) };
 }
 
-function groupModels(
+function indexModels(
   rows: readonly TableRow[],
 ): ReadonlyMap<string, ServiceRow> {
   const models = new Map<string, ServiceRow>();
@@ -198,7 +198,7 @@
   return models;
 }
 
-function groupPools(
+function groupUpstreams(
   rows: readonly TableRow[],
 ): ReadonlyMap<string, readonly UpstreamRow[]> {
   const pools = new Map<string, UpstreamRow[]>();
--- a/src/agreement/table_checks.ts
+++ b/src/agreement/table_checks.ts
@@ -38,7 +38,11 @@
 function checkRow(table: Table, row: TableRow): RowFault[] {
   const key = rowKey(row);
   const faults: RowFault[] = [];
-  const refer = (field: string, kind: "service" | "region", id: string) => {
+  const checkReference = (
+    field: string,
+    kind: "service" | "region",
+    id: string,
+  ) => {
     if (table.get(`${kind}/${id}`)) return;
     const allowed = `must be the id of a ${kind} row`;
     faults.push({ key, field, value: id, allowed });
@@ -48,24 +52,26 @@
       faults.push(...checkModels(table, row));
       break;
     case "region":
-      for (const id of Object.keys(row.linkMs)) refer("linkMs", "region", id);
+      for (const id of Object.keys(row.linkMs)) {
+        checkReference("linkMs", "region", id);
+      }
       break;
     case "traffic":
-      refer("service", "service", row.service);
-      refer("region", "region", row.region);
-      for (const id of row.mayGoTo) refer("mayGoTo", "region", id);
+      checkReference("service", "service", row.service);
+      checkReference("region", "region", row.region);
+      for (const id of row.mayGoTo) checkReference("mayGoTo", "region", id);
       if (row.mayGoTo.includes(row.region)) {
         const allowed = "must be a region other than the row's own";
         faults.push({ key, field: "mayGoTo", value: row.region, allowed });
       }
       break;
     case "workspace":
-      refer("home", "region", row.home);
-      faults.push(...checkDigests(table, row));
+      checkReference("home", "region", row.home);
+      faults.push(...checkKeyDigests(table, row));
       break;
     case "upstream":
-      refer("service", "service", row.service);
-      refer("region", "region", row.region);
+      checkReference("service", "service", row.service);
+      checkReference("region", "region", row.region);
       break;
   }
   return faults;
@@ -89,7 +95,7 @@
 }
 
 /** A key of two workspaces would let one spend and read in the other's name. */
-function checkDigests(
+function checkKeyDigests(
   table: Table,
   row: Extract<TableRow, { kind: "workspace" }>,
 ): RowFault[] {
--- a/src/agreement/table_editor.ts
+++ b/src/agreement/table_editor.ts
@@ -34,7 +34,7 @@
 export interface SeenHead {
   readonly head: TableHead | undefined;
   readonly rev: number;
-  /** The version in force here when the reading began; see {@link TableLog.seeHead}. */
+  /** The version in force here when the reading began; see {@link TableLog.compareHead}. */
   readonly readAtVersion: number;
 }
 
@@ -97,8 +97,8 @@
   ): EditStep {
     const { table } = log;
     const accepted = log.versionOf(this.proposal.id);
-    if (accepted !== undefined) return this.#found(log, accepted);
-    const relation = log.seeHead(seen.head, seen.readAtVersion);
+    if (accepted !== undefined) return this.#matchAccepted(log, accepted);
+    const relation = log.compareHead(seen.head, seen.readAtVersion);
     if (relation === "ahead" || relation === "stale") {
       return { type: "catchUp" };
     }
@@ -117,7 +117,7 @@
    * outlives the store's copy. Where that fails, the store was restored while the answer was on its way, and another
    * edit has the version: the operator, told "accepted", would look for it in vain.
    */
-  answered(answer: WriteAnswer, log: TableLog): EditStep {
+  onAnswer(answer: WriteAnswer, log: TableLog): EditStep {
     if (answer === "done") {
       const { id, version } = this.#edit!;
       log.offer([this.#edit!]);
@@ -144,11 +144,13 @@
   }
 
   /** An edit of this id is in the log: this one, sent again, or another's that must not pass for it. */
-  #found(log: TableLog, version: number): EditStep {
-    const stands = log.since(version - 1)?.[0];
-    const ours = new Set(this.proposal.changes.map((it) => canonical(it)));
-    const same = !stands ||
-      stands.changes.every((it) => ours.has(canonical(it)));
+  #matchAccepted(log: TableLog, version: number): EditStep {
+    const accepted = log.editsSince(version - 1)?.[0];
+    const proposed = new Set(
+      this.proposal.changes.map((it) => canonicalJson(it)),
+    );
+    const same = !accepted ||
+      accepted.changes.every((it) => proposed.has(canonicalJson(it)));
     return { type: same ? "accepted" : "reusedId", version };
   }
 
@@ -156,7 +158,7 @@
     const { table, lastId } = log;
     const conflicts = this.findConflicts(table);
     if (conflicts.length > 0) return { type: "conflict", conflicts };
-    const changes = this.proposal.changes.filter((it) => alters(table, it));
+    const changes = this.proposal.changes.filter((it) => changesRow(table, it));
     if (changes.length === 0) {
       return { type: "unchanged", version: table.version };
     }
@@ -191,7 +193,7 @@
     const conflicts: RowConflict[] = [];
     for (const change of this.proposal.changes) {
       if (change.ifVersion === undefined) continue;
-      const key = keyOf(change);
+      const key = changedKey(change);
       const current = table.get(key);
       if ((current?.version ?? 0) === change.ifVersion) continue;
       conflicts.push({ key, ifVersion: change.ifVersion, current });
@@ -201,28 +203,28 @@
 }
 
 /** The key of the row that a change is about. */
-export function keyOf(change: RowChange): string {
+export function changedKey(change: RowChange): string {
   return change.type === "put" ? rowKey(change.row) : change.key;
 }
 
-function alters(table: Table, change: RowChange): boolean {
-  const current = table.get(keyOf(change))?.row;
+function changesRow(table: Table, change: RowChange): boolean {
+  const current = table.get(changedKey(change))?.row;
   if (change.type === "delete") return current !== undefined;
   return current === undefined || !sameRow(current, change.row);
 }
 
 /** Whether two rows say the same; the order of their fields does not count. */
 export function sameRow(a: TableRow, b: TableRow): boolean {
-  return canonical(a) === canonical(b);
+  return canonicalJson(a) === canonicalJson(b);
 }
 
-function canonical(value: unknown): string {
-  if (Array.isArray(value)) return `[${value.map(canonical).join()}]`;
+function canonicalJson(value: unknown): string {
+  if (Array.isArray(value)) return `[${value.map(canonicalJson).join()}]`;
   if (typeof value !== "object" || value === null) return JSON.stringify(value);
   const fields = Object.entries(value)
     .filter(([, field]) => field !== undefined)
     .sort(([a], [b]) => (a < b ? -1 : 1))
-    .map(([name, field]) => `${JSON.stringify(name)}:${canonical(field)}`);
+    .map(([name, field]) => `${JSON.stringify(name)}:${canonicalJson(field)}`);
   return `{${fields.join()}}`;
 }
 
@@ -249,11 +251,11 @@
     if (wanted.has(key)) continue;
     changes.push({ type: "delete", key, ifVersion: version });
   }
-  return changes.sort((a, b) => rank(a) - rank(b));
+  return changes.sort((a, b) => changeOrder(a) - changeOrder(b));
 }
 
-function rank(change: RowChange): number {
-  const place = KIND_ORDER.indexOf(keyOf(change).split("/")[0]);
+function changeOrder(change: RowChange): number {
+  const place = KIND_ORDER.indexOf(changedKey(change).split("/")[0]);
   return change.type === "put" ? place : 2 * KIND_ORDER.length - place;
 }
 
--- a/src/agreement/table_log.ts
+++ b/src/agreement/table_log.ts
@@ -14,9 +14,9 @@
 } from "./table_records.ts";
 
 /** Edits kept to serve VMs that are a little behind; others get a whole image. */
-export const TAIL_LENGTH = 512;
+export const MAX_TAIL_EDITS = 512;
 /** Edits held back while one before them is missing. */
-const PENDING_LIMIT = 1024;
+const MAX_PENDING_EDITS = 1024;
 
 /** What is wrong with the store's log. */
 export interface Regression {
@@ -47,7 +47,7 @@
   #table = Table.empty;
   #lastId = "";
   #tail: LoggedEdit[] = [];
-  #recent: EditRef[] = [];
+  #recentRefs: EditRef[] = [];
   #pending = new Map<number, LoggedEdit>();
   #regression: Regression | undefined;
 
@@ -70,13 +70,13 @@
 
   /** The table with its last edit's id, for a snapshot or another VM. */
   image(): TableImage {
-    const recent = this.#recent.slice(-TAIL_LENGTH);
+    const recent = this.#recentRefs.slice(-MAX_TAIL_EDITS);
     return { table: this.#table, lastId: this.#lastId, recent };
   }
 
   /** Takes edits in any order, repeated or not, and applies those that follow. */
   offer(edits: readonly LoggedEdit[]): OfferOutcome {
-    for (const edit of edits) this.#take(edit);
+    for (const edit of edits) this.#receive(edit);
     const applied: LoggedEdit[] = [];
     for (;;) {
       const next = this.nextPending(this.#pending);
@@ -86,7 +86,7 @@
         this.#apply(next);
         applied.push(next);
       } else {
-        this.#alarm("forked", next.version);
+        this.#recordRegression("forked", next.version);
         break;
       }
     }
@@ -97,13 +97,13 @@
   load(image: TableImage): boolean {
     if (!this.isNewer(image.table.version)) return false;
     if (!this.continues(image)) {
-      this.#alarm("forked", image.table.version);
+      this.#recordRegression("forked", image.table.version);
       return false;
     }
     this.#table = image.table;
     this.#lastId = image.lastId;
     this.#tail = [];
-    this.#recent = [...image.recent];
+    this.#recentRefs = [...image.recent];
     this.#dropPendingUpTo(image.table.version);
     return true;
   }
@@ -115,16 +115,19 @@
    * `readAtVersion` is what was in force here when the reading began. Edits that came in force while the answer was on
    * its way make a sound store look old; an alarm at each of them would hide the true one.
    */
-  seeHead(head: TableHead | undefined, readAtVersion: number): HeadRelation {
+  compareHead(
+    head: TableHead | undefined,
+    readAtVersion: number,
+  ): HeadRelation {
     const relation = this.#relationTo(head, readAtVersion);
     if (relation === "older" || relation === "forked") {
-      this.#alarm(relation, head?.version ?? 0);
+      this.#recordRegression(relation, head?.version ?? 0);
     } else if (relation === "same") this.#regression = undefined;
     return relation;
   }
 
   /** The edits after `version`; `undefined` if some are no longer kept. */
-  since(version: number): readonly LoggedEdit[] | undefined {
+  editsSince(version: number): readonly LoggedEdit[] | undefined {
     if (version >= this.#table.version) return [];
     const first = this.#tail[0]?.version;
     if (first === undefined || version + 1 < first) return undefined;
@@ -132,18 +135,18 @@
   }
 
   /** The newest edits kept, oldest first. */
-  history(): readonly LoggedEdit[] {
+  recentEdits(): readonly LoggedEdit[] {
     return this.#tail;
   }
 
-  /** The version that this edit made, if it is among the newest {@link TAIL_LENGTH}. */
+  /** The version that this edit made, if it is among the newest {@link MAX_TAIL_EDITS}. */
   versionOf(editId: string): number | undefined {
-    return this.#recent.findLast((edit) => edit.id === editId)?.version;
+    return this.#recentRefs.findLast((edit) => edit.id === editId)?.version;
   }
 
   /** Whether {@link TableLog.versionOf} knows which edit made this version. */
   knows(version: number): boolean {
-    const first = this.#recent[0]?.version ?? Infinity;
+    const first = this.#recentRefs[0]?.version ?? Infinity;
     return version >= first && version <= this.#table.version;
   }
 
@@ -174,29 +177,31 @@
     return version > this.#table.version;
   }
 
-  #take(edit: LoggedEdit): void {
+  #receive(edit: LoggedEdit): void {
     if (this.isNewer(edit.version)) {
-      if (this.#pending.size < PENDING_LIMIT) {
+      if (this.#pending.size < MAX_PENDING_EDITS) {
         this.#pending.set(edit.version, edit);
       }
       return;
     }
     const first = this.#tail[0]?.version ?? Infinity;
     const known = this.#tail[edit.version - first];
-    if (known && known.id !== edit.id) this.#alarm("forked", edit.version);
+    if (known && known.id !== edit.id) {
+      this.#recordRegression("forked", edit.version);
+    }
   }
 
   #apply(edit: LoggedEdit): void {
     this.#table = this.#table.apply(edit);
     this.#lastId = edit.id;
     this.#tail.push(edit);
-    this.#recent.push({ id: edit.id, version: edit.version });
+    this.#recentRefs.push({ id: edit.id, version: edit.version });
     // Cut at twice the length, so that the copy is made once in many edits.
-    if (this.#tail.length > 2 * TAIL_LENGTH) {
-      this.#tail = this.#tail.slice(-TAIL_LENGTH);
+    if (this.#tail.length > 2 * MAX_TAIL_EDITS) {
+      this.#tail = this.#tail.slice(-MAX_TAIL_EDITS);
     }
-    if (this.#recent.length > 2 * TAIL_LENGTH) {
-      this.#recent = this.#recent.slice(-TAIL_LENGTH);
+    if (this.#recentRefs.length > 2 * MAX_TAIL_EDITS) {
+      this.#recentRefs = this.#recentRefs.slice(-MAX_TAIL_EDITS);
     }
   }
 
@@ -211,7 +216,7 @@
     return (head?.id ?? "") === this.#lastId ? "same" : "forked";
   }
 
-  #alarm(type: Regression["type"], storeVersion: number): void {
+  #recordRegression(type: Regression["type"], storeVersion: number): void {
     this.#regression = { type, storeVersion, version: this.#table.version };
   }
 
--- a/src/agreement/table_log_property_test.ts
+++ b/src/agreement/table_log_property_test.ts
@@ -52,15 +52,15 @@
 }
 
 class TakesLostForFailed extends EditAttempt {
-  override answered(answer: WriteAnswer, log: TableLog): EditStep {
-    if (answer !== "lost") return super.answered(answer, log);
+  override onAnswer(answer: WriteAnswer, log: TableLog): EditStep {
+    if (answer !== "lost") return super.onAnswer(answer, log);
     return { type: "conflict", conflicts: [] };
   }
 }
 
 class TakesLostForDone extends EditAttempt {
-  override answered(answer: WriteAnswer, log: TableLog): EditStep {
-    return super.answered(answer === "lost" ? "done" : answer, log);
+  override onAnswer(answer: WriteAnswer, log: TableLog): EditStep {
+    return super.onAnswer(answer === "lost" ? "done" : answer, log);
   }
 }
 
@@ -77,8 +77,8 @@
 }
 
 class AlarmsAtStaleHeads extends TableLog {
-  override seeHead(head: TableHead | undefined): HeadRelation {
-    return super.seeHead(head, this.table.version);
+  override compareHead(head: TableHead | undefined): HeadRelation {
+    return super.compareHead(head, this.table.version);
   }
 }
 
--- a/src/agreement/table_push.ts
+++ b/src/agreement/table_push.ts
@@ -15,11 +15,11 @@
 /** Children of a node of the push tree. */
 export const PUSH_FANOUT = 4;
 
-const itself = (id: string) => id;
+const identity = (id: string) => id;
 
 /** The VMs that watch the store for their region. */
 export function watchersOf(region: string, vmIds: readonly string[]): string[] {
-  return rendezvous(`watch/${region}`, vmIds, itself)
+  return rendezvous(`watch/${region}`, vmIds, identity)
     .slice(0, WATCHERS_PER_REGION);
 }
 
@@ -28,7 +28,7 @@
   version: number,
   watchers: readonly string[],
 ): string | undefined {
-  return rendezvous(`root/${version}`, watchers, itself)[0];
+  return rendezvous(`root/${version}`, watchers, identity)[0];
 }
 
 /** The VMs to which `self` passes this version on; empty for a VM outside the tree. */
@@ -39,9 +39,9 @@
   vmIds: readonly string[],
 ): string[] {
   const others = vmIds.filter((id) => id !== root);
-  const order = [root, ...rendezvous(`push/${version}`, others, itself)];
-  const place = order.indexOf(self);
-  if (place < 0) return [];
-  const first = place * PUSH_FANOUT + 1;
+  const order = [root, ...rendezvous(`push/${version}`, others, identity)];
+  const position = order.indexOf(self);
+  if (position < 0) return [];
+  const first = position * PUSH_FANOUT + 1;
   return order.slice(first, first + PUSH_FANOUT);
 }
--- a/src/agreement/table_records.ts
+++ b/src/agreement/table_records.ts
@@ -16,7 +16,7 @@
 /** All keys of the log start with this. */
 export const LOG_PREFIX = "table/log/";
 /** All keys of snapshots start with this. */
-export const SNAP_PREFIX = "table/snap/";
+export const SNAPSHOT_PREFIX = "table/snap/";
 
 /** Largest record of the log, in characters of JSON: well below the store's megabyte. */
 export const MAX_EDIT_CHARS = 256 * 1024;
@@ -30,7 +30,7 @@
 
 /** The key of a snapshot's page. */
 export function pageKey(name: string, page: number): string {
-  return `${SNAP_PREFIX}${name}/${String(page).padStart(6, "0")}`;
+  return `${SNAPSHOT_PREFIX}${name}/${String(page).padStart(6, "0")}`;
 }
 
 /** An {@link Edit} as it stands in the log. */
@@ -137,7 +137,7 @@
 }
 
 /** Cuts an image into pages below {@link MAX_PAGE_CHARS}; there is always at least one. */
-export function pagesOf(
+export function splitImage(
   image: TableImage,
   maxChars = MAX_PAGE_CHARS,
 ): ImagePage[] {
@@ -163,14 +163,14 @@
 }
 
 /** The image that these pages make; `undefined` if one is missing or they are of different versions. */
-export function imageOf(pages: readonly ImagePage[]): TableImage | undefined {
+export function joinPages(pages: readonly ImagePage[]): TableImage | undefined {
   const [first] = pages;
   if (!first || pages.length !== first.pages) return undefined;
-  const whole = pages.every((page, i) =>
+  const isComplete = pages.every((page, i) =>
     page.page === i && page.version === first.version &&
     page.lastId === first.lastId
   );
-  if (!whole) return undefined;
+  if (!isComplete) return undefined;
   const rows = pages.flatMap((page) => page.rows);
   return {
     table: Table.of(first.version, rows),
--- a/src/agreement/table_schema.ts
+++ b/src/agreement/table_schema.ts
@@ -40,24 +40,24 @@
 /** The fields of each kind as Markdown tables, for docs/TABLE.md. */
 export function tableFieldsText(): string {
   const schema = tableSchema() as { items: { oneOf: readonly RowSchema[] } };
-  return schema.items.oneOf.map(kindText).join("\n");
+  return schema.items.oneOf.map(formatKind).join("\n");
 }
 
-function kindText({ properties, required }: RowSchema): string {
+function formatKind({ properties, required }: RowSchema): string {
   const lines = Object.entries(properties)
     .filter(([name]) => name !== "kind")
     .map(([name, field]) => {
-      const otherwise = required.includes(name)
+      const ifLeftOut = required.includes(name)
         ? "required"
         : JSON.stringify(field.default) ?? "";
       const text = field.description ?? "";
-      return `| ${name} | ${allowedText(field)} | ${otherwise} | ${text} |`;
+      return `| ${name} | ${formatAllowed(field)} | ${ifLeftOut} | ${text} |`;
     });
   const head = "| field | allowed | if left out | meaning |\n| - | - | - | - |";
   return `### ${properties.kind.const}\n\n${head}\n${lines.join("\n")}\n`;
 }
 
-function allowedText(field: FieldSchema): string {
+function formatAllowed(field: FieldSchema): string {
   if (field.enum) return field.enum.join(", ");
   const { type = "", minimum, maximum, maxItems } = field;
   if (maxItems !== undefined) return `${type}, at most ${maxItems}`;
--- a/src/agreement/table_test.ts
+++ b/src/agreement/table_test.ts
@@ -5,8 +5,7 @@
   checkChanges,
   describeFault,
   diffRows,
-  imageOf,
-  pagesOf,
+  joinPages,
   PUSH_FANOUT,
   pushRoot,
   pushTargets,
@@ -14,6 +13,7 @@
   rowKey,
   sameRow,
   splitChanges,
+  splitImage,
   Table,
   tableFieldsText,
   tableRow,
@@ -163,22 +163,22 @@
   const image = { table: tableOf(...rows), lastId: "e1", recent };
 
   it("are the same after being cut into pages", (t) => {
-    const pages = pagesOf(image, 2000);
+    const pages = splitImage(image, 2000);
     t.true(pages.length > 5);
-    const again = imageOf(JSON.parse(JSON.stringify(pages)))!;
+    const again = joinPages(JSON.parse(JSON.stringify(pages)))!;
     t.is(again.lastId, "e1");
     t.deepEqual(again.recent, recent);
     t.deepEqual([...again.table.rows()], [...image.table.rows()]);
   });
 
   it("are refused with a page missing or of another version", (t) => {
-    const pages = pagesOf(image, 2000);
-    t.is(imageOf(pages.slice(0, -1)), undefined);
-    t.is(imageOf([]), undefined);
+    const pages = splitImage(image, 2000);
+    t.is(joinPages(pages.slice(0, -1)), undefined);
+    t.is(joinPages([]), undefined);
     const mixed = pages.map((page, i) =>
       i === 2 ? { ...page, version: 9 } : page
     );
-    t.is(imageOf(mixed), undefined);
+    t.is(joinPages(mixed), undefined);
   });
 });
 
