--- a/src/cli/explain.ts
+++ b/src/cli/explain.ts
@@ -7,12 +7,12 @@
 import { readFileSync } from "node:fs";
 import { defineCommand } from "citty";
 import {
+  explainRequest,
+  explanationText,
   type ParsedLine,
   parseLine,
-  storyText,
   summarize,
   summaryText,
-  tellStory,
 } from "../explain/mod.ts";
 import { exitCodes, print } from "./client.ts";
 
@@ -58,14 +58,16 @@
       return;
     }
     const lines = readLines(args._.slice(1));
-    const story = tellStory(args.attempt, lines);
-    if (!story) {
+    const explanation = explainRequest(args.attempt, lines);
+    if (!explanation) {
       process.stderr.write(
         `ibisgap: no line names the request ${args.attempt}\n`,
       );
       process.exitCode = exitCodes.failed;
       return;
     }
-    print(args.json ? JSON.stringify(story) : storyText(story));
+    print(
+      args.json ? JSON.stringify(explanation) : explanationText(explanation),
+    );
   },
 });
--- a/src/cli/gateway_dump.ts
+++ b/src/cli/gateway_dump.ts
@@ -11,15 +11,15 @@
 import { exitCodes, fail, print } from "./client.ts";
 
 /** An operator at a terminal waits about this long. */
-const ANSWER_WAIT_MS = 5_000;
+const ANSWER_TIMEOUT_MS = 5_000;
 
 /** Asks a VM's `peers` listener for the state of its tasks. Throws if it cannot be reached. */
-async function askDump(address: string): Promise<Record<string, unknown>> {
+async function requestDump(address: string): Promise<Record<string, unknown>> {
   const client = new JSONRPCClient(async (payload) => {
     const answer = await got.post(`http://${address}${RPC_PATH}`, {
       json: payload as unknown as Record<string, unknown>,
       retry: { limit: 0 },
-      timeout: { request: ANSWER_WAIT_MS },
+      timeout: { request: ANSWER_TIMEOUT_MS },
     }).json();
     client.receive(answer as Parameters<typeof client.receive>[0]);
   });
@@ -53,7 +53,7 @@
       });
     }
     try {
-      const tasks = await askDump(args.address);
+      const tasks = await requestDump(args.address);
       if (args.task !== undefined && !(args.task in tasks)) {
         const known = Object.keys(tasks).join(", ");
         return fail({
--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -21,7 +21,7 @@
 } from "../replay/mod.ts";
 
 /** Exit code when a stated outcome was not held. */
-const EXIT_OUTCOME = 1;
+const EXIT_OUTCOME_FAILED = 1;
 /** Exit code when a file cannot be read. */
 const EXIT_USAGE = 2;
 
@@ -54,21 +54,21 @@
     if (trace.isErr()) return fail(trace.error);
     const outcomes = args.outcomes ? readOutcomes(args.outcomes) : undefined;
     if (outcomes?.isErr()) return fail(outcomes.error);
-    const stated: Outcome[] = outcomes?.isOk() ? outcomes.value : [];
+    const statedOutcomes: Outcome[] = outcomes?.isOk() ? outcomes.value : [];
     const report = await replay(trace.value, {
       targets: parseTargets(args.target),
       keyOf: readKeys(args.keys),
       records: args.records ? parseRecords(args.records) : undefined,
       onProgress: process.stderr.isTTY ? showProgress : undefined,
     });
-    const results = judge(report, stated);
+    const results = judge(report, statedOutcomes);
     console.log(
       args.json
         ? JSON.stringify(reportJson(trace.value, report, results), null, 2)
         : printReport(trace.value, report, results),
     );
     if (results.some((result) => !result.held)) {
-      process.exitCode = EXIT_OUTCOME;
+      process.exitCode = EXIT_OUTCOME_FAILED;
     }
   },
 });
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -18,12 +18,12 @@
 } from "./client.ts";
 import {
   changesText,
+  conflictsText,
   type EditsBody,
+  findMissing,
   historyText,
   type InForceBody,
   inForceText,
-  missingOf,
-  refusalText,
   type RowsBody,
   rowsText,
 } from "./table_text.ts";
@@ -44,7 +44,7 @@
 } as const;
 
 /** Between two looks of `wait`. */
-const WAIT_STEP_MS = 200;
+const POLL_INTERVAL_MS = 200;
 
 const get = defineCommand({
   meta: { name: "get", description: "Print rows" },
@@ -58,7 +58,7 @@
     if (args.key) query.set("key", args.key);
     if (args.kind) query.set("kind", args.kind);
     const result = await callVm(args, "GET", `/admin/table?${query}`);
-    if (result.isErr()) return refuse(result.error, args.json);
+    if (result.isErr()) return failWithBody(result.error, args.json);
     const body = result.value as RowsBody;
     print(args.json ? JSON.stringify(body) : rowsText(body));
     if (args.key && body.rows.length === 0) process.exitCode = exitCodes.failed;
@@ -87,7 +87,7 @@
     },
   },
   async run({ args }) {
-    const change = changeOf(args.put, args.delete, args.ifVersion);
+    const change = parseChange(args.put, args.delete, args.ifVersion);
     if (!change) {
       const message = "give one of --put and --delete, with valid JSON";
       return fail({ exitCode: exitCodes.usage, message });
@@ -98,7 +98,7 @@
     const body = { id, author, waitMs, changes: [change] };
     const result = await callVm(args, "POST", "/admin/table/edits", body);
     if (result.isErr()) {
-      refuse(result.error, args.json);
+      failWithBody(result.error, args.json);
       if (mayHaveRun(result.error)) {
         process.stderr.write(`ibisgap: to settle it: repeat with --id ${id}\n`);
       }
@@ -117,7 +117,7 @@
     const rows = readRows(args.file);
     if (!rows) return;
     const result = await callVm(args, "POST", "/admin/table/diff", { rows });
-    if (result.isErr()) return refuse(result.error, args.json);
+    if (result.isErr()) return failWithBody(result.error, args.json);
     print(args.json ? JSON.stringify(result.value) : changesText(result.value));
   },
 });
@@ -143,7 +143,7 @@
     const author = authorOf(args.author);
     const body = { rows, author, dryRun: args.dryRun };
     const result = await callVm(args, "POST", "/admin/table/apply", body);
-    if (result.isErr()) return refuse(result.error, args.json);
+    if (result.isErr()) return failWithBody(result.error, args.json);
     print(args.json ? JSON.stringify(result.value) : changesText(result.value));
   },
 });
@@ -159,7 +159,7 @@
     const query = new URLSearchParams({ limit: args.limit });
     if (args.before) query.set("before", args.before);
     const result = await callVm(args, "GET", `/admin/table/history?${query}`);
-    if (result.isErr()) return refuse(result.error, args.json);
+    if (result.isErr()) return failWithBody(result.error, args.json);
     print(args.json ? JSON.stringify(result.value) : historyText(result.value));
   },
 });
@@ -184,9 +184,9 @@
     const deadlineMs = Date.now() + Number(args.timeoutMs);
     for (;;) {
       const result = await callVm(args, "GET", "/admin/table/in-force");
-      if (result.isErr()) return refuse(result.error, args.json);
+      if (result.isErr()) return failWithBody(result.error, args.json);
       const body = result.value as InForceBody;
-      const missing = missingOf(body, version, args.region);
+      const missing = findMissing(body, version, args.region);
       if (missing.length === 0 || Date.now() >= deadlineMs) {
         print(
           args.json
@@ -196,7 +196,7 @@
         if (missing.length > 0) process.exitCode = exitCodes.failed;
         return;
       }
-      await new Promise((resolve) => setTimeout(resolve, WAIT_STEP_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   },
 });
@@ -209,7 +209,7 @@
   args: targetArgs,
   async run({ args }) {
     const result = await callVm(args, "POST", "/admin/table/republish", {});
-    if (result.isErr()) return refuse(result.error, args.json);
+    if (result.isErr()) return failWithBody(result.error, args.json);
     const { version, changed } = result.value as EditsBody;
     const text = changed
       ? `the store holds version ${version} again`
@@ -224,7 +224,7 @@
   subCommands: { get, edit, diff, apply, history, wait, republish },
 });
 
-function changeOf(
+function parseChange(
   put: string | undefined,
   key: string | undefined,
   ifVersion: string | undefined,
@@ -272,7 +272,7 @@
   return body?.error === undefined || body.error.ran === "unknown";
 }
 
-function refuse(error: CliError, json: boolean): void {
+function failWithBody(error: CliError, json: boolean): void {
   if (json && error.body !== undefined) print(JSON.stringify(error.body));
-  fail({ ...error, message: error.message + refusalText(error.body) });
+  fail({ ...error, message: error.message + conflictsText(error.body) });
 }
--- a/src/cli/table_test.ts
+++ b/src/cli/table_test.ts
@@ -8,12 +8,16 @@
 import { describe, it } from "../base/describe.ts";
 import { Random, systemClock } from "../base/mod.ts";
 import { Kernel, openLog } from "../kernel/mod.ts";
-import { TableEditor, tableRoutes, TableService } from "../services/mod.ts";
+import {
+  createTableRouter,
+  TableEditor,
+  TableService,
+} from "../services/mod.ts";
 import { MemoryKeyValue } from "../standins/mod.ts";
 
 const ibisgap = fileURLToPath(new URL("ibisgap.js", import.meta.url));
 
-interface Ended {
+interface ProcessResult {
   readonly code: number;
   readonly out: string;
   readonly err: string;
@@ -30,7 +34,7 @@
   const clock = systemClock;
   const editor = new TableEditor({ service, vmId: "a", clock, random });
   const app = new Koa();
-  app.use(tableRoutes({ service, editor, clock }).routes());
+  app.use(createTableRouter({ service, editor, clock }).routes());
   const server = createServer(app.callback());
   await new Promise<void>((resolve) =>
     server.listen(0, "127.0.0.1", () => resolve())
@@ -43,9 +47,9 @@
   const { port } = server.address() as AddressInfo;
   const target = `http://127.0.0.1:${port}`;
   const run = (args: readonly string[], input = "") =>
-    new Promise<Ended>((resolve) => {
-      const words = [ibisgap, "table", ...args, "--target", target];
-      const child = execFile(process.execPath, words, (error, out, err) => {
+    new Promise<ProcessResult>((resolve) => {
+      const argv = [ibisgap, "table", ...args, "--target", target];
+      const child = execFile(process.execPath, argv, (error, out, err) => {
         const code = typeof error?.code === "number" ? error.code : 0;
         resolve({ code, out, err });
       });
@@ -70,9 +74,9 @@
       0,
       "agadir: in force on 1 of 1 VMs\n",
     ]);
-    const vain = await run(["wait", "9", "--timeoutMs", "1"]);
-    t.is(vain.code, 1);
-    t.regex(vain.out, /missing: a at 1/);
+    const timedOut = await run(["wait", "9", "--timeoutMs", "1"]);
+    t.is(timedOut.code, 1);
+    t.regex(timedOut.out, /missing: a at 1/);
   });
 
   it("shows the loser of a race the row as it now stands", async (t) => {
--- a/src/cli/table_text.ts
+++ b/src/cli/table_text.ts
@@ -58,7 +58,7 @@
   const lines = changes.map((change) => {
     if (change.type === "delete") return `- ${change.key}`;
     const sign = change.ifVersion === 0 ? "+" : "~";
-    return `${sign} ${keyOf(change.row!)}  ${JSON.stringify(change.row)}`;
+    return `${sign} ${rowKey(change.row!)}  ${JSON.stringify(change.row)}`;
   });
   if (changes.length === 0) lines.push("no change");
   if (version !== undefined) lines.push(`version ${version}`);
@@ -77,7 +77,7 @@
   };
   return edits.map(({ version, author, atMs, changes }) => {
     const keys = changes.map((it) =>
-      it.type === "delete" ? `-${it.key}` : keyOf(it.row!)
+      it.type === "delete" ? `-${it.key}` : rowKey(it.row!)
     );
     const shown = keys.slice(0, 5).join(" ");
     const more = keys.length > 5 ? ` and ${keys.length - 5} more` : "";
@@ -87,7 +87,7 @@
 }
 
 /** What keeps a version from being in force everywhere: VMs below it, and regions of which only a part is known. */
-export function missingOf(
+export function findMissing(
   { regions }: InForceBody,
   version: number,
   region: string | undefined,
@@ -113,17 +113,19 @@
   const lines = body.regions
     .filter((it) => !region || it.region === region)
     .map((it) => {
-      const there = it.vms.filter((vm) => vm.version >= version).length;
-      const of = it.view === "whole" ? `${it.vms.length}` : "an unknown number";
-      return `${it.region}: in force on ${there} of ${of} VMs`;
+      const upToDateCount = it.vms.filter((vm) => vm.version >= version).length;
+      const totalText = it.view === "whole"
+        ? `${it.vms.length}`
+        : "an unknown number";
+      return `${it.region}: in force on ${upToDateCount} of ${totalText} VMs`;
     });
-  const missing = missingOf(body, version, region);
+  const missing = findMissing(body, version, region);
   if (missing.length > 0) lines.push(`missing: ${missing.join(", ")}`);
   return lines.join("\n");
 }
 
 /** The rows as they now stand, for the loser of a race. */
-export function refusalText(body: unknown): string {
+export function conflictsText(body: unknown): string {
   const { conflicts } = (body ?? {}) as {
     readonly conflicts?: readonly {
       readonly key: string;
@@ -137,7 +139,7 @@
   ).join("");
 }
 
-function keyOf(row: Record<string, unknown>): string {
+function rowKey(row: Record<string, unknown>): string {
   return row.kind === "traffic"
     ? `traffic/${row.service}/${row.region}`
     : `${row.kind}/${row.id}`;
--- a/src/daemon/admin.ts
+++ b/src/daemon/admin.ts
@@ -72,7 +72,7 @@
     // After the answer has left: the listener that carries it is about to close.
     ctx.res.once("finish", () => options.stop());
   });
-  if (options.linkFaults) linkRoutes(router, options.linkFaults);
+  if (options.linkFaults) addLinkRoutes(router, options.linkFaults);
   return router;
 }
 
@@ -88,11 +88,11 @@
 });
 
 /** `PUT /admin/links` sets all faults of this VM's links by name: `{"NAME": {"peer": {"region": R}, "cut": true}}`. */
-function linkRoutes(router: Router, links: LinkFaults): void {
+function addLinkRoutes(router: Router, links: LinkFaults): void {
   router.get("/links", (ctx) => void (ctx.body = links.list()));
   router.put("/links", async (ctx) => {
     const parsed = z.record(z.string(), linkFault).safeParse(
-      await json(ctx.req),
+      await readJson(ctx.req),
     );
     if (!parsed.success) {
       ctx.status = 400;
@@ -108,7 +108,7 @@
 }
 
 /** A small JSON body of an operator; `undefined` if it is not JSON. */
-async function json(request: IncomingMessage): Promise<unknown> {
+async function readJson(request: IncomingMessage): Promise<unknown> {
   const body = await readBody(request, {
     bodyBytes: 1 << 20,
     bodyWaitMs: 10_000,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -23,6 +23,7 @@
 import { Kernel, type Log, openLog } from "../kernel/mod.ts";
 import {
   ClaimsService,
+  createTableRouter,
   type DirectoryOptions,
   DirectoryService,
   type FencingMessages,
@@ -34,14 +35,13 @@
   SlotsService,
   SuspectsService,
   TableEditor,
-  tableRoutes,
   TableService,
 } from "../services/mod.ts";
 import { adminRoutes } from "./admin.ts";
 import { readSecret, type Settings } from "./settings.ts";
 
 /** Loads of engines over HTTP; plain services report none. */
-class EngineLoads extends LoadSource {
+class EngineLoadSource extends LoadSource {
   readonly #clock: Clock;
 
   constructor(clock: Clock) {
@@ -64,7 +64,7 @@
 }
 
 /** After the open requests have ended, the services get this long to say good-bye. */
-const GOODBYE_MS = 3000;
+const SERVICES_CLOSE_TIMEOUT_MS = 3000;
 
 /** A running daemon; see {@link openDaemon}. */
 export class Daemon {
@@ -74,7 +74,7 @@
   /** Links that a test cuts; only where the settings allow it. */
   readonly linkFaults: LinkFaults;
   readonly #settings: Settings;
-  readonly #owned: readonly { close(): Promise<void> }[];
+  readonly #closeables: readonly { close(): Promise<void> }[];
   #closing: Promise<void> | undefined;
 
   /** Use {@link openDaemon}. */
@@ -84,14 +84,14 @@
     peerAddress: string;
     linkFaults: LinkFaults;
     settings: Settings;
-    owned: readonly { close(): Promise<void> }[];
+    closeables: readonly { close(): Promise<void> }[];
   }) {
     this.kernel = parts.kernel;
     this.url = parts.url;
     this.peerAddress = parts.peerAddress;
     this.linkFaults = parts.linkFaults;
     this.#settings = parts.settings;
-    this.#owned = parts.owned;
+    this.#closeables = parts.closeables;
   }
 
   /** A planned stop: leaves the directory, refuses new work, finishes what is open, hands over, and closes. */
@@ -105,21 +105,21 @@
     kernel.log.info("stopping");
     await kernel.get("members").ask("leave", undefined);
     const deadlineMs = kernel.clock.nowMs() + this.#settings.limits.drainMs;
-    const left = await kernel.get("edge").ask("drain", { deadlineMs });
-    if (left) {
+    const cutOffCount = await kernel.get("edge").ask("drain", { deadlineMs });
+    if (cutOffCount) {
       kernel.log.error("requests cut off", {
-        count: Number(left),
+        count: Number(cutOffCount),
         drainMs: this.#settings.limits.drainMs,
       });
     }
-    await kernel.close(kernel.clock.nowMs() + GOODBYE_MS);
-    for (const part of this.#owned) await part.close();
+    await kernel.close(kernel.clock.nowMs() + SERVICES_CLOSE_TIMEOUT_MS);
+    for (const part of this.#closeables) await part.close();
     kernel.log.info("stopped");
   }
 }
 
 /** What the services of one VM are built from. */
-interface Parts {
+interface ServiceParts {
   readonly settings: Settings;
   readonly kernel: Kernel;
   readonly store: KeyValue;
@@ -172,14 +172,14 @@
     upstreams,
     linkFaults,
   };
-  const owned = [transport, store, upstreams, ...(vmList ? [vmList] : [])];
+  const closeables = [transport, store, upstreams, ...(vmList ? [vmList] : [])];
   const daemon = new Daemon({
     kernel,
     url: callerUrl,
     peerAddress,
     linkFaults,
     settings,
-    owned,
+    closeables,
   });
   await startServices(parts, stop);
   log.info("ready", { url: callerUrl, peers: peerAddress, region: vm.region });
@@ -193,8 +193,10 @@
 ): Promise<WsTransport> {
   const { vm, listen, peers } = settings;
   const secret = readSecret(peers.credential);
-  const also = peers.alsoAccepted;
-  const alsoAccepted = also === undefined ? undefined : readSecret(also);
+  const alsoAcceptedSetting = peers.alsoAccepted;
+  const alsoAccepted = alsoAcceptedSetting === undefined
+    ? undefined
+    : readSecret(alsoAcceptedSetting);
   return await WsTransport.open({
     vmId: vm.id,
     region: vm.region,
@@ -207,7 +209,7 @@
 }
 
 /** The platform's services that this region tells its weights and entry VMs, where the settings name them. */
-function publishers(
+function createPublishers(
   settings: Settings,
 ): Pick<DirectoryOptions, "weightStore" | "callerDirectory"> {
   const { weightsUrl, directoryUrl } = settings.platform;
@@ -228,14 +230,14 @@
 }
 
 /** An order that cannot be sent is dropped: it states a wanted end, and the lead gives it again while it is wanted. */
-const ORDER_MS = 5000;
+const ORDER_TIMEOUT_MS = 5000;
 
 /** Carries leads' orders to engines under fencing numbers. Plain services take none. */
-function orderSink(kernel: Kernel): OrderSink {
+function createOrderSink(kernel: Kernel): OrderSink {
   return (pool, { upstreamId, want }) => {
     const upstream = pool.upstreams.find((row) => row.id === upstreamId);
     if (!upstream) return;
-    const deadlineMs = kernel.clock.nowMs() + ORDER_MS;
+    const deadlineMs = kernel.clock.nowMs() + ORDER_TIMEOUT_MS;
     const fencing = kernel.get<FencingMessages>("fencing");
     void fencing.ask("order", { upstream, order: { want }, deadlineMs }).then((
       sent,
@@ -250,7 +252,10 @@
 }
 
 /** The order is that of their needs: each finds what it asks for already started. */
-async function startServices(parts: Parts, stop: () => void): Promise<void> {
+async function startServices(
+  parts: ServiceParts,
+  stop: () => void,
+): Promise<void> {
   const { settings, kernel, store, transport, incarnation } = parts;
   const { vm, limits } = settings;
   await kernel.start(new MetricsService());
@@ -285,8 +290,8 @@
       vmId: vm.id,
       region: vm.region,
       transport,
-      loadSource: new EngineLoads(kernel.clock),
-      onOrder: orderSink(kernel),
+      loadSource: new EngineLoadSource(kernel.clock),
+      onOrder: createOrderSink(kernel),
     }),
   );
   await kernel.start(
@@ -306,7 +311,7 @@
     new DirectoryService({
       vmId: vm.id,
       region: vm.region,
-      ...publishers(settings),
+      ...createPublishers(settings),
     }),
   );
   const linkFaults = settings.testing.linkFaults ? parts.linkFaults : undefined;
@@ -320,7 +325,7 @@
       operatorTokenDigests: settings.operators.tokenDigests,
       adminRoutes: () => [
         adminRoutes({ kernel, vm, startedAtMs, stop, linkFaults }),
-        tableRoutes({ service: table, editor, clock: kernel.clock }),
+        createTableRouter({ service: table, editor, clock: kernel.clock }),
       ],
     }),
   );
--- a/src/daemon/embedded.ts
+++ b/src/daemon/embedded.ts
@@ -20,10 +20,10 @@
 export const EMBEDDED_TOKEN = "operate-ibisgap";
 
 const REGION = "local";
-const SEED_MS = 10_000;
+const SEED_TIMEOUT_MS = 10_000;
 
 /** An embedded gateway and what it stands before. */
-export interface Embedded {
+export interface EmbeddedGateway {
   readonly daemon: Daemon;
   close(): Promise<void>;
 }
@@ -32,7 +32,7 @@
 export async function openEmbedded(
   port: number,
   stop: () => void = () => {},
-): Promise<Embedded> {
+): Promise<EmbeddedGateway> {
   const platform = await openPlatform();
   const engine = await openEngine({ model: "demo" });
   const plain = await openPlain({ name: "ledger" });
@@ -57,7 +57,11 @@
 }
 
 function embeddedRows(engineUrl: string, plainUrl: string): TableRow[] {
-  const place = { kind: "upstream", region: REGION, failureDomain: "local-a" };
+  const upstreamFields = {
+    kind: "upstream",
+    region: REGION,
+    failureDomain: "local-a",
+  };
   return [
     { kind: "region", id: REGION },
     { kind: "service", id: "demo", type: "model" },
@@ -68,8 +72,8 @@
       home: REGION,
       keyDigests: [secretDigest(EMBEDDED_KEY)],
     },
-    { ...place, id: "engine-1", service: "demo", url: engineUrl },
-    { ...place, id: "ledger-1", service: "ledger", url: plainUrl },
+    { ...upstreamFields, id: "engine-1", service: "demo", url: engineUrl },
+    { ...upstreamFields, id: "ledger-1", service: "ledger", url: plainUrl },
   ].map((row) => tableRow.parse(row));
 }
 
@@ -93,7 +97,7 @@
     clock: systemClock,
     random,
   });
-  const deadlineMs = systemClock.nowMs() + SEED_MS;
+  const deadlineMs = systemClock.nowMs() + SEED_TIMEOUT_MS;
   const applied = await editor.apply({
     rows,
     author: "seed",
--- a/src/daemon/ibisgapd.ts
+++ b/src/daemon/ibisgapd.ts
@@ -11,10 +11,10 @@
 import { readSettings } from "./settings.ts";
 
 const DEFAULT_PORT = 7070;
-const USAGE_EXIT = 2;
+const USAGE_EXIT_CODE = 2;
 
 /** Runs until a planned stop (SIGTERM, SIGINT, `ibisgap drain`), which ends with exit code 0. */
-async function serve(
+async function runUntilStopped(
   open: (stop: () => void) => Promise<{ close(): Promise<void> }>,
 ): Promise<void> {
   let stopping = false;
@@ -29,46 +29,46 @@
   await opening;
 }
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(text + "\n");
 }
 
-function refuse(lines: readonly string[]): never {
+function exitWithErrors(lines: readonly string[]): never {
   for (const line of lines) process.stderr.write(`ibisgapd: ${line}\n`);
-  process.exit(USAGE_EXIT);
+  process.exit(USAGE_EXIT_CODE);
 }
 
-async function embedded(stop: () => void) {
+async function startEmbedded(stop: () => void) {
   const port = Number(process.env.PORT ?? DEFAULT_PORT);
   if (!Number.isInteger(port) || port < 0 || port > 65_535) {
-    refuse([`PORT must be 0 to 65535; found ${process.env.PORT}`]);
+    exitWithErrors([`PORT must be 0 to 65535; found ${process.env.PORT}`]);
   }
   const opened = await openEmbedded(port, stop);
   const { url } = opened.daemon;
-  say(`ready: ${url}`);
-  say(
+  printLine(`ready: ${url}`);
+  printLine(
     `try: curl -N ${url}/v1/chat/completions -H 'authorization: Bearer ${EMBEDDED_KEY}' \\`,
   );
-  say(
+  printLine(
     `  -d '{"model":"demo","stream":true,"messages":[{"role":"user","content":"Which pass is open?"}]}'`,
   );
-  say(
+  printLine(
     `operate: IBISGAP_TOKEN=${EMBEDDED_TOKEN} npx ibisgap status --target ${url}`,
   );
   return opened;
 }
 
-async function fromSettings(path: string, stop: () => void) {
+async function startFromSettings(path: string, stop: () => void) {
   const settings = readSettings(path);
   if (settings.isErr()) {
-    refuse(
+    exitWithErrors(
       settings.error.map((problem) =>
         `${path}: ${problem.field}: ${problem.message}`
       ),
     );
   }
   const daemon = await openDaemon(settings.value, stop);
-  say(`ready: ${daemon.url} peers: ${daemon.peerAddress}`);
+  printLine(`ready: ${daemon.url} peers: ${daemon.peerAddress}`);
   return daemon;
 }
 
@@ -91,12 +91,14 @@
   },
   async run({ args }) {
     if (args.embedded === (args.settings !== undefined)) {
-      refuse(["name a settings file, or give --embedded"]);
+      exitWithErrors(["name a settings file, or give --embedded"]);
     }
-    await serve((stop) =>
-      args.embedded ? embedded(stop) : fromSettings(args.settings!, stop)
+    await runUntilStopped((stop) =>
+      args.embedded
+        ? startEmbedded(stop)
+        : startFromSettings(args.settings!, stop)
     ).catch(
-      (error: Error) => refuse([error.message]),
+      (error: Error) => exitWithErrors([error.message]),
     );
   },
 });
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -96,16 +96,16 @@
   if (parsed.success) return ok(parsed.data);
   return err(parsed.error.issues.map((issue) => ({
     field: issue.path.join(".") || "(whole file)",
-    message: issue.message + found(issue),
+    message: issue.message + foundText(issue),
   })));
 }
 
 /** Fields whose values are never printed. */
-const SECRETS = new Set(["credential", "alsoAccepted"]);
+const SECRET_FIELDS = new Set(["credential", "alsoAccepted"]);
 
-function found(issue: z.core.$ZodIssue): string {
-  const secretField = SECRETS.has(String(issue.path.at(-1)));
-  if (!("input" in issue) || issue.input === undefined || secretField) {
+function foundText(issue: z.core.$ZodIssue): string {
+  const isSecret = SECRET_FIELDS.has(String(issue.path.at(-1)));
+  if (!("input" in issue) || issue.input === undefined || isSecret) {
     return "";
   }
   if (typeof issue.input === "object") return "";
--- a/src/daemon/settings_schema.ts
+++ b/src/daemon/settings_schema.ts
@@ -37,16 +37,18 @@
 function linesOf(field: Field, path: string): string[] {
   const lines: string[] = [];
   for (const [name, inner] of Object.entries(field.properties ?? {})) {
-    const at = path ? `${path}.${name}` : name;
-    if (inner.properties) lines.push(...linesOf(inner, at));
+    const fieldPath = path ? `${path}.${name}` : name;
+    if (inner.properties) lines.push(...linesOf(inner, fieldPath));
     else {lines.push(
-        `\`${at}\`: ${allowed(inner)}${standard(field, name, inner)}`,
+        `\`${fieldPath}\`: ${allowedText(inner)}${
+          defaultText(field, name, inner)
+        }`,
       );}
   }
   return lines;
 }
 
-function allowed(field: Field): string {
+function allowedText(field: Field): string {
   if (field.enum) return field.enum.map((value) => `"${value}"`).join(", ");
   if (field.items) return `list of ${field.items.type ?? "values"}`;
   const { minimum, maximum } = field;
@@ -54,7 +56,7 @@
   return `${field.type ?? "value"}${range}`;
 }
 
-function standard(parent: Field, name: string, field: Field): string {
+function defaultText(parent: Field, name: string, field: Field): string {
   if (parent.required?.includes(name)) return "; needed";
   return field.default === undefined
     ? ""
--- a/src/daemon/settings_test.ts
+++ b/src/daemon/settings_test.ts
@@ -5,7 +5,7 @@
 
 const ROOT = new URL("../../../", import.meta.url);
 
-function valid(): Record<string, Record<string, unknown>> {
+function validSettings(): Record<string, Record<string, unknown>> {
   return {
     vm: { id: "agadir-1", region: "agadir", failureDomain: "agadir-a" },
     listen: { callers: { port: 7070 }, peers: { port: 7071 } },
@@ -16,7 +16,7 @@
 
 describe("settings", () => {
   it("fills in what is left out", (t) => {
-    const settings = checkSettings(valid())._unsafeUnwrap();
+    const settings = checkSettings(validSettings())._unsafeUnwrap();
     t.is(settings.listen.callers.host, "127.0.0.1");
     t.is(settings.limits.attempts, 3);
   });
@@ -59,7 +59,7 @@
   ];
   for (const [name, group, field, value, at, message] of cases) {
     it(`refuse ${name}, naming field, value and what is allowed`, (t) => {
-      const settings = valid();
+      const settings = validSettings();
       settings[group] = { ...settings[group], [field]: value };
       const problems = checkSettings(settings)._unsafeUnwrapErr();
       t.is(problems.length, 1, JSON.stringify(problems));
@@ -69,7 +69,7 @@
   }
 
   it("never print a credential", (t) => {
-    const settings = { ...valid(), peers: { credential: "short" } };
+    const settings = { ...validSettings(), peers: { credential: "short" } };
     const problems = checkSettings(settings)._unsafeUnwrapErr();
     t.false(JSON.stringify(problems).includes("short"));
   });
--- a/src/explain/explain_test.ts
+++ b/src/explain/explain_test.ts
@@ -1,5 +1,11 @@
 import { describe, it } from "../base/describe.ts";
-import { type Fate, fateOf, parseLine, summarize, tellStory } from "./mod.ts";
+import {
+  explainRequest,
+  type Fate,
+  fateOf,
+  parseLine,
+  summarize,
+} from "./mod.ts";
 
 const LINES = [
   'time=2026-01-01T00:00:01.000Z level=info event="upstream known" vm=a upstream=u1 state=ready',
@@ -17,15 +23,15 @@
   });
 
   it("tells a request over two VMs in order, with the cause that its caller's VM knew", (t) => {
-    const story = tellStory("9c", LINES)!;
-    t.deepEqual(story.lines.map(({ event }) => event), [
+    const explanation = explainRequest("9c", LINES)!;
+    t.deepEqual(explanation.lines.map(({ event }) => event), [
       "upstream known",
       "sent again",
       "request",
       "request",
     ]);
     t.regex(
-      story.cause,
+      explanation.cause,
       /may have run, and its route allows no other send; reason: said "no"; last place: u1/,
     );
   });
@@ -36,27 +42,27 @@
       'time=2026-01-01T00:00:02.000Z level=warn event="upstream ended under" vm=b request=d2 upstream=u8 ends=1 standing=suspected',
       "time=2026-01-01T00:00:03.000Z level=warn event=request vm=a attempt=a7 request=d1 standing=rejected ends=u7,u9 outcome=endsUpstreams",
     ].map((line) => parseLine(line)!);
-    const story = tellStory("a7", lines)!;
+    const explanation = explainRequest("a7", lines)!;
     t.deepEqual(
-      story.lines.map(({ vm, fields }) => [vm, fields.upstream]),
+      explanation.lines.map(({ vm, fields }) => [vm, fields.upstream]),
       [["b", "u7"], ["a", undefined]],
     );
-    t.regex(story.cause, /not run again; .*ended under it: u7,u9/);
+    t.regex(explanation.cause, /not run again; .*ended under it: u7,u9/);
   });
 
   it("does not make up a story", (t) => {
-    t.is(tellStory("nobody", LINES), undefined);
+    t.is(explainRequest("nobody", LINES), undefined);
   });
 
   it("tells a stream that was too slow from an upstream that said nothing", (t) => {
-    const of = (rest: string) =>
-      tellStory("a1", [
+    const causeOf = (rest: string) =>
+      explainRequest("a1", [
         parseLine(
           `time=2026-01-01T00:00:09.000Z level=warn event=request vm=a attempt=a1 outcome=upstreamTimeout ${rest}`,
         )!,
       ])!.cause;
-    t.regex(of("firstByteMs=288"), /too slow to end before the deadline/);
-    t.regex(of("sends=1"), /did not answer before the deadline/);
+    t.regex(causeOf("firstByteMs=288"), /too slow to end before the deadline/);
+    t.regex(causeOf("sends=1"), /did not answer before the deadline/);
   });
 
   describe("summary", () => {
--- a/src/explain/log_line.ts
+++ b/src/explain/log_line.ts
@@ -26,10 +26,10 @@
 
 /** Parses a line; what stands before `time=` is ignored, and a line without it is none of ours. */
 export function parseLine(line: string): ParsedLine | undefined {
-  const at = line.indexOf("time=");
-  if (at < 0) return undefined;
+  const start = line.indexOf("time=");
+  if (start < 0) return undefined;
   const fields: Record<string, string> = {};
-  for (const [, key, value] of line.slice(at).matchAll(PAIR)) {
+  for (const [, key, value] of line.slice(start).matchAll(PAIR)) {
     fields[key] = unquote(value);
   }
   const { time, level, event, vm, ...rest } = fields;
--- a/src/explain/story.ts
+++ b/src/explain/story.ts
@@ -7,7 +7,7 @@
 import type { ParsedLine } from "./log_line.ts";
 
 /** See the module. */
-export interface Story {
+export interface Explanation {
   readonly attempt: string;
   /** Lines of the request, in order, with what its places did meanwhile. */
   readonly lines: readonly ParsedLine[];
@@ -18,7 +18,7 @@
 /** What an upstream or a VM did shortly before a request failed belongs to the request's story. */
 const CONTEXT_MS = 5_000;
 /** Events that tell what became of a place. */
-const PLACE_EVENTS = new Set([
+const CONTEXT_EVENTS = new Set([
   "upstream silent",
   "upstream gone",
   "upstream dark",
@@ -36,7 +36,7 @@
   "suspect on trial",
 ]);
 
-const CAUSES: Readonly<Record<string, string>> = {
+const CAUSE_BY_OUTCOME: Readonly<Record<string, string>> = {
   ok: "it was served",
   noTable: "the VM had no configuration yet; nothing was run",
   unauthenticated:
@@ -69,7 +69,7 @@
 };
 
 /** A stream that began, unlike one whose upstream said nothing. */
-const TOO_SLOW =
+const TOO_SLOW_CAUSE =
   "the upstream began to answer and was too slow to end before the deadline";
 
 function causeOf(
@@ -95,7 +95,9 @@
     ends,
   } = last.fields;
   const wasSlow = outcome === "upstreamTimeout" && firstByteMs !== undefined;
-  const parts = [wasSlow ? TOO_SLOW : CAUSES[outcome] ?? outcome];
+  const parts = [
+    wasSlow ? TOO_SLOW_CAUSE : CAUSE_BY_OUTCOME[outcome] ?? outcome,
+  ];
   if (reason && outcome !== "ok") parts.push(`reason: ${reason}`);
   if (outcome === "rateLimited") {
     parts.push(`workspace: ${workspace}, ${quotaUnits} units`);
@@ -109,50 +111,56 @@
   if (ends) parts.push(`upstreams that ended under it: ${ends}`);
   if (firstByteMs) parts.push(`first byte after ${firstByteMs} ms`);
   if (leftMs) parts.push(`time left: ${leftMs} ms`);
-  const onPlace = lines.filter(({ event }) => PLACE_EVENTS.has(event)).map((
-    { event, fields },
-  ) => fields.upstream ? `${event} (${fields.upstream})` : event);
-  if (onPlace.length > 0) {
-    parts.push(`meanwhile: ${[...new Set(onPlace)].join(", ")}`);
+  const contextTexts = lines.filter(({ event }) => CONTEXT_EVENTS.has(event))
+    .map((
+      { event, fields },
+    ) => fields.upstream ? `${event} (${fields.upstream})` : event);
+  if (contextTexts.length > 0) {
+    parts.push(`meanwhile: ${[...new Set(contextTexts)].join(", ")}`);
   }
   return parts.join("; ");
 }
 
 /** Puts the lines of a request together; `undefined` if no line names it. */
-export function tellStory(
+export function explainRequest(
   attempt: string,
   all: readonly ParsedLine[],
-): Story | undefined {
-  const own = all.filter(({ fields }) => fields.attempt === attempt);
-  if (own.length === 0) return undefined;
-  const places = new Set(own.map(({ fields }) => fields.place).filter(Boolean));
-  const vms = new Set(own.map(({ vm }) => vm));
-  const firstMs = Math.min(...own.map(({ timeMs }) => timeMs)) - CONTEXT_MS;
-  const lastMs = Math.max(...own.map(({ timeMs }) => timeMs));
-  const around = all.filter(({ timeMs, event, vm, fields }) =>
-    PLACE_EVENTS.has(event) && timeMs >= firstMs && timeMs <= lastMs &&
+): Explanation | undefined {
+  const ownLines = all.filter(({ fields }) => fields.attempt === attempt);
+  if (ownLines.length === 0) return undefined;
+  const places = new Set(
+    ownLines.map(({ fields }) => fields.place).filter(Boolean),
+  );
+  const vms = new Set(ownLines.map(({ vm }) => vm));
+  const firstMs = Math.min(...ownLines.map(({ timeMs }) => timeMs)) -
+    CONTEXT_MS;
+  const lastMs = Math.max(...ownLines.map(({ timeMs }) => timeMs));
+  const contextLines = all.filter(({ timeMs, event, vm, fields }) =>
+    CONTEXT_EVENTS.has(event) && timeMs >= firstMs && timeMs <= lastMs &&
     vms.has(vm) &&
     (places.has(fields.upstream ?? fields.peer ?? "") ||
       event === "store lost" || event === "evacuated")
   );
   const digests = new Set(
-    own.map(({ fields }) => fields.request).filter(Boolean),
+    ownLines.map(({ fields }) => fields.request).filter(Boolean),
   );
-  const suspicion = all.filter(({ event, fields }) =>
+  const suspectLines = all.filter(({ event, fields }) =>
     SUSPECT_EVENTS.has(event) && digests.has(fields.request)
   );
-  const lines = [...own, ...around, ...suspicion].sort((a, b) =>
+  const lines = [...ownLines, ...contextLines, ...suspectLines].sort((a, b) =>
     a.timeMs - b.timeMs
   );
   // The VM that the caller was connected to has the last word; the others answered to it.
-  const ends = own.filter(({ event }) => event === "request");
-  const last = ends.find(({ fields }) => fields.relayed !== "true") ??
-    ends.at(-1);
+  const endLines = ownLines.filter(({ event }) => event === "request");
+  const last = endLines.find(({ fields }) => fields.relayed !== "true") ??
+    endLines.at(-1);
   return { attempt, lines, cause: causeOf(last, lines) };
 }
 
 /** A story as text, times from its first line on. */
-export function storyText({ attempt, lines, cause }: Story): string {
+export function explanationText(
+  { attempt, lines, cause }: Explanation,
+): string {
   const startMs = lines[0].timeMs;
   const rows = lines.map(({ timeMs, vm, event, fields }) => {
     const rest = Object.entries(fields).filter(([key]) => key !== "attempt")
--- a/src/explain/summary.ts
+++ b/src/explain/summary.ts
@@ -28,7 +28,7 @@
   readonly requests: number;
 }
 
-const LOST: Readonly<Record<string, Fate>> = {
+const FATE_BY_OUTCOME: Readonly<Record<string, Fate>> = {
   upstreamTimeout: "out of time",
   expiredInQueue: "out of time",
   streamBroken: "broken",
@@ -37,24 +37,24 @@
   canceled: "caller left",
 };
 
-function numberOf(text: string | undefined): number | undefined {
+function toNumber(text: string | undefined): number | undefined {
   return text === undefined || text === "" ? undefined : Number(text);
 }
 
 /** The fate that the last line of a request tells. */
 export function fateOf({ fields }: ParsedLine): Fate {
   const { outcome, kind } = fields;
-  if (outcome !== "ok") return LOST[outcome] ?? "refused";
+  if (outcome !== "ok") return FATE_BY_OUTCOME[outcome] ?? "refused";
   const isStream = kind === "stream";
-  const startMs = numberOf(isStream ? fields.firstByteMs : fields.totalMs);
+  const startMs = toNumber(isStream ? fields.firstByteMs : fields.totalMs);
   if (
     startMs !== undefined &&
-    startMs > (numberOf(fields.objectiveMs) ?? Infinity)
+    startMs > (toNumber(fields.objectiveMs) ?? Infinity)
   ) {
     return "late start";
   }
-  const gapMs = numberOf(fields.gapMs) || Infinity;
-  const pauseMs = numberOf(fields.longestPauseMs) ?? 0;
+  const gapMs = toNumber(fields.gapMs) || Infinity;
+  const pauseMs = toNumber(fields.longestPauseMs) ?? 0;
   return isStream && pauseMs > gapMs ? "long pause" : "on time";
 }
 
--- a/src/gateway/losses.ts
+++ b/src/gateway/losses.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { type Reach, reachOf } from "../adapters/mod.ts";
+import { probeAddress, type Reachability } from "../adapters/mod.ts";
 import type { Clock } from "../base/mod.ts";
 import type { Log } from "../kernel/mod.ts";
 import type { KnownUpstream } from "../routing/mod.ts";
@@ -26,7 +26,7 @@
 }
 
 interface Probe {
-  readonly reach: Promise<Reach>;
+  readonly reach: Promise<Reachability>;
   readonly untilMs: number;
 }
 
@@ -44,7 +44,7 @@
   }
 
   /** Probes whether an upstream can be reached after a connection to it broke. */
-  probe(upstream: KnownUpstream): Promise<Reach> {
+  probe(upstream: KnownUpstream): Promise<Reachability> {
     const nowMs = this.#clock.monoMs();
     for (const [key, { untilMs }] of this.#probes) {
       if (untilMs <= nowMs) this.#probes.delete(key);
@@ -60,8 +60,8 @@
 
   async #tryConnection(
     { key, host, port, service }: KnownUpstream,
-  ): Promise<Reach> {
-    const reach = await reachOf(host, port, this.#clock);
+  ): Promise<Reachability> {
+    const reach = await probeAddress(host, port, this.#clock);
     this.#log.warn("upstream lost", { upstream: key, service, reach });
     this.#metrics.count("losses", `service="${service}",reach="${reach}"`);
     return reach;
--- a/src/gateway/upstreams.ts
+++ b/src/gateway/upstreams.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { isDark } from "../adapters/mod.ts";
+import { isUnreachable } from "../adapters/mod.ts";
 import { type Clock, hash32, type Timer } from "../base/mod.ts";
 import {
   type Handlers,
@@ -358,7 +358,9 @@
   ): Promise<void> {
     const { upstream } = link;
     if (!upstream || link.darkListeners.size === 0) return;
-    if (!(await isDark(upstream.host, upstream.port, this.#clock))) return;
+    if (!(await isUnreachable(upstream.host, upstream.port, this.#clock))) {
+      return;
+    }
     log.warn("upstream dark", { upstream: key, running: link.running });
     for (const listener of [...link.darkListeners]) listener();
   }
--- a/src/services/away.ts
+++ b/src/services/away.ts
@@ -14,13 +14,13 @@
 /** The host frees a slot that was not renewed for this long: the home VM is gone, or the link is. */
 export const HOST_LEASE_MS = 6000;
 /** VMs of the far region that are tried; a request must not spend its time on knocking at doors. */
-const HOST_TRIES = 2;
+const MAX_HOST_TRIES = 2;
 /** A host that is behind the home's table version waits this long to catch up, then refuses. */
-const CATCH_UP_MS = 500;
+const MAX_CATCH_UP_MS = 500;
 /** The far region's answer needs this much more than the deadline to come back. */
 const ANSWER_GRACE_MS = 500;
 
-const hostMethod = {
+const HOST_METHODS = {
   acquire: "slots.host",
   renew: "slots.hostRenew",
   report: "slots.hostReport",
@@ -28,21 +28,21 @@
 } as const;
 
 /** What a VM asks of a host, and tells it afterwards. */
-interface HostAcquire {
+interface HostAcquireMessage {
   readonly request: SlotRequest;
 }
-interface HostRenew {
+interface HostRenewMessage {
   readonly attemptIds: readonly string[];
 }
-interface HostReport {
+interface HostReportMessage {
   readonly report: SlotReport;
 }
-interface HostCancel {
+interface HostCancelMessage {
   readonly attemptId: string;
 }
 
 /** What both ends need of their task. */
-export interface AwayContext {
+export interface RemoteSlotsContext {
   readonly clock: Clock;
   readonly region: string;
   readonly transport: Transport;
@@ -51,16 +51,16 @@
 }
 
 /** The home VM's end. */
-export class AwayClient {
-  readonly #context: AwayContext;
+export class RemoteSlotsClient {
+  readonly #context: RemoteSlotsContext;
   /** The host of each attempt that is asked for or held. */
   readonly #hosts = new Map<string, VmInfo>();
 
-  constructor(context: AwayContext) {
+  constructor(context: RemoteSlotsContext) {
     this.#context = context;
   }
 
-  get holding(): number {
+  get heldCount(): number {
     return this.#hosts.size;
   }
 
@@ -71,9 +71,9 @@
   ): Promise<SlotAnswer | undefined> {
     const others = await this.#context.members.ask("others", undefined);
     const live = (others.get(region) ?? []).filter((vm) => vm.state === "live");
-    const order = rendezvous(request.workspace, live, (vm) => vm.id);
-    for (const vm of order.slice(0, HOST_TRIES)) {
-      const answer = await this.#ask(vm, request);
+    const hosts = rendezvous(request.workspace, live, (vm) => vm.id);
+    for (const vm of hosts.slice(0, MAX_HOST_TRIES)) {
+      const answer = await this.#requestSlot(vm, request);
       if (answer) return answer.type === "grant" ? answer : undefined;
     }
     return undefined;
@@ -86,8 +86,8 @@
     if (report.outcome !== "started") this.#hosts.delete(report.attemptId);
     this.#context.transport.notify(
       host.peerAddress,
-      hostMethod.report,
-      { report } satisfies HostReport,
+      HOST_METHODS.report,
+      { report } satisfies HostReportMessage,
     );
     return true;
   }
@@ -99,8 +99,8 @@
     this.#hosts.delete(attemptId);
     this.#context.transport.notify(
       host.peerAddress,
-      hostMethod.cancel,
-      { attemptId } satisfies HostCancel,
+      HOST_METHODS.cancel,
+      { attemptId } satisfies HostCancelMessage,
     );
     return true;
   }
@@ -116,75 +116,77 @@
     for (const [address, attemptIds] of byAddress) {
       this.#context.transport.notify(
         address,
-        hostMethod.renew,
-        { attemptIds } satisfies HostRenew,
+        HOST_METHODS.renew,
+        { attemptIds } satisfies HostRenewMessage,
       );
     }
   }
 
   /** The host's answer; `undefined` if it did not come, so that another host may be asked. */
-  async #ask(
+  async #requestSlot(
     vm: VmInfo,
     request: SlotRequest,
   ): Promise<SlotAnswer | undefined> {
     const { transport, region } = this.#context;
     this.#hosts.set(request.attemptId, vm);
-    const message: HostAcquire = { request: { ...request, sentFrom: region } };
+    const message: HostAcquireMessage = {
+      request: { ...request, sentFrom: region },
+    };
     const deadlineMs = request.deadlineMs + ANSWER_GRACE_MS;
     const result = await transport.call(
       vm.peerAddress,
-      hostMethod.acquire,
+      HOST_METHODS.acquire,
       message,
       deadlineMs,
     );
     const answer = result.isOk() ? result.value as SlotAnswer : undefined;
-    const stillWanted = this.#hosts.has(request.attemptId);
-    if (answer?.type === "grant" && stillWanted) return answer;
+    const isStillWanted = this.#hosts.has(request.attemptId);
+    if (answer?.type === "grant" && isStillWanted) return answer;
     this.cancel(request.attemptId);
     return answer;
   }
 }
 
 /** What the host's end does with its own region's leads. */
-export interface HostSlots {
+export interface LocalSlots {
   acquire(request: SlotRequest): Promise<SlotAnswer>;
   report(report: SlotReport): void;
   cancel(attemptId: string): void;
 }
 
 /** The host's end. */
-export class AwayHost {
-  readonly #context: AwayContext;
-  readonly #slots: HostSlots;
-  readonly #leases = new Map<string, number>();
+export class RemoteSlotsHost {
+  readonly #context: RemoteSlotsContext;
+  readonly #localSlots: LocalSlots;
+  readonly #leaseUntilMs = new Map<string, number>();
 
-  constructor(context: AwayContext, slots: HostSlots) {
+  constructor(context: RemoteSlotsContext, slots: LocalSlots) {
     this.#context = context;
-    this.#slots = slots;
+    this.#localSlots = slots;
   }
 
-  get hosting(): number {
-    return this.#leases.size;
+  get hostedCount(): number {
+    return this.#leaseUntilMs.size;
   }
 
   /** Registers the messages of other regions' VMs. */
   listen(): void {
     const { transport } = this.#context;
     transport.handle(
-      hostMethod.acquire,
-      (p) => this.#acquire((p as HostAcquire).request),
+      HOST_METHODS.acquire,
+      (p) => this.#acquire((p as HostAcquireMessage).request),
     );
     transport.handle(
-      hostMethod.renew,
-      (p) => this.#renew((p as HostRenew).attemptIds),
+      HOST_METHODS.renew,
+      (p) => this.#renew((p as HostRenewMessage).attemptIds),
     );
     transport.handle(
-      hostMethod.report,
-      (p) => this.#report((p as HostReport).report),
+      HOST_METHODS.report,
+      (p) => this.#report((p as HostReportMessage).report),
     );
     transport.handle(
-      hostMethod.cancel,
-      (p) => this.#cancel((p as HostCancel).attemptId),
+      HOST_METHODS.cancel,
+      (p) => this.#cancel((p as HostCancelMessage).attemptId),
     );
   }
 
@@ -194,7 +196,7 @@
    */
   sweep(): void {
     const nowMs = this.#context.clock.nowMs();
-    for (const [attemptId, untilMs] of this.#leases) {
+    for (const [attemptId, untilMs] of this.#leaseUntilMs) {
       if (untilMs < nowMs) this.#cancel(attemptId);
     }
   }
@@ -206,57 +208,64 @@
   async #acquire(request: SlotRequest): Promise<SlotAnswer> {
     const { clock, table } = this.#context;
     if (request.sentFrom === undefined) {
-      return refused(
+      return refuse(
         clock.nowMs(),
         "the request names no region it comes from",
       );
     }
     const deadlineMs = Math.min(
       request.deadlineMs,
-      clock.nowMs() + CATCH_UP_MS,
+      clock.nowMs() + MAX_CATCH_UP_MS,
     );
     const inForce = await table.ask("waitFor", {
       version: request.tableVersion,
       deadlineMs,
     });
     if (!inForce) {
-      return refused(
+      return refuse(
         clock.nowMs(),
         "this region does not have the table's version yet",
       );
     }
-    this.#leases.set(request.attemptId, request.deadlineMs + HOST_LEASE_MS);
-    const answer = await this.#slots.acquire(request);
-    const wanted = this.#leases.has(request.attemptId);
+    this.#leaseUntilMs.set(
+      request.attemptId,
+      request.deadlineMs + HOST_LEASE_MS,
+    );
+    const answer = await this.#localSlots.acquire(request);
+    const isWanted = this.#leaseUntilMs.has(request.attemptId);
     if (answer.type !== "grant") {
-      this.#leases.delete(request.attemptId);
+      this.#leaseUntilMs.delete(request.attemptId);
       return answer;
     }
-    if (wanted) {
-      this.#leases.set(request.attemptId, clock.nowMs() + HOST_LEASE_MS);
-    } else this.#slots.cancel(request.attemptId);
+    if (isWanted) {
+      this.#leaseUntilMs.set(request.attemptId, clock.nowMs() + HOST_LEASE_MS);
+    } else this.#localSlots.cancel(request.attemptId);
     return answer;
   }
 
   #renew(attemptIds: readonly string[]): void {
     const untilMs = this.#context.clock.nowMs() + HOST_LEASE_MS;
     for (const id of attemptIds) {
-      if (this.#leases.has(id)) this.#leases.set(id, untilMs);
+      if (this.#leaseUntilMs.has(id)) this.#leaseUntilMs.set(id, untilMs);
     }
   }
 
   #report(report: SlotReport): void {
-    if (!this.#leases.has(report.attemptId)) return;
-    if (report.outcome !== "started") this.#leases.delete(report.attemptId);
-    this.#slots.report(report);
+    if (!this.#leaseUntilMs.has(report.attemptId)) return;
+    if (report.outcome !== "started") {
+      this.#leaseUntilMs.delete(report.attemptId);
+    }
+    this.#localSlots.report(report);
   }
 
   #cancel(attemptId: string): void {
-    if (this.#leases.delete(attemptId)) this.#slots.cancel(attemptId);
+    if (this.#leaseUntilMs.delete(attemptId)) {
+      this.#localSlots.cancel(attemptId);
+    }
   }
 }
 
-function refused(nowMs: number, message: string): SlotAnswer {
+function refuse(nowMs: number, message: string): SlotAnswer {
   return {
     type: "refuse",
     failure: failure("receiverRefused", { message, retryAtMs: nowMs + 1000 }),
--- a/src/services/claims.ts
+++ b/src/services/claims.ts
@@ -14,7 +14,7 @@
   type ClaimChange,
   type ClaimKey,
   type ClaimVerdict,
-  defaultShardLimits,
+  DEFAULT_SHARD_LIMITS,
   keyDigest,
   type ReplicaMessage,
   sameVm,
@@ -37,9 +37,9 @@
   Task,
   type TaskPort,
 } from "../kernel/mod.ts";
-import { ClaimsDriver, type Request } from "./claims_driver.ts";
-import { ClaimsRouter, type Routed } from "./claims_router.ts";
-import { asRef, WitnessList } from "./claims_witnesses.ts";
+import { ClaimsDriver, type DriverRequest } from "./claims_driver.ts";
+import { ClaimsRouter, type RouteResult } from "./claims_router.ts";
+import { toVmRef, WitnessList } from "./claims_witnesses.ts";
 import {
   askMessage,
   changeMessage,
@@ -57,22 +57,22 @@
 } from "./messages.ts";
 
 const TICK_MS = 20;
-const VIEW_MS = 250;
+const VIEW_REFRESH_MS = 250;
 /** How long `finish`, `release` and `abandon` are tried for while the caller waits; then they go on behind. */
-const CHANGE_MS = 2000;
+const CHANGE_TIMEOUT_MS = 2000;
 /** How long a step is tried for behind the caller's back. */
-const CHANGE_TRIES = 12;
+const MAX_CHANGE_RETRIES = 12;
 /** Most steps that are tried for at the same time behind their callers' backs. */
-const MOST_BEHIND = 500;
+const MAX_BACKGROUND_CHANGES = 500;
 const CHANGE_BACKOFF = { firstMs: 250, maxMs: 10_000 };
-const LOOKUP_MS = 3000;
-const REPLICATE_MS = 1500;
+const LOOKUP_TIMEOUT_MS = 3000;
+const REPLICATE_TIMEOUT_MS = 1500;
 /** When a caller may come back whose claim found no owner. */
-const RETRY_MS = 1000;
+const RETRY_AFTER_MS = 1000;
 /** Claims take at most this many writes a second in all regions together, unless the settings say otherwise. */
 const WRITES_PER_S = 60;
 /** Kept back from a caller's deadline, so that the refusal still reaches it. */
-const ANSWER_MARGIN_MS = 50;
+const DEADLINE_MARGIN_MS = 50;
 
 /** What a {@link ClaimsService} works with. */
 export interface ClaimsOptions {
@@ -101,12 +101,12 @@
   readonly #timers: Timer[] = [];
   #router!: ClaimsRouter;
   #clock!: Clock;
-  #here: readonly VmInfo[] = [];
-  #others: ReadonlyMap<string, readonly VmInfo[]> = new Map();
+  #local: readonly VmInfo[] = [];
+  #remote: ReadonlyMap<string, readonly VmInfo[]> = new Map();
   #table: Table | undefined;
   #nextClaim = 0;
   /** Steps that are tried for behind their callers' backs. */
-  #behind = 0;
+  #backgroundChanges = 0;
   #closed = false;
 
   protected readonly handlers: Handlers<ClaimsMessages> = {
@@ -121,7 +121,7 @@
   constructor(options: ClaimsOptions) {
     super();
     this.#options = options;
-    this.#limits = { ...defaultShardLimits, ...options.limits };
+    this.#limits = { ...DEFAULT_SHARD_LIMITS, ...options.limits };
     this.#random = new Random(options.seed ?? options.me.incarnation);
   }
 
@@ -150,12 +150,12 @@
       clock: this.#clock,
       transport,
       drivers: this.#drivers,
-      members: () => ({ here: this.#here, others: this.#others }),
+      members: () => ({ local: this.#local, remote: this.#remote }),
     });
-    if (transport) this.#listen(transport);
+    if (transport) this.#registerHandlers(transport);
     await this.#refreshView();
     this.#timers.push(
-      this.#clock.every(VIEW_MS, () => void this.#refreshView()),
+      this.#clock.every(VIEW_REFRESH_MS, () => void this.#refreshView()),
       this.#clock.every(TICK_MS, () => this.#tick()),
     );
     this.#tick();
@@ -180,7 +180,7 @@
     return {
       me: this.#options.me,
       shards: this.#drivers.map((driver) => driver.state()),
-      stepsBehind: this.#behind,
+      stepsBehind: this.#backgroundChanges,
       storeCalls: this.#options.store.counts().claims,
     };
   }
@@ -196,18 +196,18 @@
       body: bodyDigest(input.bodyDigest),
       claimId,
       claimer: { ...this.#options.me, region: this.#options.region },
-      deadlineMs: input.deadlineMs - ANSWER_MARGIN_MS,
+      deadlineMs: input.deadlineMs - DEADLINE_MARGIN_MS,
     };
     const routed = await this.#router.send(home, { type: "ask", ask }, false);
-    const verdict = this.#verdict(routed);
+    const verdict = this.#verdictOf(routed);
     // An owner whose answer was lost may have recorded it; the key must be free again for the caller's next try.
     if (routed.type === "none" && routed.sent) {
-      void this.#changeBehind(home, { key, claimId, state: "released" });
+      void this.#changeInBackground(home, { key, claimId, state: "released" });
     }
     return verdict;
   }
 
-  #verdict(routed: Routed): ClaimVerdict {
+  #verdictOf(routed: RouteResult): ClaimVerdict {
     if (routed.type === "none") return this.#refuse();
     const { reply } = routed;
     switch (reply.type) {
@@ -225,7 +225,7 @@
     }
   }
 
-  #refuse(retryAtMs = this.#clock.nowMs() + RETRY_MS): ClaimVerdict {
+  #refuse(retryAtMs = this.#clock.nowMs() + RETRY_AFTER_MS): ClaimVerdict {
     return {
       type: "refused",
       failure: failure("claimUnavailable", { retryAtMs }),
@@ -244,26 +244,26 @@
       ...step,
     };
     if (await this.#tryChange(home, change)) return;
-    void this.#changeBehind(home, change);
+    void this.#changeInBackground(home, change);
   }
 
   async #tryChange(home: string, change: ClaimChange): Promise<boolean> {
-    const deadlineMs = this.#clock.nowMs() + CHANGE_MS;
+    const deadlineMs = this.#clock.nowMs() + CHANGE_TIMEOUT_MS;
     const request = { type: "change", change, deadlineMs } as const;
     const routed = await this.#router.send(home, request, false);
     return routed.type === "reply" && routed.reply.type === "done";
   }
 
-  async #changeBehind(home: string, change: ClaimChange): Promise<void> {
+  async #changeInBackground(home: string, change: ClaimChange): Promise<void> {
     // In an outage of many calls the steps themselves would become a load: the rest is left "running" or "unknown".
-    if (this.#behind >= MOST_BEHIND) return;
-    this.#behind++;
-    await this.#tryOften(home, change);
-    this.#behind--;
+    if (this.#backgroundChanges >= MAX_BACKGROUND_CHANGES) return;
+    this.#backgroundChanges++;
+    await this.#retryChange(home, change);
+    this.#backgroundChanges--;
   }
 
-  async #tryOften(home: string, change: ClaimChange): Promise<void> {
-    for (let attempt = 0; attempt < CHANGE_TRIES; attempt++) {
+  async #retryChange(home: string, change: ClaimChange): Promise<void> {
+    for (let attempt = 0; attempt < MAX_CHANGE_RETRIES; attempt++) {
       const waitMs = backoffMs(attempt, CHANGE_BACKOFF, this.#random);
       await this.#clock.sleep(waitMs);
       if (this.#closed || await this.#tryChange(home, change)) return;
@@ -274,7 +274,7 @@
     const routed = await this.#router.send(await this.#homeOf(key.workspace), {
       type: "lookup",
       key: keyDigest(key),
-      deadlineMs: this.#clock.nowMs() + LOOKUP_MS,
+      deadlineMs: this.#clock.nowMs() + LOOKUP_TIMEOUT_MS,
     }, false);
     const reply = routed.type === "reply" ? routed.reply : undefined;
     switch (reply?.type) {
@@ -285,7 +285,7 @@
       case "answered":
         return ok({ answer: reply.answer });
     }
-    const retryAtMs = this.#clock.nowMs() + RETRY_MS;
+    const retryAtMs = this.#clock.nowMs() + RETRY_AFTER_MS;
     const message = "the record of this key cannot be read now";
     // Nothing is known of the call itself, so "not run" would be a guess.
     return err(
@@ -293,43 +293,43 @@
     );
   }
 
-  #listen(transport: Transport): void {
-    const relay = async (
+  #registerHandlers(transport: Transport): void {
+    const answer = async (
       region: string,
       relayed: boolean,
-      request: Request,
+      request: DriverRequest,
     ): Promise<WireReply> => {
-      const routed = await this.#relay(region, relayed, request);
+      const routed = await this.#answerPeer(region, relayed, request);
       return toWire(routed, this.#clock.monoMs());
     };
     transport.handle(claimsMethod.ask, (params) => {
       const { region, relayed, ask } = askMessage.parse(params);
-      return relay(region, relayed, { type: "ask", ask });
+      return answer(region, relayed, { type: "ask", ask });
     });
     transport.handle(claimsMethod.change, (params) => {
       const { region, relayed, ...rest } = changeMessage.parse(params);
-      return relay(region, relayed, { type: "change", ...rest });
+      return answer(region, relayed, { type: "change", ...rest });
     });
     transport.handle(claimsMethod.lookup, (params) => {
       const { region, relayed, ...rest } = lookupMessage.parse(params);
-      return relay(region, relayed, { type: "lookup", ...rest });
+      return answer(region, relayed, { type: "lookup", ...rest });
     });
     transport.handle(claimsMethod.replicate, (params) => {
       const { shard, to, message } = replicateMessage.parse(params);
       const driver = this.#drivers[shard];
       if (!driver || !sameVm(to, this.#options.me)) return { accepted: false };
-      return driver.replica(message);
+      return driver.acceptReplica(message);
     });
   }
 
   /** A request of another VM: answered here, or, if it came from another region, sent on to this region's owner. */
-  async #relay(
+  async #answerPeer(
     region: string,
     relayed: boolean,
-    request: Request,
+    request: DriverRequest,
   ): Promise<ShardReply> {
     if (region !== this.#options.region) return { type: "notOwner" };
-    if (!relayed) return await this.#router.sendOwn(request);
+    if (!relayed) return await this.#router.answerLocally(request);
     const routed = await this.#router.send(region, request, true);
     return routed.type === "reply" ? routed.reply : { type: "notOwner" };
   }
@@ -339,14 +339,14 @@
     to: VmRef,
     message: ReplicaMessage,
   ): Promise<boolean> {
-    const vm = this.#here.find((info) => sameVm(info, to));
+    const vm = this.#local.find((info) => sameVm(info, to));
     const { transport } = this.#options;
     if (!vm || !transport) return false;
     const answer = await transport.call(
       vm.peerAddress,
       claimsMethod.replicate,
       { shard, to, message },
-      this.#clock.nowMs() + REPLICATE_MS,
+      this.#clock.nowMs() + REPLICATE_TIMEOUT_MS,
     );
     return answer.isOk() &&
       (answer.value as { accepted?: unknown })?.accepted === true;
@@ -359,16 +359,16 @@
   async #refreshView(): Promise<void> {
     const { members, table, me } = this.#options;
     if (members) {
-      this.#here = await members.ask("region", undefined);
-      this.#others = await members.ask("others", undefined);
+      this.#local = await members.ask("region", undefined);
+      this.#remote = await members.ask("others", undefined);
     }
     if (table) this.#table = await table.ask("current", undefined);
-    const live = this.#here.filter((vm) => !sameVm(vm, me));
-    const places = Math.max(
+    const live = this.#local.filter((vm) => !sameVm(vm, me));
+    const shards = Math.max(
       1,
-      this.#limits.shardCount * (this.#others.size + 1),
+      this.#limits.shardCount * (this.#remote.size + 1),
     );
-    const writesPerS = (this.#options.writesPerS ?? WRITES_PER_S) / places;
+    const writesPerS = (this.#options.writesPerS ?? WRITES_PER_S) / shards;
     this.#drivers.forEach((driver, shard) => {
       const order = rendezvous(
         `claims/${this.#options.region}/${shard}`,
@@ -377,9 +377,9 @@
       );
       driver.setView({
         region: this.#options.region,
-        live: live.map(asRef),
+        live: live.map(toVmRef),
         witnesses: this.#witnesses[shard]
-          .choose(me, order, this.#here, this.#clock.monoMs()),
+          .choose(me, order, this.#local, this.#clock.monoMs()),
         rank: order.findIndex((vm) => sameVm(vm, me)),
         writesPerS,
       });
--- a/src/services/claims_driver.ts
+++ b/src/services/claims_driver.ts
@@ -8,9 +8,9 @@
 import { err, ok, type Result } from "neverthrow";
 import type { KeyValue, StoreError } from "../adapters/mod.ts";
 import {
-  type ClaimAsk,
   type ClaimChange,
   type ClaimEvent,
+  type ClaimRequest,
   ClaimShard,
   type Effect,
   type Now,
@@ -28,11 +28,11 @@
 import type { Clock, Random } from "../base/mod.ts";
 
 /** Most segments read in one call. */
-const SEGMENTS_PER_READ = 64;
+const MAX_SEGMENTS_PER_READ = 64;
 
 /** A message to an owner. */
-export type Request =
-  | { readonly type: "ask"; readonly ask: ClaimAsk }
+export type DriverRequest =
+  | { readonly type: "ask"; readonly ask: ClaimRequest }
   | {
     readonly type: "change";
     readonly change: ClaimChange;
@@ -45,7 +45,7 @@
   };
 
 /** What a driver works with. */
-export interface DriverOptions {
+export interface ClaimsDriverOptions {
   readonly me: VmRef;
   readonly region: string;
   readonly shard: number;
@@ -60,14 +60,14 @@
 
 /** The shard's machine with its store and its links. */
 export class ClaimsDriver {
-  readonly #options: DriverOptions;
+  readonly #options: ClaimsDriverOptions;
   readonly #keys: ShardKeys;
   readonly #shard: ClaimShard;
-  readonly #waiting = new Map<number, (reply: ShardReply) => void>();
+  readonly #pending = new Map<number, (reply: ShardReply) => void>();
   #nextTicket = 0;
   #closed = false;
 
-  constructor(options: DriverOptions) {
+  constructor(options: ClaimsDriverOptions) {
     this.#options = options;
     this.#keys = shardKeys(options.region, options.shard);
     this.#shard = new ClaimShard({ ...options, keys: this.#keys });
@@ -102,24 +102,24 @@
   }
 
   /** Resolves once the request is settled: a claim granted or refused, a step kept. */
-  send(request: Request): Promise<ShardReply> {
+  send(request: DriverRequest): Promise<ShardReply> {
     const ticket = this.#nextTicket++;
     return new Promise((resolve) => {
-      this.#waiting.set(ticket, resolve);
-      this.#perform(this.#start(request, ticket));
+      this.#pending.set(ticket, resolve);
+      this.#perform(this.#startRequest(request, ticket));
     });
   }
 
   /** An owner's grants, to this VM as a witness. */
-  replica(message: ReplicaMessage): ReplicaAnswer {
+  acceptReplica(message: ReplicaMessage): ReplicaAnswer {
     return this.#shard.onReplica(this.#now(), message);
   }
 
   /** Answers whoever still waits, and drops late answers. */
   close(): void {
     this.#closed = true;
-    for (const resolve of this.#waiting.values()) resolve({ type: "notOwner" });
-    this.#waiting.clear();
+    for (const resolve of this.#pending.values()) resolve({ type: "notOwner" });
+    this.#pending.clear();
   }
 
   #now(): Now {
@@ -127,11 +127,11 @@
     return { nowMs: clock.nowMs(), monoMs: clock.monoMs() };
   }
 
-  #start(request: Request, ticket: number): Effect[] {
+  #startRequest(request: DriverRequest, ticket: number): Effect[] {
     const now = this.#now();
     switch (request.type) {
       case "ask":
-        return this.#shard.ask(now, request.ask, ticket);
+        return this.#shard.claim(now, request.ask, ticket);
       case "change":
         return this.#shard.change(now, request.change, ticket);
       case "lookup":
@@ -147,31 +147,31 @@
     const { store } = this.#options;
     switch (effect.type) {
       case "read": {
-        const found = await settled(store.get(this.#keys.head, "claims"));
-        return this.#then((now) => this.#shard.onRead(now, found));
+        const found = await catchErrors(store.get(this.#keys.head, "claims"));
+        return this.#continueWith((now) => this.#shard.onRead(now, found));
       }
       case "load": {
-        const loaded = await this.#load(effect.from, effect.to);
-        return this.#then((now) => this.#shard.onLoaded(now, loaded));
+        const loaded = await this.#loadSegments(effect.from, effect.to);
+        return this.#continueWith((now) => this.#shard.onLoaded(now, loaded));
       }
       case "write": {
-        const written = await settled(
+        const written = await catchErrors(
           store.transact(effect.writes, "claims"),
         );
-        return this.#then((now) => this.#shard.onWritten(now, written));
+        return this.#continueWith((now) => this.#shard.onWritten(now, written));
       }
       case "replicate": {
         const accepted = await this.#options.replicate(
           effect.to,
           effect.message,
         );
-        return this.#then((now) =>
+        return this.#continueWith((now) =>
           this.#shard.onReplicaAnswer(now, effect.to, accepted, effect)
         );
       }
       case "reply":
-        this.#waiting.get(effect.ticket)?.(effect.reply);
-        this.#waiting.delete(effect.ticket);
+        this.#pending.get(effect.ticket)?.(effect.reply);
+        this.#pending.delete(effect.ticket);
         return;
       case "log": {
         const { log, region, shard } = this.#options;
@@ -182,48 +182,48 @@
     }
   }
 
-  #then(step: (now: Now) => Effect[]): void {
+  #continueWith(step: (now: Now) => Effect[]): void {
     if (!this.#closed) this.#perform(step(this.#now()));
   }
 
   /** Reads segments `from` up to, but not including, `to`. */
-  async #load(
+  async #loadSegments(
     from: number,
     to: number,
   ): Promise<Result<ClaimEvent[][], StoreError>> {
     const segments: ClaimEvent[][] = [];
     let next = from;
     while (next < to) {
-      const found = await settled(this.#options.store.list(
+      const found = await catchErrors(this.#options.store.list(
         this.#keys.segments,
         {
           fromKey: segmentKey(this.#keys, next),
-          limit: Math.min(SEGMENTS_PER_READ, to - next),
+          limit: Math.min(MAX_SEGMENTS_PER_READ, to - next),
         },
         "claims",
       ));
       if (found.isErr()) return err(found.error);
       for (const entry of found.value.entries) {
         const parsed = parseSegment(entry.value);
-        if (parsed.isErr()) return err(unreadable(entry.key, parsed.error));
+        if (parsed.isErr()) return err(segmentError(entry.key, parsed.error));
         segments.push(parsed.value);
       }
       // A gap would forget claims: their keys would run again.
       const expected = segmentKey(this.#keys, from + segments.length - 1);
       const last = found.value.entries.at(-1)?.key;
-      if (last !== expected) return err(unreadable(expected, "missing"));
+      if (last !== expected) return err(segmentError(expected, "missing"));
       next = from + segments.length;
     }
     return ok(segments);
   }
 }
 
-function unreadable(key: string, message: string): StoreError {
+function segmentError(key: string, message: string): StoreError {
   return { kind: "unavailable", message: `segment ${key}: ${message}` };
 }
 
 /** A call that throws may have taken effect, like one whose answer was lost. */
-async function settled<T>(
+async function catchErrors<T>(
   call: Promise<Result<T, StoreError>>,
 ): Promise<Result<T, StoreError>> {
   try {
--- a/src/services/claims_region_test.ts
+++ b/src/services/claims_region_test.ts
@@ -172,13 +172,13 @@
    */
   it("go to the workspace's home, or are refused at once", async (t) => {
     const { regions, vms } = await startRegion("r-1", "q-1");
-    const away = vms.find((vm) => vm.info.region === "q")!;
+    const remote = vms.find((vm) => vm.info.region === "q")!;
     regions.homes.set("w", "r");
     await regions.clock.advance(500);
-    t.is((await regions.claim(away, "k")).type, "granted");
+    t.is((await regions.claim(remote, "k")).type, "granted");
     t.is((await regions.claim(vms[0], "k")).type, "running");
     regions.setCut("r-1", "q-1", true);
     await regions.clock.advance(500);
-    t.is((await regions.claim(away, "k2", 100)).type, "refused");
+    t.is((await regions.claim(remote, "k2", 100)).type, "refused");
   });
 });
--- a/src/services/claims_router.ts
+++ b/src/services/claims_router.ts
@@ -13,7 +13,7 @@
   type VmRef,
 } from "../agreement/mod.ts";
 import type { Clock } from "../base/mod.ts";
-import type { ClaimsDriver, Request } from "./claims_driver.ts";
+import type { ClaimsDriver, DriverRequest } from "./claims_driver.ts";
 import {
   type askMessage,
   type changeMessage,
@@ -25,21 +25,21 @@
 import type { VmInfo } from "./messages.ts";
 
 /** Between tries while no owner is found: a take-over is under way. */
-const RETRY_MS = 100;
+const OWNER_RETRY_MS = 100;
 /** Longest time that an owner is looked for: a dead one is missed and replaced well before. */
-const OWNER_MS = 6000;
+const OWNER_TIMEOUT_MS = 6000;
 /** Most VMs tried in turn to reach an owner through. */
-const RELAYS = 2;
+const MAX_RELAYS = 2;
 /** Longest time given to one call to another VM; an owner in an outage may hold an ask for some seconds. */
-const CALL_MS = 8000;
+const CALL_TIMEOUT_MS = 8000;
 
 /** What came of a request: a reply, or nothing that settles it; `sent` if an owner may have taken it in. */
-export type Routed =
+export type RouteResult =
   | { readonly type: "reply"; readonly reply: ShardReply }
   | { readonly type: "none"; readonly sent: boolean };
 
 /** What a router works with. */
-export interface RouterOptions {
+export interface ClaimsRouterOptions {
   readonly me: VmRef;
   readonly region: string;
   readonly clock: Clock;
@@ -47,17 +47,17 @@
   readonly drivers: readonly ClaimsDriver[];
   /** The VMs of this region, and a few of each other one. */
   readonly members: () => {
-    readonly here: readonly VmInfo[];
-    readonly others: ReadonlyMap<string, readonly VmInfo[]>;
+    readonly local: readonly VmInfo[];
+    readonly remote: ReadonlyMap<string, readonly VmInfo[]>;
   };
 }
 
 /** See the module's comment. */
 export class ClaimsRouter {
-  readonly #options: RouterOptions;
+  readonly #options: ClaimsRouterOptions;
   #closed = false;
 
-  constructor(options: RouterOptions) {
+  constructor(options: ClaimsRouterOptions) {
     this.#options = options;
   }
 
@@ -68,77 +68,83 @@
   /** Sends a request to the owner in `region`. A relayed one came from another region and goes to no further one. */
   async send(
     region: string,
-    request: Request,
+    request: DriverRequest,
     relayed: boolean,
-  ): Promise<Routed> {
+  ): Promise<RouteResult> {
     if (region === this.#options.region) {
-      return await this.#sendHere(request, !relayed);
+      return await this.#sendToOwner(request, !relayed);
     }
     if (relayed) return { type: "none", sent: false };
     return await this.#relay(region, request);
   }
 
   /** Answers as this VM's own shard stands, without asking others. */
-  async sendOwn(request: Request): Promise<ShardReply> {
+  async answerLocally(request: DriverRequest): Promise<ShardReply> {
     return await this.#driverOf(request).send(request);
   }
 
-  #driverOf(request: Request): ClaimsDriver {
+  #driverOf(request: DriverRequest): ClaimsDriver {
     const { drivers } = this.#options;
     return drivers[shardOf(keyOf(request), drivers.length)];
   }
 
-  async #sendHere(request: Request, mayRelay: boolean): Promise<Routed> {
+  async #sendToOwner(
+    request: DriverRequest,
+    mayRelay: boolean,
+  ): Promise<RouteResult> {
     const { clock } = this.#options;
     const driver = this.#driverOf(request);
-    const untilMs = Math.min(deadlineOf(request), clock.nowMs() + OWNER_MS);
-    let hint: VmRef | undefined;
+    const untilMs = Math.min(
+      deadlineOf(request),
+      clock.nowMs() + OWNER_TIMEOUT_MS,
+    );
+    let ownerHint: VmRef | undefined;
     let sent = false;
     while (!this.#closed) {
       const routed = driver.isOwner
         ? { type: "reply" as const, reply: await driver.send(request) }
-        : await this.#remote(hint ?? driver.owner, request, mayRelay);
-      hint = undefined;
+        : await this.#callOwner(ownerHint ?? driver.owner, request, mayRelay);
+      ownerHint = undefined;
       if (routed.type === "none") sent ||= routed.sent;
       else if (routed.reply.type !== "notOwner") return routed;
       else {
-        hint = routed.reply.owner;
+        ownerHint = routed.reply.owner;
         // An owner that lost the shard while the ask waited names nobody; what it wrote last may have taken effect.
-        sent ||= hint === undefined;
+        sent ||= ownerHint === undefined;
         driver.recheck();
       }
-      if (clock.nowMs() + RETRY_MS >= untilMs) break;
-      await clock.sleep(RETRY_MS);
+      if (clock.nowMs() + OWNER_RETRY_MS >= untilMs) break;
+      await clock.sleep(OWNER_RETRY_MS);
     }
     return { type: "none", sent };
   }
 
-  async #remote(
+  async #callOwner(
     owner: VmRef | undefined,
-    request: Request,
+    request: DriverRequest,
     mayRelay: boolean,
-  ): Promise<Routed> {
+  ): Promise<RouteResult> {
     const { me, region } = this.#options;
-    const { here } = this.#options.members();
-    const vm = here.find((info) => owner && sameVm(info, owner));
+    const { local } = this.#options.members();
+    const vm = local.find((info) => owner && sameVm(info, owner));
     if (vm && !sameVm(vm, me)) {
       return await this.#call(vm, region, request, false);
     }
     // The owner may live, seen by others of the region only.
-    const isHidden = owner !== undefined && !sameVm(owner, me);
-    return mayRelay && isHidden
+    const isUnseen = owner !== undefined && !sameVm(owner, me);
+    return mayRelay && isUnseen
       ? await this.#relay(region, request)
       : { type: "none", sent: false };
   }
 
   /** Through a VM that sees the owner, of this region or another. */
-  async #relay(region: string, request: Request): Promise<Routed> {
-    const { here, others } = this.#options.members();
+  async #relay(region: string, request: DriverRequest): Promise<RouteResult> {
+    const { local, remote } = this.#options.members();
     const vms = region === this.#options.region
-      ? here.filter((vm) => !sameVm(vm, this.#options.me))
-      : others.get(region) ?? [];
+      ? local.filter((vm) => !sameVm(vm, this.#options.me))
+      : remote.get(region) ?? [];
     let sent = false;
-    for (const vm of vms.slice(0, RELAYS)) {
+    for (const vm of vms.slice(0, MAX_RELAYS)) {
       const routed = await this.#call(vm, region, request, true);
       if (routed.type === "reply" && routed.reply.type !== "notOwner") {
         return routed;
@@ -152,17 +158,20 @@
   async #call(
     vm: VmInfo,
     region: string,
-    request: Request,
+    request: DriverRequest,
     relayed: boolean,
-  ): Promise<Routed> {
+  ): Promise<RouteResult> {
     const { transport, clock } = this.#options;
     if (!transport) return { type: "none", sent: false };
     const askedMonoMs = clock.monoMs();
-    const untilMs = Math.min(deadlineOf(request), clock.nowMs() + CALL_MS);
+    const untilMs = Math.min(
+      deadlineOf(request),
+      clock.nowMs() + CALL_TIMEOUT_MS,
+    );
     const answer = await transport.call(
       vm.peerAddress,
       claimsMethod[request.type],
-      message(region, relayed, request),
+      toMessage(region, relayed, request),
       untilMs,
     );
     if (answer.isErr()) {
@@ -174,16 +183,16 @@
   }
 }
 
-function keyOf(request: Request): string {
+function keyOf(request: DriverRequest): string {
   if (request.type === "ask") return request.ask.key;
   return request.type === "change" ? request.change.key : request.key;
 }
 
-function deadlineOf(request: Request): number {
+function deadlineOf(request: DriverRequest): number {
   return request.type === "ask" ? request.ask.deadlineMs : request.deadlineMs;
 }
 
-function message(region: string, relayed: boolean, request: Request):
+function toMessage(region: string, relayed: boolean, request: DriverRequest):
   | z.infer<typeof askMessage>
   | z.infer<typeof changeMessage>
   | z.infer<typeof lookupMessage> {
--- a/src/services/claims_wire.ts
+++ b/src/services/claims_wire.ts
@@ -29,14 +29,14 @@
 });
 
 /** How the message travels: `region` is the shard's; a relayed one came from another region and is routed here once. */
-const route = {
+const routeFields = {
   region: z.string().max(64),
   relayed: z.boolean(),
 };
 
 /** An ask on its way to the shard's owner. */
 export const askMessage = z.object({
-  ...route,
+  ...routeFields,
   ask: z.object({
     key: digest,
     body: digest,
@@ -48,7 +48,7 @@
 
 /** A step of a claim on its way to the shard's owner. */
 export const changeMessage = z.object({
-  ...route,
+  ...routeFields,
   change: z.object({
     key: digest,
     claimId,
@@ -60,7 +60,7 @@
 
 /** A lookup on its way to the shard's owner. */
 export const lookupMessage = z.object({
-  ...route,
+  ...routeFields,
   key: digest,
   deadlineMs: z.number(),
 });
--- a/src/services/claims_witnesses.ts
+++ b/src/services/claims_witnesses.ts
@@ -7,20 +7,20 @@
 import { sameVm, type VmRef } from "../agreement/mod.ts";
 import type { VmInfo } from "./messages.ts";
 
-const WITNESSES = 2;
+const MAX_WITNESSES = 2;
 
 /** The first in `order` besides `me`, of another failure domain if there is one: a domain is lost as a whole. */
 export function chooseWitnesses(
   me: VmRef,
   order: readonly VmRef[],
-  here: readonly VmInfo[],
+  regionVms: readonly VmInfo[],
 ): VmRef[] {
   const domainOf = (vm: VmRef) =>
-    here.find((info) => sameVm(info, vm))?.failureDomain;
+    regionVms.find((info) => sameVm(info, vm))?.failureDomain;
   const others = order.filter((vm) => !sameVm(vm, me));
-  const far = others.filter((vm) => domainOf(vm) !== domainOf(me));
-  const near = others.filter((vm) => domainOf(vm) === domainOf(me));
-  return [...far, ...near].slice(0, WITNESSES).map(asRef);
+  const otherDomain = others.filter((vm) => domainOf(vm) !== domainOf(me));
+  const sameDomain = others.filter((vm) => domainOf(vm) === domainOf(me));
+  return [...otherDomain, ...sameDomain].slice(0, MAX_WITNESSES).map(toVmRef);
 }
 
 /**
@@ -29,30 +29,31 @@
  * granted for the whole outage though both VMs live. Longer would cost: an owner lost together with a VM that is still
  * listed is replaced only after a long wait.
  */
-export const KEEP_MS = 30_000;
+export const WITNESS_RETENTION_MS = 30_000;
 
 /** The witnesses of one shard over time. */
 export class WitnessList {
   #list: readonly VmRef[] = [];
-  #chosenMonoMs = -Infinity;
+  #chosenAtMonoMs = -Infinity;
 
-  /** The witnesses to list now; see {@link chooseWitnesses} and {@link KEEP_MS}. */
+  /** The witnesses to list now; see {@link chooseWitnesses} and {@link WITNESS_RETENTION_MS}. */
   choose(
     me: VmRef,
     order: readonly VmRef[],
-    here: readonly VmInfo[],
+    regionVms: readonly VmInfo[],
     monoMs: number,
   ): readonly VmRef[] {
-    const chosen = chooseWitnesses(me, order, here);
-    const kept = chosen.length === 0 && monoMs - this.#chosenMonoMs < KEEP_MS;
-    if (kept) return this.#list;
+    const chosen = chooseWitnesses(me, order, regionVms);
+    const isRetained = chosen.length === 0 &&
+      monoMs - this.#chosenAtMonoMs < WITNESS_RETENTION_MS;
+    if (isRetained) return this.#list;
     this.#list = chosen;
-    this.#chosenMonoMs = monoMs;
+    this.#chosenAtMonoMs = monoMs;
     return chosen;
   }
 }
 
 /** Only what names a VM, without the rest that it may carry. */
-export function asRef(vm: VmRef): VmRef {
+export function toVmRef(vm: VmRef): VmRef {
   return { id: vm.id, incarnation: vm.incarnation };
 }
--- a/src/services/claims_witnesses_test.ts
+++ b/src/services/claims_witnesses_test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from "../base/describe.ts";
-import { KEEP_MS, WitnessList } from "./claims_witnesses.ts";
+import { WITNESS_RETENTION_MS, WitnessList } from "./claims_witnesses.ts";
 import type { VmInfo } from "./messages.ts";
 
 const me = { id: "a", incarnation: 1 };
@@ -34,9 +34,11 @@
     const list = new WitnessList();
     const here = [vm("a", "x"), vm("b", "x"), vm("c", "x")];
     t.deepEqual(list.choose(me, [me, other], here, 0), [other]);
-    t.deepEqual(list.choose(me, [me], here, KEEP_MS - 1), [other]);
-    t.deepEqual(list.choose(me, [me, third], here, KEEP_MS - 1), [third]);
-    t.deepEqual(list.choose(me, [me], here, KEEP_MS), [third]);
-    t.deepEqual(list.choose(me, [me], here, 3 * KEEP_MS), []);
+    t.deepEqual(list.choose(me, [me], here, WITNESS_RETENTION_MS - 1), [other]);
+    t.deepEqual(list.choose(me, [me, third], here, WITNESS_RETENTION_MS - 1), [
+      third,
+    ]);
+    t.deepEqual(list.choose(me, [me], here, WITNESS_RETENTION_MS), [third]);
+    t.deepEqual(list.choose(me, [me], here, 3 * WITNESS_RETENTION_MS), []);
   });
 });
--- a/src/services/directory.ts
+++ b/src/services/directory.ts
@@ -46,8 +46,8 @@
  * A caller asks again after this, less a random part. Long enough that 4,500 workspaces of callers cost little, short
  * enough that a VM which leaves has few callers left when its requests have ended.
  */
-const ASK_AGAIN_MS = 10_000;
-const ASK_AGAIN_JITTER = 0.3;
+const LOOKUP_INTERVAL_MS = 10_000;
+const LOOKUP_JITTER = 0.3;
 
 /** At most one publication in this time, by one VM of the region: the platform's stores limit the rate of all. */
 const PUBLISH_PERIOD_MS = 1000;
@@ -67,10 +67,10 @@
   #members!: TaskPort<MembersMessages>;
   #table!: TaskPort<TableMessages>;
   #timer: Timer | undefined;
-  #publishing = false;
-  #wasPublisher = false;
+  #isPublishing = false;
+  #isPublisher = false;
   #failures = 0;
-  #notBeforeMs = 0;
+  #retryAtMs = 0;
 
   constructor(options: DirectoryOptions) {
     super();
@@ -101,7 +101,7 @@
 
   dump(): unknown {
     return {
-      publisher: this.#wasPublisher,
+      publisher: this.#isPublisher,
       failures: this.#failures,
     };
   }
@@ -109,11 +109,11 @@
   async #lookup(workspaceId: string): Promise<DirectoryAnswer> {
     const table = await this.#table.ask("current", undefined);
     const workspace = table?.workspace(workspaceId);
-    const bound = workspace?.bound === true;
-    const home = bound ? workspace.home : this.#options.region;
-    const vms = await this.#vmsOf(home);
+    const isBound = workspace?.bound === true;
+    const region = isBound ? workspace.home : this.#options.region;
+    const vms = await this.#vmsOfRegion(region);
     const nowMs = this.#clock.nowMs();
-    const jitterMs = ASK_AGAIN_MS * ASK_AGAIN_JITTER * this.#random.next();
+    const jitterMs = LOOKUP_INTERVAL_MS * LOOKUP_JITTER * this.#random.next();
     return {
       vms: rankForWorkspace(workspaceId, vms).map(({ vm, weight }) => ({
         id: vm.id,
@@ -121,69 +121,75 @@
         region: vm.region,
         weight,
       })),
-      askAgainAtMs: Math.round(nowMs + ASK_AGAIN_MS - jitterMs),
+      askAgainAtMs: Math.round(nowMs + LOOKUP_INTERVAL_MS - jitterMs),
     };
   }
 
   /** VMs of another region are those that its digest named. Where none is known, this region's: they say where to go. */
-  async #vmsOf(region: string): Promise<readonly VmInfo[]> {
+  async #vmsOfRegion(region: string): Promise<readonly VmInfo[]> {
     if (region !== this.#options.region) {
       const others = await this.#members.ask("others", undefined);
-      const named = others.get(region);
-      if (named && named.length > 0) return named;
+      const contacts = others.get(region);
+      if (contacts && contacts.length > 0) return contacts;
     }
     return await this.#members.ask("region", undefined);
   }
 
   async #publish(): Promise<void> {
     const nowMs = this.#clock.nowMs();
-    if (this.#publishing || nowMs < this.#notBeforeMs) return;
-    this.#publishing = true;
+    if (this.#isPublishing || nowMs < this.#retryAtMs) return;
+    this.#isPublishing = true;
     try {
       const vms = await this.#members.ask("region", undefined);
       const publisher = leadOrder("publisher", vms)[0];
       const isPublisher = publisher?.id === this.#options.vmId;
-      if (!isPublisher || !this.#wasPublisher) this.#queue.clear();
-      this.#wasPublisher = isPublisher;
+      if (!isPublisher || !this.#isPublisher) this.#queue.clear();
+      this.#isPublisher = isPublisher;
       if (!isPublisher) return;
       const table = await this.#table.ask("current", undefined);
-      const next = this.#queue.next(this.#wanted(table, vms), nowMs);
-      if (next) await this.#send(next);
+      const next = this.#queue.next(this.#publications(table, vms), nowMs);
+      if (next) await this.#sendPublication(next);
     } finally {
-      this.#publishing = false;
+      this.#isPublishing = false;
     }
   }
 
-  #wanted(table: Table | undefined, vms: readonly VmInfo[]): Publication[] {
+  #publications(
+    table: Table | undefined,
+    vms: readonly VmInfo[],
+  ): Publication[] {
     const { region, weightStore, callerDirectory } = this.#options;
-    const wanted: Publication[] = [];
+    const publications: Publication[] = [];
     if (callerDirectory) {
-      wanted.push({ name: DIRECTORY, content: directoryEntries(vms) });
+      publications.push({
+        name: DIRECTORY_PUBLICATION,
+        content: directoryEntries(vms),
+      });
     }
-    if (!weightStore || !table) return wanted;
+    if (!weightStore || !table) return publications;
     for (const { row } of table.rows()) {
       if (row.kind !== "service") continue;
       const content = weightsOf(table, row.id, region);
       if (Object.keys(content).length > 0) {
-        wanted.push({ name: row.id, content });
+        publications.push({ name: row.id, content });
       }
     }
-    return wanted;
+    return publications;
   }
 
-  async #send(publication: Publication): Promise<void> {
+  async #sendPublication(publication: Publication): Promise<void> {
     const { region, weightStore, callerDirectory } = this.#options;
     const { name, content } = publication;
-    const result = name === DIRECTORY
+    const result = name === DIRECTORY_PUBLICATION
       ? await callerDirectory!.publish(region, content as never)
       : await weightStore!.publish(name, region, content as never);
     const nowMs = this.#clock.nowMs();
     if (result.isOk()) {
       this.#failures = 0;
-      this.#queue.done(publication, nowMs);
+      this.#queue.markSent(publication, nowMs);
       return;
     }
-    this.#notBeforeMs = nowMs +
+    this.#retryAtMs = nowMs +
       backoffMs(this.#failures++, PUBLISH_BACKOFF, this.#random);
     this.#log.warn("publication failed", {
       name,
@@ -194,4 +200,4 @@
 }
 
 /** The directory's name among publications; no service has it, as ids start with a letter or digit. */
-const DIRECTORY = "/directory";
+const DIRECTORY_PUBLICATION = "/directory";
--- a/src/services/directory_test.ts
+++ b/src/services/directory_test.ts
@@ -48,8 +48,8 @@
 }
 
 /** Takes one call in `periodMs` and counts what it refuses. */
-class LimitedStore extends WeightStore {
-  readonly taken: [service: string, weights: Weights][] = [];
+class RateLimitedStore extends WeightStore {
+  readonly published: [service: string, weights: Weights][] = [];
   refused = 0;
   readonly #clock: ManualClock;
   readonly #periodMs: number;
@@ -70,19 +70,19 @@
       return Promise.resolve(err({ kind: "limited", message: "too many" }));
     }
     this.#nextMs = this.#clock.nowMs() + this.#periodMs;
-    this.taken.push([service, weights]);
+    this.published.push([service, weights]);
     return Promise.resolve(ok(undefined));
   }
   async close(): Promise<void> {}
 }
 
 class RecordingDirectory extends CallerDirectory {
-  readonly taken: (readonly DirectoryEntry[])[] = [];
+  readonly published: (readonly DirectoryEntry[])[] = [];
   publish(
     _region: string,
     entries: readonly DirectoryEntry[],
   ): Promise<Result<void, PlatformError>> {
-    this.taken.push(entries);
+    this.published.push(entries);
     return Promise.resolve(ok(undefined));
   }
   async close(): Promise<void> {}
@@ -107,12 +107,12 @@
   { kind: "workspace", id: "free", home: "muscat", bound: false },
 ]);
 
-async function open(t: ExecutionContext, clock: ManualClock) {
+async function startDirectories(t: ExecutionContext, clock: ManualClock) {
   const members = new FixedMembers();
   members.vms = ["a", "b", "c"].map((id) => vm(id));
   const kernels = new Map<string, Kernel>();
   const directories = new Map<string, RecordingDirectory>();
-  const store = new LimitedStore(clock, 3000);
+  const store = new RateLimitedStore(clock, 3000);
   for (const { id: vmId, region } of members.vms) {
     const kernel = new Kernel(clock, openLog("silent"));
     await kernel.start(new FixedTable(table));
@@ -137,7 +137,7 @@
 describe("directory", () => {
   it("ranks this region's VMs without the leaving ones", async (t) => {
     const clock = new ManualClock();
-    const { members, directory } = await open(t, clock);
+    const { members, directory } = await startDirectories(t, clock);
     members.vms[1] = vm("b", { state: "leaving" });
     const answer = await directory.ask("lookup", { workspace: "free" });
     t.deepEqual(answer.vms.map(({ id }) => id).sort(), ["a", "c"]);
@@ -147,7 +147,7 @@
 
   it("sends a bound workspace's callers to its home", async (t) => {
     const clock = new ManualClock();
-    const { members, directory } = await open(t, clock);
+    const { members, directory } = await startDirectories(t, clock);
     members.others.set("muscat", [vm("m", { region: "muscat" })]);
     const bound = await directory.ask("lookup", { workspace: "bound" });
     t.deepEqual(bound.vms.map(({ id }) => id), ["m"]);
@@ -159,27 +159,27 @@
   // calls, by one VM, and another VM must go on when that one goes.
   it("publishes by one VM within the platform's rate", async (t) => {
     const clock = new ManualClock();
-    const { members, store, directories } = await open(t, clock);
+    const { members, store, directories } = await startDirectories(t, clock);
     await clock.advance(60_000);
-    t.deepEqual(store.taken, [["plan", { u1: 1, u2: 0, u3: 0.5 }]]);
+    t.deepEqual(store.published, [["plan", { u1: 1, u2: 0, u3: 0.5 }]]);
     t.is(store.refused, 0);
     const publishers = () =>
-      [...directories].filter(([, { taken }]) => taken.length > 0);
+      [...directories].filter(([, { published }]) => published.length > 0);
     t.is(publishers().length, 1);
     const [gone] = publishers()[0];
     members.vms = members.vms.filter(({ id }) => id !== gone);
     await clock.advance(60_000);
     t.is(publishers().length, 2);
-    const last = publishers().find(([id]) => id !== gone)![1].taken.at(-1)!;
+    const last = publishers().find(([id]) => id !== gone)![1].published.at(-1)!;
     t.deepEqual(last.map(({ vmId }) => vmId), members.vms.map(({ id }) => id));
   });
 
   it("backs off when the platform refuses, and gets there", async (t) => {
     const clock = new ManualClock();
-    const { store } = await open(t, clock);
+    const { store } = await startDirectories(t, clock);
     await store.publish("other", "agadir", {});
     await clock.advance(120_000);
     t.true(store.refused <= 2);
-    t.true(store.taken.some(([service]) => service === "plan"));
+    t.true(store.published.some(([service]) => service === "plan"));
   });
 });
--- a/src/services/fencing.ts
+++ b/src/services/fencing.ts
@@ -8,14 +8,14 @@
 import { err, ok, type Result } from "neverthrow";
 import type { KeyValue, UpstreamClient } from "../adapters/mod.ts";
 import {
-  defaultFenceLimits,
+  canSend,
+  DEFAULT_FENCE_LIMITS,
   fenceKey,
   type FenceLimits,
   type FenceRecord,
   type HeldFence,
-  heldFence,
-  maySend,
-  nextFence,
+  makeHeldFence,
+  nextFenceStep,
   parseFence,
   type SeenFence,
   type UpstreamRow,
@@ -46,19 +46,19 @@
   readonly name = "fencing";
   readonly #options: FencingOptions;
   readonly #limits: FenceLimits;
-  readonly #seen = new Map<string, SeenFence>();
-  readonly #held = new Map<string, HeldFence>();
+  readonly #seenFences = new Map<string, SeenFence>();
+  readonly #heldFences = new Map<string, HeldFence>();
   #clock!: Clock;
 
   protected readonly handlers: Handlers<FencingMessages> = {
     order: (input) =>
-      this.#order(input.upstream, input.order, input.deadlineMs),
+      this.#sendUnderFence(input.upstream, input.order, input.deadlineMs),
   };
 
   constructor(options: FencingOptions) {
     super();
     this.#options = options;
-    this.#limits = options.limits ?? defaultFenceLimits;
+    this.#limits = options.limits ?? DEFAULT_FENCE_LIMITS;
   }
 
   start(kernel: Kernel): Promise<void> {
@@ -68,47 +68,57 @@
 
   /** Gives the leases back, so that the next VM need not wait for them to lapse. */
   async close(deadlineMs: number): Promise<void> {
-    const held = [...this.#held];
-    this.#held.clear();
+    const held = [...this.#heldFences];
+    this.#heldFences.clear();
     for (const [upstreamId, { record, rev }] of held) {
       if (this.#clock.nowMs() >= deadlineMs) return;
       const { holder: _holder, ...rest } = record;
-      await this.#put(upstreamId, { ...rest, beat: record.beat + 1 }, rev);
+      await this.#writeRecord(
+        upstreamId,
+        { ...rest, beat: record.beat + 1 },
+        rev,
+      );
     }
   }
 
   dump(): unknown {
     return {
-      held: [...this.#held].map(([upstreamId, { number }]) => ({
+      held: [...this.#heldFences].map(([upstreamId, { number }]) => ({
         upstreamId,
         number,
       })),
     };
   }
 
-  async #order(
+  async #sendUnderFence(
     upstream: UpstreamRow,
     order: EngineOrder,
     deadlineMs: number,
   ): Promise<Result<{ readonly fence: number }, Failure>> {
     while (this.#clock.nowMs() < deadlineMs) {
-      const held = await this.#hold(upstream);
-      if (held.isOk()) return await this.#send(upstream, order, held.value);
+      const held = await this.#acquireFence(upstream);
+      if (held.isOk()) {
+        return await this.#sendOrder(upstream, order, held.value);
+      }
       if (held.error.code === "storeUnavailable") return err(held.error);
       await this.#clock.sleep(RETRY_MS);
     }
-    return err(this.#refuse("staleFence", "another VM holds the number"));
+    return err(
+      this.#retryableFailure("staleFence", "another VM holds the number"),
+    );
   }
 
   /** A number that orders may be sent under now, taken or renewed in the store if need be. */
-  async #hold(upstream: UpstreamRow): Promise<Result<HeldFence, Failure>> {
-    const known = this.#held.get(upstream.id);
-    if (known && maySend(known, this.#clock.monoMs())) return ok(known);
+  async #acquireFence(
+    upstream: UpstreamRow,
+  ): Promise<Result<HeldFence, Failure>> {
+    const known = this.#heldFences.get(upstream.id);
+    if (known && canSend(known, this.#clock.monoMs())) return ok(known);
     const { id } = upstream;
-    const seen = await this.#look(id);
+    const seen = await this.#readFence(id);
     if (seen.isErr()) return err(seen.error);
     const sentMonoMs = this.#clock.monoMs();
-    const step = nextFence(
+    const step = nextFenceStep(
       seen.value,
       this.#options.me,
       upstream.checksFence,
@@ -116,19 +126,23 @@
       this.#limits,
     );
     if (step.type === "wait") {
-      return err(this.#refuse("staleFence", "another VM holds the number"));
+      return err(
+        this.#retryableFailure("staleFence", "another VM holds the number"),
+      );
     }
-    const rev = await this.#put(id, step.record, seen.value.rev);
+    const rev = await this.#writeRecord(id, step.record, seen.value.rev);
     // A lost answer is settled by the next look: the record then names this VM, which renews it.
     if (rev === undefined) {
-      return err(this.#refuse("staleFence", "the number is not settled"));
+      return err(
+        this.#retryableFailure("staleFence", "the number is not settled"),
+      );
     }
-    const held = heldFence(step.record, rev, sentMonoMs, this.#limits);
-    this.#held.set(id, held);
+    const held = makeHeldFence(step.record, rev, sentMonoMs, this.#limits);
+    this.#heldFences.set(id, held);
     return ok(held);
   }
 
-  async #look(upstreamId: string): Promise<Result<SeenFence, Failure>> {
+  async #readFence(upstreamId: string): Promise<Result<SeenFence, Failure>> {
     const found = await this.#options.store.get(
       fenceKey(upstreamId),
       "fencing",
@@ -137,23 +151,25 @@
       ? parseFence(found.value.value)
       : undefined;
     if (found.isErr()) {
-      return err(this.#refuse("storeUnavailable", found.error.message));
+      return err(
+        this.#retryableFailure("storeUnavailable", found.error.message),
+      );
     }
     if (parsed?.isErr()) {
-      return err(this.#refuse("storeUnavailable", parsed.error));
+      return err(this.#retryableFailure("storeUnavailable", parsed.error));
     }
     const rev = found.value?.rev ?? 0;
-    const known = this.#seen.get(upstreamId);
+    const known = this.#seenFences.get(upstreamId);
     const sinceMonoMs = known?.rev === rev
       ? known.sinceMonoMs
       : this.#clock.monoMs();
     const record = parsed?.isOk() ? parsed.value : undefined;
     const seen = { record, rev, sinceMonoMs };
-    this.#seen.set(upstreamId, seen);
+    this.#seenFences.set(upstreamId, seen);
     return ok(seen);
   }
 
-  async #put(
+  async #writeRecord(
     upstreamId: string,
     record: FenceRecord,
     ifRev: number,
@@ -167,7 +183,7 @@
     return written.isOk() ? written.value : undefined;
   }
 
-  async #send(
+  async #sendOrder(
     upstream: UpstreamRow,
     order: EngineOrder,
     held: HeldFence,
@@ -175,8 +191,8 @@
     const { upstreams } = this.#options;
     const abort = new AbortController();
     // In the step that sends: a VM that was paused since it took the number must not act on it.
-    if (!maySend(held, this.#clock.monoMs())) {
-      return err(this.#refuse("staleFence", "the lease ran out"));
+    if (!canSend(held, this.#clock.monoMs())) {
+      return err(this.#retryableFailure("staleFence", "the lease ran out"));
     }
     const timer = this.#clock.after(
       this.#limits.orderMs,
@@ -202,11 +218,11 @@
     if (httpStatus !== 409) {
       return err(failure("upstreamRefused", { message: `${httpStatus}` }));
     }
-    this.#held.delete(upstream.id);
+    this.#heldFences.delete(upstream.id);
     return err(failure("staleFence"));
   }
 
-  #refuse(code: CodeName, message: string): Failure {
+  #retryableFailure(code: CodeName, message: string): Failure {
     const retryAtMs = this.#clock.nowMs() + RETRY_MS;
     return failure(code, { message, retryAtMs });
   }
--- a/src/services/fencing_test.ts
+++ b/src/services/fencing_test.ts
@@ -23,8 +23,8 @@
   open(call: UpstreamCall): Promise<Result<UpstreamAnswer, UpstreamError>> {
     const order = JSON.parse(Buffer.from(call.body).toString());
     const fence = Number(call.headers["x-fencing-token"]);
-    const taken = this.orders.give(order, fence);
-    const httpStatus = taken ? 200 : 409;
+    const isAccepted = this.orders.give(order, fence);
+    const httpStatus = isAccepted ? 200 : 409;
     const body = Readable.from([]);
     return Promise.resolve(ok({ httpStatus, headers: {}, body }));
   }
--- a/src/services/lead_client.ts
+++ b/src/services/lead_client.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Log } from "../kernel/mod.ts";
-import { heldDigest } from "../agreement/mod.ts";
+import { digestAttempts } from "../agreement/mod.ts";
 import { type Clock, failure, type Random } from "../base/mod.ts";
 import type {
   HeldSlot,
@@ -21,13 +21,13 @@
  * How long a request waits through a change of leads before it is refused: longer than it takes to find a dead VM, so
  * that a crash of the lead costs its callers a pause and not an error.
  */
-export const LEAD_WAIT_MS = 6000;
-const RETRY_MS = 100;
+export const MAX_LEAD_WAIT_MS = 6000;
+const RETRY_DELAY_MS = 100;
 
 /** How often all held slots are renewed; a third of their time, so that one lost renewal does no harm. */
-export const RENEW_MS = 2000;
+export const RENEW_INTERVAL_MS = 2000;
 
-interface Held {
+interface PoolSlot {
   readonly pool: string;
   readonly slot: HeldSlot;
 }
@@ -44,7 +44,7 @@
 /** See the module's comment. */
 export class LeadClient {
   readonly #context: LeadClientContext;
-  readonly #held = new Map<string, Held>();
+  readonly #held = new Map<string, PoolSlot>();
   readonly #pending = new Map<
     string,
     { readonly pool: string; cancel(): void }
@@ -58,18 +58,20 @@
   /** Asks the lead for a slot; through a change of leads it asks again for a while. */
   async acquire(request: SlotRequest): Promise<SlotAnswer> {
     const { clock, view } = this.#context;
-    let giveUpMs = request.deadlineMs;
-    let failing = false;
+    let waitUntilMs = request.deadlineMs;
+    let hasMoved = false;
     for (;;) {
       if (!view.table) return refuse("noTable", clock.nowMs());
       const pool = view.choosePool(request);
       if (!pool) return refuse("unknownService", undefined);
-      const reply = await this.#ask(pool.key, request);
+      const reply = await this.#requestSlot(pool.key, request);
       if (reply !== "moved") return reply;
-      if (!failing) giveUpMs = Math.min(giveUpMs, clock.nowMs() + LEAD_WAIT_MS);
-      failing = true;
-      if (clock.nowMs() >= giveUpMs) return this.#giveUp(request);
-      await clock.sleep(RETRY_MS * (0.5 + this.#context.random.next()));
+      if (!hasMoved) {
+        waitUntilMs = Math.min(waitUntilMs, clock.nowMs() + MAX_LEAD_WAIT_MS);
+      }
+      hasMoved = true;
+      if (clock.nowMs() >= waitUntilMs) return this.#refuseTimedOut(request);
+      await clock.sleep(RETRY_DELAY_MS * (0.5 + this.#context.random.next()));
     }
   }
 
@@ -110,7 +112,7 @@
     }
   }
 
-  get holding(): number {
+  get heldCount(): number {
     return this.#held.size;
   }
 
@@ -118,7 +120,7 @@
     return { held: this.#held.size, pending: this.#pending.size };
   }
 
-  async #ask(
+  async #requestSlot(
     pool: string,
     request: SlotRequest,
   ): Promise<SlotAnswer | "moved"> {
@@ -128,12 +130,14 @@
       cancel = () => resolve("canceled");
     });
     this.#pending.set(attemptId, { pool, cancel });
-    const asked = this.#context.router.acquire(pool, request);
-    const reply = await Promise.race([asked, canceled]);
+    const acquiring = this.#context.router.acquire(pool, request);
+    const reply = await Promise.race([acquiring, canceled]);
     this.#pending.delete(attemptId);
     if (reply === "canceled") {
-      void asked.then((late) => {
-        if (late.type === "moved" || late.answer.type !== "grant") return;
+      void acquiring.then((lateReply) => {
+        if (lateReply.type === "moved" || lateReply.answer.type !== "grant") {
+          return;
+        }
         this.#context.router.cancel(pool, attemptId);
       });
       return { type: "refuse", failure: failure("canceled", { ran: "no" }) };
@@ -147,7 +151,7 @@
   }
 
   /** Nothing was handed to an upstream: a slot that a lost lead may have granted was never used. */
-  #giveUp(request: SlotRequest): SlotAnswer {
+  #refuseTimedOut(request: SlotRequest): SlotAnswer {
     const nowMs = this.#context.clock.nowMs();
     this.#context.log.warn("no lead", { service: request.service });
     if (nowMs >= request.deadlineMs) return refuse("expiredInQueue", nowMs);
@@ -156,7 +160,7 @@
 
   async #renew(pool: string): Promise<void> {
     const held = this.heldOf(pool);
-    const digest = heldDigest(held.map((slot) => slot.attemptId));
+    const digest = digestAttempts(held.map((slot) => slot.attemptId));
     const reply = await this.#context.router.renew(pool, digest);
     if (reply?.type !== "disagreed") return;
     await this.#context.router.renew(pool, digest, this.heldOf(pool));
--- a/src/services/lead_load.ts
+++ b/src/services/lead_load.ts
@@ -19,15 +19,15 @@
 }
 
 /** Each led upstream is asked once in this time, and has as long to answer. */
-export const POLL_MS = 1000;
+export const POLL_INTERVAL_MS = 1000;
 
 /** Asks each upstream at its own phase of the second, one question to each at a time. */
 export class LoadPoller {
   readonly #clock: Clock;
   readonly #source: LoadSource;
   readonly #onLoad: (poolKey: string, load: LoadReport) => void;
-  readonly #nextAtMs = new Map<string, number>();
-  readonly #asking = new Set<string>();
+  readonly #nextPollMs = new Map<string, number>();
+  readonly #inFlight = new Set<string>();
 
   constructor(
     clock: Clock,
@@ -44,20 +44,20 @@
     pools: Iterable<{ key: string; upstreams: readonly UpstreamRow[] }>,
   ): void {
     const nowMs = this.#clock.nowMs();
-    const led = new Set<string>();
+    const polledIds = new Set<string>();
     for (const { key, upstreams } of pools) {
       upstreams.forEach((upstream, index) => {
-        led.add(upstream.id);
-        const phaseMs = POLL_MS * index / upstreams.length;
-        const dueMs = this.#nextAtMs.get(upstream.id) ?? nowMs + phaseMs;
-        this.#nextAtMs.set(upstream.id, dueMs);
-        if (dueMs > nowMs || this.#asking.has(upstream.id)) return;
-        this.#nextAtMs.set(upstream.id, nowMs + POLL_MS);
-        void this.#read(key, upstream, nowMs + POLL_MS);
+        polledIds.add(upstream.id);
+        const phaseMs = POLL_INTERVAL_MS * index / upstreams.length;
+        const dueMs = this.#nextPollMs.get(upstream.id) ?? nowMs + phaseMs;
+        this.#nextPollMs.set(upstream.id, dueMs);
+        if (dueMs > nowMs || this.#inFlight.has(upstream.id)) return;
+        this.#nextPollMs.set(upstream.id, nowMs + POLL_INTERVAL_MS);
+        void this.#read(key, upstream, nowMs + POLL_INTERVAL_MS);
       });
     }
-    for (const id of this.#nextAtMs.keys()) {
-      if (!led.has(id)) this.#nextAtMs.delete(id);
+    for (const id of this.#nextPollMs.keys()) {
+      if (!polledIds.has(id)) this.#nextPollMs.delete(id);
     }
   }
 
@@ -66,12 +66,12 @@
     upstream: UpstreamRow,
     deadlineMs: number,
   ): Promise<void> {
-    this.#asking.add(upstream.id);
+    this.#inFlight.add(upstream.id);
     try {
       const load = await this.#source.read(upstream, deadlineMs);
       if (load) this.#onLoad(poolKey, load);
     } finally {
-      this.#asking.delete(upstream.id);
+      this.#inFlight.delete(upstream.id);
     }
   }
 }
--- a/src/services/lead_messages.ts
+++ b/src/services/lead_messages.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import type { HeldDigest } from "../agreement/mod.ts";
+import type { AttemptsDigest } from "../agreement/mod.ts";
 import type {
   HeldSlot,
   SlotAnswer,
@@ -14,14 +14,14 @@
 } from "../decisions/mod.ts";
 
 /** Relayed once at most: a request that went round would never be refused. */
-export interface ToLead {
+export interface LeadMessage {
   readonly pool: string;
   readonly entry: string;
   readonly relayed: boolean;
 }
 
 /** `slots.acquire`: asks for a slot; answered once it is decided. */
-export type AcquireMessage = ToLead & { readonly request: SlotRequest };
+export type AcquireMessage = LeadMessage & { readonly request: SlotRequest };
 
 /** `moved`: the VM that was asked does not lead the pool, or stopped leading it before it decided. */
 export type AcquireReply =
@@ -29,8 +29,8 @@
   | { readonly type: "moved" };
 
 /** `slots.renew`: the entry VM lives and holds these slots. `held` follows when the lead's book disagrees. */
-export type RenewMessage = ToLead & {
-  readonly digest: HeldDigest;
+export type RenewMessage = LeadMessage & {
+  readonly digest: AttemptsDigest;
   readonly held?: readonly HeldSlot[];
 };
 
@@ -40,10 +40,10 @@
 };
 
 /** `slots.report`: an attempt ended. */
-export type ReportMessage = ToLead & { readonly report: SlotReport };
+export type ReportMessage = LeadMessage & { readonly report: SlotReport };
 
 /** `slots.cancel`: the caller of an attempt has gone. */
-export type CancelMessage = ToLead & { readonly attemptId: string };
+export type CancelMessage = LeadMessage & { readonly attemptId: string };
 
 /** `slots.held`: a new lead asks what the VM holds of this pool; answered with its {@link HeldSlot}s. */
 export interface HeldMessage {
--- a/src/services/lead_pool.ts
+++ b/src/services/lead_pool.ts
@@ -6,9 +6,9 @@
  */
 
 import {
+  type AttemptsDigest,
   GRANT_SETTLE_MS,
-  type HeldDigest,
-  LeadBook,
+  GrantIndex,
   type PoolInfo,
   type Table,
 } from "../agreement/mod.ts";
@@ -35,7 +35,7 @@
   | Extract<PoolOutput, { type: "order" }>;
 
 /** A granted slot as the lead must be able to hand it over. */
-interface Granted {
+interface GrantedSlot {
   readonly held: HeldSlot;
   readonly entry: string;
   readonly grant?: SlotGrant;
@@ -47,22 +47,22 @@
  * has passed: placing at once would fill slots that are taken. VMs that answer in time are counted exactly; for the
  * others the upstreams' own load reports are the floor.
  */
-export const COLLECT_MS = 400;
+export const COLLECT_TIMEOUT_MS = 400;
 
 /** See the module's comment. */
 export class LeadPool {
   readonly key: string;
   readonly pool: Pool;
-  readonly #book = new LeadBook();
-  readonly #granted = new Map<string, Granted>();
+  readonly #holders = new GrantIndex();
+  readonly #granted = new Map<string, GrantedSlot>();
   readonly #waiting = new Map<
     string,
     { entry: string; request: SlotRequest }
   >();
-  readonly #unheard: Set<string>;
+  readonly #unansweredVms: Set<string>;
   readonly #collectUntilMs: number;
-  #collecting = true;
-  #stopped = false;
+  #isCollecting = true;
+  #isStopped = false;
 
   constructor(
     info: PoolInfo,
@@ -72,39 +72,44 @@
   ) {
     this.key = info.key;
     this.pool = new Pool({ service: info.service, region: info.region, seed });
-    this.#unheard = new Set(vmIds);
-    this.#collectUntilMs = nowMs + COLLECT_MS;
+    this.#unansweredVms = new Set(vmIds);
+    this.#collectUntilMs = nowMs + COLLECT_TIMEOUT_MS;
   }
 
-  get collecting(): boolean {
-    return this.#collecting;
+  get isCollecting(): boolean {
+    return this.#isCollecting;
   }
 
   configure(table: Table, info: PoolInfo, nowMs: number): LeadOutput[] {
-    return this.#take(this.pool.configure(table, info.upstreams, nowMs), nowMs);
+    return this.#applyOutputs(
+      this.pool.configure(table, info.upstreams, nowMs),
+      nowMs,
+    );
   }
 
   /** A VM of the region says what it holds. */
-  heard(
+  adoptHeld(
     entry: string,
     held: readonly HeldSlot[],
     nowMs: number,
   ): LeadOutput[] {
     // The entry VM and the lead before this one may both name a slot; it is taken once.
-    const outputs = this.#adopt(entry, this.#unknown(held), nowMs, nowMs);
-    this.#unheard.delete(entry);
-    if (this.#unheard.size === 0) outputs.push(...this.#endCollecting(nowMs));
+    const outputs = this.#adopt(entry, this.#notYetGranted(held), nowMs, nowMs);
+    this.#unansweredVms.delete(entry);
+    if (this.#unansweredVms.size === 0) {
+      outputs.push(...this.#endCollecting(nowMs));
+    }
     return outputs;
   }
 
   /** The lead before this one says what it granted. The entry VM may not have its answer yet. */
-  handedOver(
+  adoptHandover(
     entry: string,
     held: readonly HeldSlot[],
     nowMs: number,
   ): LeadOutput[] {
     const settledAtMs = nowMs + GRANT_SETTLE_MS;
-    return this.#adopt(entry, this.#unknown(held), settledAtMs, nowMs);
+    return this.#adopt(entry, this.#notYetGranted(held), settledAtMs, nowMs);
   }
 
   request(
@@ -113,45 +118,45 @@
     nowMs: number,
   ): LeadOutput[] {
     const { attemptId } = request;
-    if (this.#stopped) return [{ type: "moved", attemptId }];
+    if (this.#isStopped) return [{ type: "moved", attemptId }];
     // The answer was lost and the entry VM asks again: a second slot for the same attempt would never be used.
     const grant = this.#granted.get(attemptId)?.grant;
     if (grant) return [{ type: "decided", attemptId, answer: grant }];
     if (this.#waiting.has(attemptId)) return [];
     this.#waiting.set(attemptId, { entry, request });
-    if (this.#collecting) return [];
-    return this.#take(this.pool.request(request, nowMs), nowMs);
+    if (this.#isCollecting) return [];
+    return this.#applyOutputs(this.pool.request(request, nowMs), nowMs);
   }
 
   report(report: SlotReport, nowMs: number): LeadOutput[] {
-    if (report.outcome !== "started") this.#forget(report.attemptId);
-    return this.#take(this.pool.report(report, nowMs), nowMs);
+    if (report.outcome !== "started") this.#removeGrant(report.attemptId);
+    return this.#applyOutputs(this.pool.report(report, nowMs), nowMs);
   }
 
   cancel(attemptId: string, nowMs: number): LeadOutput[] {
     this.#waiting.delete(attemptId);
-    this.#forget(attemptId);
-    return this.#take(this.pool.cancel(attemptId, nowMs), nowMs);
+    this.#removeGrant(attemptId);
+    return this.#applyOutputs(this.pool.cancel(attemptId, nowMs), nowMs);
   }
 
   /** Gives up what waits for VMs that are gone: a slot granted to one would come back only when its time has passed. */
-  dropEntries(
-    isThere: (entry: string) => boolean,
+  cancelForMissing(
+    isPresent: (entry: string) => boolean,
     nowMs: number,
   ): LeadOutput[] {
     const outputs: LeadOutput[] = [];
     for (const [attemptId, { entry }] of [...this.#waiting]) {
-      if (!isThere(entry)) outputs.push(...this.cancel(attemptId, nowMs));
+      if (!isPresent(entry)) outputs.push(...this.cancel(attemptId, nowMs));
     }
     return outputs;
   }
 
   /** Holds all slots of `entry` for another {@link SLOT_TTL_MS}, if the digest shows that both sides mean the same. */
-  renew(entry: string, digest: HeldDigest, nowMs: number): boolean {
-    if (!this.#book.agrees(entry, digest)) return false;
-    const unknown = this.#renew(this.#book.heldBy(entry), nowMs);
+  renew(entry: string, digest: AttemptsDigest, nowMs: number): boolean {
+    if (!this.#holders.matches(entry, digest)) return false;
+    const unknown = this.#renewGranted(this.#holders.heldBy(entry), nowMs);
     // The pool gave these up before the renewal came: the entry VM must list them.
-    for (const id of unknown) this.#forget(id);
+    for (const id of unknown) this.#removeGrant(id);
     return unknown.length === 0;
   }
 
@@ -162,10 +167,10 @@
     nowMs: number,
   ): LeadOutput[] {
     const ids = held.map((slot) => slot.attemptId);
-    const { renew, free } = this.#book.reconcile(entry, ids, nowMs);
+    const { renew, free } = this.#holders.reconcile(entry, ids, nowMs);
     const outputs: LeadOutput[] = [];
     for (const id of free) outputs.push(...this.cancel(id, nowMs));
-    const unknown = new Set(this.#renew(renew, nowMs));
+    const unknown = new Set(this.#renewGranted(renew, nowMs));
     const adopted = held.filter((slot) =>
       unknown.has(slot.attemptId) || !this.#granted.has(slot.attemptId)
     );
@@ -174,25 +179,25 @@
   }
 
   observe(load: LoadReport, nowMs: number): LeadOutput[] {
-    return this.#take(this.pool.observe(load, nowMs), nowMs);
+    return this.#applyOutputs(this.pool.observe(load, nowMs), nowMs);
   }
 
   tick(nowMs: number): LeadOutput[] {
     const outputs: LeadOutput[] = [];
-    if (this.#collecting && nowMs >= this.#collectUntilMs) {
+    if (this.#isCollecting && nowMs >= this.#collectUntilMs) {
       outputs.push(...this.#endCollecting(nowMs));
     }
-    outputs.push(...this.#refuseLate(nowMs));
-    outputs.push(...this.#take(this.pool.tick(nowMs), nowMs));
+    outputs.push(...this.#returnExpired(nowMs));
+    outputs.push(...this.#applyOutputs(this.pool.tick(nowMs), nowMs));
     for (const [id, granted] of this.#granted) {
-      if (granted.expiresAtMs <= nowMs) this.#forget(id);
+      if (granted.expiresAtMs <= nowMs) this.#removeGrant(id);
     }
     return outputs;
   }
 
   /** Another VM leads from now on: what waits here is sent there, and nothing more is granted. */
   stop(): LeadOutput[] {
-    this.#stopped = true;
+    this.#isStopped = true;
     const outputs: LeadOutput[] = [];
     for (const attemptId of this.#waiting.keys()) {
       outputs.push({ type: "moved", attemptId });
@@ -214,7 +219,7 @@
 
   dump(): unknown {
     return {
-      collecting: this.#collecting,
+      collecting: this.#isCollecting,
       waiting: this.#waiting.size,
       granted: this.#granted.size,
       pool: this.pool.dump(),
@@ -222,18 +227,20 @@
   }
 
   #endCollecting(nowMs: number): LeadOutput[] {
-    if (!this.#collecting) return [];
-    this.#collecting = false;
+    if (!this.#isCollecting) return [];
+    this.#isCollecting = false;
     const outputs: LeadOutput[] = [];
     for (const { request } of [...this.#waiting.values()]) {
-      outputs.push(...this.#take(this.pool.request(request, nowMs), nowMs));
+      outputs.push(
+        ...this.#applyOutputs(this.pool.request(request, nowMs), nowMs),
+      );
     }
     return outputs;
   }
 
   /** The pool knows nothing yet of what waits while collecting, so that its deadlines are kept here. */
-  #refuseLate(nowMs: number): LeadOutput[] {
-    if (!this.#collecting) return [];
+  #returnExpired(nowMs: number): LeadOutput[] {
+    if (!this.#isCollecting) return [];
     const outputs: LeadOutput[] = [];
     for (const [attemptId, { request }] of this.#waiting) {
       if (request.deadlineMs > nowMs) continue;
@@ -243,7 +250,7 @@
     return outputs;
   }
 
-  #unknown(held: readonly HeldSlot[]): HeldSlot[] {
+  #notYetGranted(held: readonly HeldSlot[]): HeldSlot[] {
     return held.filter((slot) => !this.#granted.has(slot.attemptId));
   }
 
@@ -257,13 +264,16 @@
     const expiresAtMs = nowMs + SLOT_TTL_MS;
     const renewed = held.map((slot) => ({ ...slot, expiresAtMs }));
     for (const slot of renewed) {
-      this.#book.add(entry, slot.attemptId, settledAtMs);
+      this.#holders.add(entry, slot.attemptId, settledAtMs);
       this.#granted.set(slot.attemptId, { held: slot, entry, expiresAtMs });
     }
-    return this.#take(this.pool.adopt(renewed, nowMs), nowMs);
+    return this.#applyOutputs(this.pool.adopt(renewed, nowMs), nowMs);
   }
 
-  #renew(attemptIds: readonly string[], nowMs: number): readonly string[] {
+  #renewGranted(
+    attemptIds: readonly string[],
+    nowMs: number,
+  ): readonly string[] {
     for (const id of attemptIds) {
       const granted = this.#granted.get(id);
       if (granted) granted.expiresAtMs = nowMs + SLOT_TTL_MS;
@@ -271,34 +281,34 @@
     return this.pool.renew(attemptIds, nowMs);
   }
 
-  #forget(attemptId: string): void {
-    this.#book.remove(attemptId);
+  #removeGrant(attemptId: string): void {
+    this.#holders.remove(attemptId);
     this.#granted.delete(attemptId);
   }
 
-  #take(outputs: readonly PoolOutput[], nowMs: number): LeadOutput[] {
-    const taken: LeadOutput[] = [];
+  #applyOutputs(outputs: readonly PoolOutput[], nowMs: number): LeadOutput[] {
+    const leadOutputs: LeadOutput[] = [];
     for (const output of outputs) {
       if (output.type === "order") {
-        taken.push(output);
+        leadOutputs.push(output);
         continue;
       }
       const { attemptId, answer } = output;
       const waiting = this.#waiting.get(attemptId);
       if (!waiting) continue;
       this.#waiting.delete(attemptId);
-      if (answer.type === "grant") this.#grant(waiting, answer, nowMs);
-      taken.push({ type: "decided", attemptId, answer });
+      if (answer.type === "grant") this.#recordGrant(waiting, answer, nowMs);
+      leadOutputs.push({ type: "decided", attemptId, answer });
     }
-    return taken;
+    return leadOutputs;
   }
 
-  #grant(
+  #recordGrant(
     waiting: { entry: string; request: SlotRequest },
     grant: SlotGrant,
     nowMs: number,
   ): void {
-    this.#book.add(waiting.entry, grant.attemptId, nowMs + GRANT_SETTLE_MS);
+    this.#holders.add(waiting.entry, grant.attemptId, nowMs + GRANT_SETTLE_MS);
     this.#granted.set(grant.attemptId, {
       held: heldSlot(waiting.request, grant),
       entry: waiting.entry,
--- a/src/services/lead_router.ts
+++ b/src/services/lead_router.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import type { HeldDigest } from "../agreement/mod.ts";
+import type { AttemptsDigest } from "../agreement/mod.ts";
 import type { Transport } from "../adapters/mod.ts";
 import type { Clock } from "../base/mod.ts";
 import type { HeldSlot, SlotReport, SlotRequest } from "../decisions/mod.ts";
@@ -14,10 +14,10 @@
   AcquireReply,
   CancelMessage,
   HeldMessage,
+  LeadMessage,
   RenewMessage,
   RenewReply,
   ReportMessage,
-  ToLead,
 } from "./lead_messages.ts";
 import type { LeadServer } from "./lead_server.ts";
 import type { LeadView } from "./lead_view.ts";
@@ -25,12 +25,12 @@
 
 /** A lead answers at the request's deadline at the latest; the answer needs this much more to arrive. */
 const ANSWER_GRACE_MS = 1000;
-const RENEW_CALL_MS = 1000;
+const RENEW_TIMEOUT_MS = 1000;
 /**
  * A VM that could not be reached directly is tried last for this long. Behind a cut each try costs a handshake's
  * timeout, which every request would wait out before it is relayed.
  */
-const AVOID_MS = 5000;
+const AVOID_DURATION_MS = 5000;
 
 /** What a {@link LeadRouter} needs of its task. */
 export interface LeadRouterContext {
@@ -40,10 +40,10 @@
   /** Absent where the VM runs alone. */
   readonly transport: Transport | undefined;
   /** A call to this VM failed. */
-  readonly suspect: (vmId: string) => void;
+  readonly onCallFailed: (vmId: string) => void;
 }
 
-interface Waiting {
+interface PendingCall {
   readonly vmId: string;
   readonly abort: () => void;
 }
@@ -51,10 +51,10 @@
 /** See the module's comment. */
 export class LeadRouter {
   readonly #context: LeadRouterContext;
-  readonly #waiting = new Set<Waiting>();
+  readonly #pendingCalls = new Set<PendingCall>();
   readonly #avoidUntilMs = new Map<string, number>();
   /** The VM that a pending attempt is asked at. */
-  readonly #asked = new Map<string, VmInfo>();
+  readonly #askedVms = new Map<string, VmInfo>();
 
   constructor(context: LeadRouterContext) {
     this.#context = context;
@@ -77,48 +77,50 @@
     transport.handle("slots.held", (p) => heldOf(p as HeldMessage));
     transport.handle(
       "slots.handover",
-      (p) => server.handedOver(p as Parameters<LeadServer["handedOver"]>[0]),
+      (p) =>
+        server.adoptHandover(p as Parameters<LeadServer["adoptHandover"]>[0]),
     );
   }
 
   acquire(pool: string, request: SlotRequest): Promise<AcquireReply> {
-    return this.#acquire({ ...this.#address(pool), request });
+    return this.#acquire({ ...this.#newMessage(pool), request });
   }
 
   renew(
     pool: string,
-    digest: HeldDigest,
+    digest: AttemptsDigest,
     held?: readonly HeldSlot[],
   ): Promise<RenewReply | undefined> {
-    return this.#renew({ ...this.#address(pool), digest, held });
+    return this.#renew({ ...this.#newMessage(pool), digest, held });
   }
 
   report(pool: string, report: SlotReport): void {
-    const message: ReportMessage = { ...this.#address(pool), report };
-    if (this.#context.server.leads(pool)) this.#context.server.report(message);
-    else this.#notifyLead("slots.report", message);
+    const message: ReportMessage = { ...this.#newMessage(pool), report };
+    if (this.#context.server.isLeadOf(pool)) {
+      this.#context.server.report(message);
+    } else this.#notifyLead("slots.report", message);
   }
 
   cancel(pool: string, attemptId: string): void {
-    this.#cancel({ ...this.#address(pool), attemptId });
+    this.#cancel({ ...this.#newMessage(pool), attemptId });
   }
 
   /**
    * Gives up calls to VMs that are gone. A frozen lead, or one behind a cut, keeps its connection and never answers; a
    * queued request would wait out its whole deadline for it.
    */
-  vmsChanged(): void {
-    for (const waiting of this.#waiting) {
-      if (!this.#context.view.hasVm(waiting.vmId)) waiting.abort();
+  abortCallsToMissingVms(): void {
+    for (const call of this.#pendingCalls) {
+      if (!this.#context.view.hasVm(call.vmId)) call.abort();
     }
   }
 
-  #address(pool: string): ToLead {
+  #newMessage(pool: string): LeadMessage {
     return { pool, entry: this.#context.view.self.id, relayed: false };
   }
 
   async #acquire(message: AcquireMessage): Promise<AcquireReply> {
-    if (this.#context.server.leads(message.pool)) {
+    if (this.#context.server.isLeadOf(message.pool)) {
       return await this.#context.server.acquire(message);
     }
     const { attemptId, deadlineMs } = message.request;
@@ -126,17 +128,17 @@
       "slots.acquire",
       message,
       deadlineMs + ANSWER_GRACE_MS,
-      (vm) => this.#asked.set(attemptId, vm),
+      (vm) => this.#askedVms.set(attemptId, vm),
     );
-    this.#asked.delete(attemptId);
+    this.#askedVms.delete(attemptId);
     return reply as AcquireReply | undefined ?? { type: "moved" };
   }
 
   async #renew(message: RenewMessage): Promise<RenewReply> {
-    if (this.#context.server.leads(message.pool)) {
+    if (this.#context.server.isLeadOf(message.pool)) {
       return this.#context.server.renew(message);
     }
-    const deadlineMs = this.#context.clock.nowMs() + RENEW_CALL_MS;
+    const deadlineMs = this.#context.clock.nowMs() + RENEW_TIMEOUT_MS;
     const reply = await this.#forward("slots.renew", message, deadlineMs);
     return reply as RenewReply | undefined ?? { type: "moved" };
   }
@@ -147,23 +149,23 @@
    */
   async #forward(
     method: string,
-    message: ToLead,
+    message: LeadMessage,
     deadlineMs: number,
-    onAsk: (vm: VmInfo) => void = () => {},
+    onCall: (vm: VmInfo) => void = () => {},
   ): Promise<unknown> {
     const { view } = this.#context;
     if (message.relayed) return undefined;
-    const [lead, next] = view.order(message.pool);
+    const [lead, next] = view.leadCandidates(message.pool);
     if (lead.id === view.self.id) return undefined;
     if (message.entry !== view.self.id) {
-      const onwards = { ...message, relayed: true };
-      onAsk(lead);
-      return await this.#call(lead, method, onwards, deadlineMs);
+      const forwarded = { ...message, relayed: true };
+      onCall(lead);
+      return await this.#call(lead, method, forwarded, deadlineMs);
     }
-    const ways = next && next.id !== view.self.id ? [lead, next] : [lead];
-    if (this.#isAvoided(lead.id)) ways.reverse();
-    for (const vm of ways) {
-      onAsk(vm);
+    const targets = next && next.id !== view.self.id ? [lead, next] : [lead];
+    if (this.#isAvoided(lead.id)) targets.reverse();
+    for (const vm of targets) {
+      onCall(vm);
       const reply = await this.#call(vm, method, message, deadlineMs);
       if (reply !== undefined) return reply;
     }
@@ -181,28 +183,31 @@
   async #call(
     vm: VmInfo,
     method: string,
-    message: ToLead,
+    message: LeadMessage,
     deadlineMs: number,
   ): Promise<unknown> {
-    const { transport, suspect } = this.#context;
+    const { transport, onCallFailed } = this.#context;
     if (!transport) return undefined;
     let abort = () => {};
-    const gone = new Promise<undefined>((resolve) => {
+    const aborted = new Promise<undefined>((resolve) => {
       abort = () => resolve(undefined);
     });
-    const waiting = { vmId: vm.id, abort };
-    this.#waiting.add(waiting);
+    const pendingCall = { vmId: vm.id, abort };
+    this.#pendingCalls.add(pendingCall);
     const call = transport.call(vm.peerAddress, method, message, deadlineMs);
-    const result = await Promise.race([call, gone]);
-    this.#waiting.delete(waiting);
+    const result = await Promise.race([call, aborted]);
+    this.#pendingCalls.delete(pendingCall);
     if (result === undefined) {
       this.#withdraw(vm, message);
       return undefined;
     }
     if (result.isOk()) return result.value;
     if (result.error.kind === "failed") return undefined;
-    this.#avoidUntilMs.set(vm.id, this.#context.clock.nowMs() + AVOID_MS);
-    suspect(vm.id);
+    this.#avoidUntilMs.set(
+      vm.id,
+      this.#context.clock.nowMs() + AVOID_DURATION_MS,
+    );
+    onCallFailed(vm.id);
     return undefined;
   }
 
@@ -211,7 +216,7 @@
    * grants them slots that nobody uses; its own callers then wait for each of those to run out. The withdrawal lies in
    * the same connection right behind the request, so that whoever reads the one reads the other.
    */
-  #withdraw(vm: VmInfo, message: ToLead): void {
+  #withdraw(vm: VmInfo, message: LeadMessage): void {
     if (!("request" in message)) return;
     const { pool, entry, request } = message as AcquireMessage;
     const { attemptId } = request;
@@ -226,29 +231,29 @@
   #cancel(message: CancelMessage): void {
     const { server, view, transport } = this.#context;
     server.cancel(message);
-    const asked = this.#asked.get(message.attemptId);
-    const lead = view.lead(message.pool);
-    const relayed = message.entry !== view.self.id;
+    const asked = this.#askedVms.get(message.attemptId);
+    const lead = view.leadOf(message.pool);
+    const isRelayed = message.entry !== view.self.id;
     if (message.relayed) return;
     for (const vm of new Set([lead, asked])) {
       if (!vm || vm.id === view.self.id) continue;
-      const onwards = { ...message, relayed };
-      transport?.notify(vm.peerAddress, "slots.cancel", onwards);
+      const forwarded = { ...message, relayed: isRelayed };
+      transport?.notify(vm.peerAddress, "slots.cancel", forwarded);
     }
   }
 
-  #notifyLead(method: string, message: ToLead): void {
+  #notifyLead(method: string, message: LeadMessage): void {
     const { view, transport } = this.#context;
-    const lead = view.lead(message.pool);
+    const lead = view.leadOf(message.pool);
     if (lead.id === view.self.id) return;
     transport?.notify(lead.peerAddress, method, message);
   }
 
   /** Sends on what is meant for another lead; answers whether it did. */
-  #relay(method: string, message: ToLead): boolean {
+  #relay(method: string, message: LeadMessage): boolean {
     const { server, view, transport } = this.#context;
-    if (server.leads(message.pool) || message.relayed) return false;
-    const lead = view.lead(message.pool);
+    if (server.isLeadOf(message.pool) || message.relayed) return false;
+    const lead = view.leadOf(message.pool);
     if (lead.id === view.self.id) return false;
     transport?.notify(lead.peerAddress, method, { ...message, relayed: true });
     return true;
--- a/src/services/lead_server.ts
+++ b/src/services/lead_server.ts
@@ -43,7 +43,7 @@
   /** Asks every other VM of the region what it holds of a pool; `heard` is called for each that answers. */
   readonly collect: (
     poolKey: string,
-    heard: (entry: string, held: readonly HeldSlot[]) => void,
+    onHeld: (entry: string, held: readonly HeldSlot[]) => void,
   ) => void;
   /** Tells the next lead what was granted here. */
   readonly handOver: (message: HandoverMessage) => void;
@@ -52,56 +52,63 @@
 /** See the module's comment. */
 export class LeadServer {
   readonly #context: LeadServerContext;
-  readonly #led = new Map<string, LeadPool>();
+  readonly #ledPools = new Map<string, LeadPool>();
   readonly #resolvers = new Map<string, ((reply: AcquireReply) => void)[]>();
   /** Attempts that wait for the table they were accepted on. */
-  readonly #arriving = new Set<string>();
-  #closed = false;
+  readonly #awaitingTable = new Set<string>();
+  #isClosed = false;
 
   constructor(context: LeadServerContext) {
     this.#context = context;
   }
 
-  leads(poolKey: string): boolean {
-    return this.#led.has(poolKey);
+  isLeadOf(poolKey: string): boolean {
+    return this.#ledPools.has(poolKey);
   }
 
   /** Starts and stops pools after the table or the VMs changed. */
-  follow(tableChanged: boolean): void {
+  update(tableChanged: boolean): void {
     const { view, clock } = this.#context;
-    for (const key of [...this.#led.keys()]) {
-      const mine = view.pools.has(key) && view.lead(key).id === view.self.id;
-      if (!mine) this.#stop(key);
+    for (const key of [...this.#ledPools.keys()]) {
+      const isLead = view.pools.has(key) &&
+        view.leadOf(key).id === view.self.id;
+      if (!isLead) this.#stop(key);
     }
-    if (this.#closed || !view.table) return;
+    if (this.#isClosed || !view.table) return;
     for (const info of view.pools.values()) {
-      const led = this.#led.get(info.key);
+      const led = this.#ledPools.get(info.key);
       if (led && tableChanged) {
-        this.#take(info, led.configure(view.table, info, clock.nowMs()));
+        this.#applyOutputs(
+          info,
+          led.configure(view.table, info, clock.nowMs()),
+        );
       }
-      const gone = led?.dropEntries((id) => view.hasVm(id), clock.nowMs());
-      if (gone) this.#take(info, gone);
-      if (!led && view.lead(info.key).id === view.self.id) this.#start(info);
+      const canceled = led?.cancelForMissing(
+        (id) => view.hasVm(id),
+        clock.nowMs(),
+      );
+      if (canceled) this.#applyOutputs(info, canceled);
+      if (!led && view.leadOf(info.key).id === view.self.id) this.#start(info);
     }
   }
 
   /** Resolves once the request is decided, which may take until its deadline. */
   acquire(message: AcquireMessage): Promise<AcquireReply> {
     const version = this.#context.view.table?.version ?? 0;
-    const behind = message.request.tableVersion > version;
-    return behind ? this.#decideLater(message) : this.#decide(message);
+    const isBehind = message.request.tableVersion > version;
+    return isBehind ? this.#decideAfterCatchUp(message) : this.#decide(message);
   }
 
-  async #decideLater(message: AcquireMessage): Promise<AcquireReply> {
+  async #decideAfterCatchUp(message: AcquireMessage): Promise<AcquireReply> {
     const { request } = message;
-    this.#arriving.add(request.attemptId);
+    this.#awaitingTable.add(request.attemptId);
     await this.#context.catchUp(request);
-    const wanted = this.#arriving.delete(request.attemptId);
-    return wanted ? await this.#decide(message) : { type: "moved" };
+    const isWanted = this.#awaitingTable.delete(request.attemptId);
+    return isWanted ? await this.#decide(message) : { type: "moved" };
   }
 
   #decide(message: AcquireMessage): Promise<AcquireReply> {
-    const led = this.#led.get(message.pool);
+    const led = this.#ledPools.get(message.pool);
     const info = this.#context.view.pools.get(message.pool);
     if (!led || !info) return Promise.resolve({ type: "moved" });
     const { attemptId } = message.request;
@@ -110,79 +117,86 @@
       resolvers.push(resolve);
       this.#resolvers.set(attemptId, resolvers);
       const nowMs = this.#context.clock.nowMs();
-      this.#take(info, led.request(message.request, message.entry, nowMs));
+      this.#applyOutputs(
+        info,
+        led.request(message.request, message.entry, nowMs),
+      );
     });
   }
 
   renew(message: RenewMessage): RenewReply {
-    const led = this.#led.get(message.pool);
+    const led = this.#ledPools.get(message.pool);
     if (!led) return { type: "moved" };
     const nowMs = this.#context.clock.nowMs();
     if (message.held) {
-      this.#step(
+      this.#applyToPool(
         message.pool,
         led.reconcile(message.entry, message.held, nowMs),
       );
       return { type: "renewed" };
     }
-    const agreed = led.renew(message.entry, message.digest, nowMs);
-    return { type: agreed ? "renewed" : "disagreed" };
+    const hasAgreed = led.renew(message.entry, message.digest, nowMs);
+    return { type: hasAgreed ? "renewed" : "disagreed" };
   }
 
   report(message: ReportMessage): void {
-    const led = this.#led.get(message.pool);
+    const led = this.#ledPools.get(message.pool);
     if (!led) return;
     const nowMs = this.#context.clock.nowMs();
-    this.#step(message.pool, led.report(message.report, nowMs));
+    this.#applyToPool(message.pool, led.report(message.report, nowMs));
   }
 
   cancel(message: CancelMessage): void {
     const { attemptId, pool } = message;
-    this.#arriving.delete(attemptId);
-    const led = this.#led.get(pool);
+    this.#awaitingTable.delete(attemptId);
+    const led = this.#ledPools.get(pool);
     if (!led) return;
-    this.#step(pool, led.cancel(attemptId, this.#context.clock.nowMs()));
+    this.#applyToPool(pool, led.cancel(attemptId, this.#context.clock.nowMs()));
     this.#resolve(attemptId, { type: "moved" });
   }
 
-  handedOver(message: HandoverMessage): void {
-    const led = this.#led.get(message.pool);
+  adoptHandover(message: HandoverMessage): void {
+    const led = this.#ledPools.get(message.pool);
     if (!led) return;
     const nowMs = this.#context.clock.nowMs();
     for (const [entry, held] of message.held) {
-      this.#step(message.pool, led.handedOver(entry, held, nowMs));
+      this.#applyToPool(message.pool, led.adoptHandover(entry, held, nowMs));
     }
   }
 
-  observe(poolKey: string, load: LoadReport): void {
-    const led = this.#led.get(poolKey);
+  observeLoad(poolKey: string, load: LoadReport): void {
+    const led = this.#ledPools.get(poolKey);
     if (!led) return;
-    this.#step(poolKey, led.observe(load, this.#context.clock.nowMs()));
+    this.#applyToPool(poolKey, led.observe(load, this.#context.clock.nowMs()));
   }
 
-  setFar(far: (info: PoolInfo) => readonly RemoteRegion[]): void {
+  setRemoteRegions(
+    remoteRegionsOf: (info: PoolInfo) => readonly RemoteRegion[],
+  ): void {
     const nowMs = this.#context.clock.nowMs();
-    for (const [info, led] of this.#pools()) {
-      led.pool.setRemoteRegions(far(info), nowMs);
+    for (const [info, led] of this.#listPools()) {
+      led.pool.setRemoteRegions(remoteRegionsOf(info), nowMs);
     }
   }
 
   tick(): void {
     const nowMs = this.#context.clock.nowMs();
-    for (const [info, led] of this.#pools()) this.#take(info, led.tick(nowMs));
+    for (const [info, led] of this.#listPools()) {
+      this.#applyOutputs(info, led.tick(nowMs));
+    }
   }
 
   /** The led pools that have started, with their digests. */
   digests(): [PoolInfo, PoolDigest][] {
     const nowMs = this.#context.clock.nowMs();
-    return this.#pools()
-      .filter(([, led]) => !led.collecting)
+    return this.#listPools()
+      .filter(([, led]) => !led.isCollecting)
       .map(([info, led]) => [info, led.pool.digest(nowMs)]);
   }
 
   /** The led pools. */
-  infos(): PoolInfo[] {
-    return this.#pools().map(([info]) => info);
+  ledPoolInfos(): PoolInfo[] {
+    return this.#listPools().map(([info]) => info);
   }
 
   /**
@@ -190,25 +204,25 @@
    * long as this VM slept. The pools start anew and learn from the entry VMs what is held.
    */
   restart(): void {
-    for (const key of [...this.#led.keys()]) this.#drop(key);
-    this.follow(false);
+    for (const key of [...this.#ledPools.keys()]) this.#drop(key);
+    this.update(false);
   }
 
   /** Steps down from all pools. */
   close(): void {
-    this.#closed = true;
-    for (const key of [...this.#led.keys()]) this.#stop(key);
+    this.#isClosed = true;
+    for (const key of [...this.#ledPools.keys()]) this.#stop(key);
   }
 
   dump(): unknown {
     const pools: Record<string, unknown> = {};
-    for (const [key, led] of this.#led) pools[key] = led.dump();
+    for (const [key, led] of this.#ledPools) pools[key] = led.dump();
     return { pools, waiting: this.#resolvers.size };
   }
 
-  #pools(): [PoolInfo, LeadPool][] {
+  #listPools(): [PoolInfo, LeadPool][] {
     const pools: [PoolInfo, LeadPool][] = [];
-    for (const [key, led] of this.#led) {
+    for (const [key, led] of this.#ledPools) {
       const info = this.#context.view.pools.get(key);
       if (info) pools.push([info, led]);
     }
@@ -220,12 +234,12 @@
     const vmIds = view.vms.map((vm) => vm.id);
     const nowMs = clock.nowMs();
     const led = new LeadPool(info, vmIds, hash32(info.key), nowMs);
-    this.#led.set(info.key, led);
+    this.#ledPools.set(info.key, led);
     log.info("lead started", { pool: info.key, vms: vmIds.length });
-    this.#take(info, led.configure(view.table!, info, nowMs));
+    this.#applyOutputs(info, led.configure(view.table!, info, nowMs));
     collect(info.key, (entry, held) => {
-      if (this.#led.get(info.key) !== led) return;
-      this.#step(info.key, led.heard(entry, held, clock.nowMs()));
+      if (this.#ledPools.get(info.key) !== led) return;
+      this.#applyToPool(info.key, led.adoptHeld(entry, held, clock.nowMs()));
     });
   }
 
@@ -236,8 +250,8 @@
 
   /** Stops leading; what waits here is asked anew elsewhere. */
   #drop(key: string): LeadPool {
-    const led = this.#led.get(key)!;
-    this.#led.delete(key);
+    const led = this.#ledPools.get(key)!;
+    this.#ledPools.delete(key);
     for (const output of led.stop()) {
       if (output.type === "moved") this.#resolve(output.attemptId, output);
     }
@@ -245,12 +259,12 @@
     return led;
   }
 
-  #step(poolKey: string, outputs: readonly LeadOutput[]): void {
+  #applyToPool(poolKey: string, outputs: readonly LeadOutput[]): void {
     const info = this.#context.view.pools.get(poolKey);
-    if (info) this.#take(info, outputs);
+    if (info) this.#applyOutputs(info, outputs);
   }
 
-  #take(info: PoolInfo, outputs: readonly LeadOutput[]): void {
+  #applyOutputs(info: PoolInfo, outputs: readonly LeadOutput[]): void {
     for (const output of outputs) {
       if (output.type === "order") this.#context.onOrder(info, output);
       else if (output.type === "moved") {
--- a/src/services/lead_sim_test.ts
+++ b/src/services/lead_sim_test.ts
@@ -1,7 +1,7 @@
 import type { ExecutionContext } from "ava";
 import fc from "fast-check";
 import { planRequest, planTable } from "../../test/vms.ts";
-import { heldDigest, poolsOfRegion } from "../agreement/mod.ts";
+import { digestAttempts, poolsOfRegion } from "../agreement/mod.ts";
 import { describe, it } from "../base/describe.ts";
 import type { HeldSlot, SlotRequest } from "../decisions/mod.ts";
 import { heldSlot, type LeadOutput, LeadPool } from "./lead_pool.ts";
@@ -13,46 +13,50 @@
 const STEP_MS = 50;
 const RENEW_MS = 2000;
 /** Answers come later than this only where the link is broken. */
-const LATE_MS = 1500;
+const ANSWER_DELAY_MS = 1500;
 
 /** One step of a schedule. `vm` names an entry VM by number, `lead` a VM that starts to lead. */
 type Step =
   | { readonly type: "pass"; readonly ms: number }
-  | { readonly type: "acquire"; readonly vm: number; readonly fate: Fate }
+  | { readonly type: "acquire"; readonly vm: number; readonly fate: Delivery }
   | { readonly type: "end"; readonly vm: number; readonly lost: boolean }
   /** The lead changes: by a planned stop of the old one, or by its crash. */
   | { readonly type: "move"; readonly lead: number; readonly crash: boolean }
   /** Another VM starts to lead beside those that do, and cannot hear some of the entry VMs. */
-  | { readonly type: "split"; readonly lead: number; readonly deaf: number };
+  | {
+    readonly type: "split";
+    readonly lead: number;
+    readonly unreachable: number;
+  };
 
 /** What happens to a lead's answer. */
-type Fate = "arrives" | "late" | "lost";
+type Delivery = "arrives" | "late" | "lost";
 
-interface Entry {
+interface EntryVm {
   readonly held: Map<string, HeldSlot>;
   /** The VM it takes for the lead. */
   lead: number;
 }
 
-interface Late {
+interface LateAnswer {
   readonly from: number;
   readonly arriveAtMs: number;
   readonly deliver: () => void;
 }
 
 /** Entry VMs and leads of one pool; the rule is about what the entry VMs really hold. */
-class Region {
+class RegionModel {
   readonly violations: string[] = [];
   readonly #make: (nowMs: number) => LeadPool;
-  readonly #entries: Entry[] = [];
+  readonly #entries: EntryVm[] = [];
   readonly #leads = new Map<number, LeadPool>();
-  readonly #asked = new Map<string, Asked>();
-  #late: Late[] = [];
+  readonly #requests = new Map<string, PendingRequest>();
+  #late: LateAnswer[] = [];
   #nowMs = 1_000_000;
   #nextRenewMs = 0;
   #attempts = 0;
   /** How many leads granted since the last time there was only one. */
-  mostLeads = 1;
+  maxLeads = 1;
 
   constructor(make: (nowMs: number) => LeadPool) {
     this.#make = make;
@@ -60,13 +64,13 @@
       this.#entries.push({ held: new Map(), lead: 0 });
     }
     this.#start(0, []);
-    this.#pass(1000);
+    this.#advance(1000);
   }
 
   run(steps: readonly Step[]): void {
     for (const step of steps) {
       this.#step(step);
-      this.#check();
+      this.#checkHeld();
     }
   }
 
@@ -77,20 +81,20 @@
     }
     if (!this.#leads.has(0)) this.#start(0, []);
     for (const entry of this.#entries) entry.lead = 0;
-    this.#pass(12_000);
-    const booked = this.#leads.get(0)!.heldByEntry()
+    this.#advance(12_000);
+    const recorded = this.#leads.get(0)!.heldByEntry()
       .flatMap(([n, slots]) => slots.map((slot) => `${n}/${slot.attemptId}`));
     const held = this.#entries.flatMap((entry, n) =>
       [...entry.held.keys()].map((id) => `${n}/${id}`)
     );
-    if (booked.sort().join() === held.sort().join()) return;
-    this.violations.push(`the book says ${booked}, entry VMs hold ${held}`);
+    if (recorded.sort().join() === held.sort().join()) return;
+    this.violations.push(`the book says ${recorded}, entry VMs hold ${held}`);
   }
 
   #step(step: Step): void {
     switch (step.type) {
       case "pass":
-        return this.#pass(step.ms);
+        return this.#advance(step.ms);
       case "acquire":
         return this.#acquire(step.vm, step.fate);
       case "end":
@@ -98,41 +102,43 @@
       case "move":
         return this.#move(step.lead, step.crash);
       case "split":
-        this.#start(step.lead, [step.deaf]);
+        this.#start(step.lead, [step.unreachable]);
         this.#entries[step.lead].lead = step.lead;
-        this.mostLeads = Math.max(this.mostLeads, this.#leads.size);
+        this.maxLeads = Math.max(this.maxLeads, this.#leads.size);
     }
   }
 
-  #pass(ms: number): void {
+  #advance(ms: number): void {
     const endMs = this.#nowMs + ms;
     while (this.#nowMs < endMs) {
       this.#nowMs += STEP_MS;
-      this.#arrive();
+      this.#deliverDue();
       if (this.#nowMs >= this.#nextRenewMs) this.#renewAll();
       for (const [n, lead] of this.#leads) {
-        this.#take(n, lead.tick(this.#nowMs));
+        this.#handle(n, lead.tick(this.#nowMs));
       }
-      this.#check();
+      this.#checkHeld();
     }
   }
 
-  #arrive(): void {
+  #deliverDue(): void {
     const due = this.#late.filter((late) => late.arriveAtMs <= this.#nowMs);
     this.#late = this.#late.filter((late) => late.arriveAtMs > this.#nowMs);
     for (const { deliver } of due) deliver();
   }
 
-  #acquire(vm: number, fate: Fate): void {
+  #acquire(vm: number, fate: Delivery): void {
     const attemptId = `x${this.#attempts++}`;
     const request = planRequest(attemptId, {
       arrivedAtMs: this.#nowMs,
       deadlineMs: this.#nowMs + 10_000,
     });
     const lead = this.#entries[vm].lead;
-    this.#asked.set(attemptId, { vm, fate, request });
+    this.#requests.set(attemptId, { vm, fate, request });
     const pool = this.#leads.get(lead);
-    if (pool) this.#take(lead, pool.request(request, String(vm), this.#nowMs));
+    if (pool) {
+      this.#handle(lead, pool.request(request, String(vm), this.#nowMs));
+    }
   }
 
   #end(vm: number, lost: boolean): void {
@@ -151,7 +157,7 @@
       outputTokens: 1,
       totalMs: 10,
     } as const;
-    this.#take(lead, pool.report(report, this.#nowMs));
+    this.#handle(lead, pool.report(report, this.#nowMs));
   }
 
   #renewAll(): void {
@@ -159,10 +165,10 @@
     this.#entries.forEach(({ held, lead }, n) => {
       const pool = this.#leads.get(lead);
       if (!pool) return;
-      const digest = heldDigest(held.keys());
+      const digest = digestAttempts(held.keys());
       if (pool.renew(String(n), digest, this.#nowMs)) return;
       const slots = [...held.values()];
-      this.#take(lead, pool.reconcile(String(n), slots, this.#nowMs));
+      this.#handle(lead, pool.reconcile(String(n), slots, this.#nowMs));
     });
   }
 
@@ -171,33 +177,36 @@
     if (old.length !== 1 || old[0][0] === to) return;
     const [from, pool] = old[0];
     this.#leads.delete(from);
-    this.#take(from, pool.stop());
+    this.#handle(from, pool.stop());
     if (crash) this.#late = this.#late.filter((late) => late.from !== from);
     this.#start(to, []);
     for (const entry of this.#entries) entry.lead = to;
     if (crash) return;
     for (const [entry, held] of pool.heldByEntry()) {
-      this.#take(to, this.#leads.get(to)!.handedOver(entry, held, this.#nowMs));
+      this.#handle(
+        to,
+        this.#leads.get(to)!.adoptHandover(entry, held, this.#nowMs),
+      );
     }
   }
 
-  #start(n: number, deaf: readonly number[]): void {
+  #start(n: number, unreachable: readonly number[]): void {
     if (this.#leads.has(n)) return;
     const pool = this.#make(this.#nowMs);
     this.#leads.set(n, pool);
-    this.#take(n, pool.configure(TABLE, INFO, this.#nowMs));
+    this.#handle(n, pool.configure(TABLE, INFO, this.#nowMs));
     this.#entries.forEach(({ held }, vm) => {
-      if (deaf.includes(vm) && vm !== n) return;
+      if (unreachable.includes(vm) && vm !== n) return;
       const slots = [...held.values()];
-      this.#take(n, pool.heard(String(vm), slots, this.#nowMs));
+      this.#handle(n, pool.adoptHeld(String(vm), slots, this.#nowMs));
     });
   }
 
-  #take(from: number, outputs: readonly LeadOutput[]): void {
+  #handle(from: number, outputs: readonly LeadOutput[]): void {
     for (const output of outputs) {
       if (output.type !== "decided") continue;
       const { answer } = output;
-      const asked = this.#asked.get(output.attemptId);
+      const asked = this.#requests.get(output.attemptId);
       if (answer.type !== "grant" || !asked || asked.fate === "lost") continue;
       const deliver = () => {
         const slot = heldSlot(asked.request, answer);
@@ -205,29 +214,29 @@
       };
       if (asked.fate === "arrives") deliver();
       else {
-        const arriveAtMs = this.#nowMs + LATE_MS;
+        const arriveAtMs = this.#nowMs + ANSWER_DELAY_MS;
         this.#late.push({ from, arriveAtMs, deliver });
       }
     }
   }
 
-  #check(): void {
+  #checkHeld(): void {
     let held = 0;
     for (const entry of this.#entries) held += entry.held.size;
-    const most = SLOTS * this.mostLeads;
-    if (held <= most) return;
-    this.violations.push(`${held} requests in ${most} slots`);
+    const max = SLOTS * this.maxLeads;
+    if (held <= max) return;
+    this.violations.push(`${held} requests in ${max} slots`);
   }
 }
 
-interface Asked {
+interface PendingRequest {
   readonly vm: number;
-  readonly fate: Fate;
+  readonly fate: Delivery;
   readonly request: SlotRequest;
 }
 
 const vm = fc.nat({ max: VMS - 1 });
-const fate = fc.constantFrom<Fate>("arrives", "arrives", "late", "lost");
+const fate = fc.constantFrom<Delivery>("arrives", "arrives", "late", "lost");
 
 function steps(splits: boolean): fc.Arbitrary<Step[]> {
   const usual: fc.WeightedArbitrary<Step>[] = [
@@ -261,7 +270,7 @@
       arbitrary: fc.record({
         type: fc.constant("split" as const),
         lead: vm,
-        deaf: vm,
+        unreachable: vm,
       }),
     }
     : {
@@ -275,7 +284,7 @@
   return fc.array(fc.oneof(...usual, change), { maxLength: 30 });
 }
 
-interface Search {
+interface Options {
   readonly runs: number;
   readonly seed: number;
   readonly splits: boolean;
@@ -284,10 +293,10 @@
 }
 
 /** Runs schedules; a violated rule is thrown with a schedule, its seed and its path, which replay it. */
-function search({ runs, seed, splits, shrink, make }: Search): void {
+function search({ runs, seed, splits, shrink, make }: Options): void {
   fc.assert(
     fc.property(steps(splits), (schedule) => {
-      const region = new Region(make ?? lead);
+      const region = new RegionModel(make ?? newLeadPool);
       region.run(schedule);
       region.settle();
       if (region.violations.length > 0) throw new Error(region.violations[0]);
@@ -303,11 +312,11 @@
 
 const VM_IDS = Array.from({ length: VMS }, (_, n) => String(n));
 
-function lead(nowMs: number): LeadPool {
+function newLeadPool(nowMs: number): LeadPool {
   return new LeadPool(INFO, VM_IDS, 7, nowMs);
 }
 
-function caught(
+function assertCaught(
   t: ExecutionContext,
   make: (nowMs: number) => LeadPool,
   message: RegExp,
@@ -335,31 +344,33 @@
 
   describe("a broken lead is caught", () => {
     it("that starts without asking what is held", (t) => {
-      class Hasty extends LeadPool {
-        override heard(
+      class IgnoresHeldSlots extends LeadPool {
+        override adoptHeld(
           entry: string,
           _held: readonly HeldSlot[],
           nowMs: number,
         ) {
-          return super.heard(entry, [], nowMs);
+          return super.adoptHeld(entry, [], nowMs);
         }
       }
-      const make = (nowMs: number) => new Hasty(INFO, VM_IDS, 7, nowMs);
-      caught(t, make, /requests in/);
+      const make = (nowMs: number) =>
+        new IgnoresHeldSlots(INFO, VM_IDS, 7, nowMs);
+      assertCaught(t, make, /requests in/);
     });
 
     it("that drops what the lead before it hands over", (t) => {
-      class Proud extends LeadPool {
-        override handedOver() {
+      class IgnoresHandover extends LeadPool {
+        override adoptHandover() {
           return [];
         }
       }
-      const make = (nowMs: number) => new Proud(INFO, VM_IDS, 7, nowMs);
-      caught(t, make, /requests in/);
+      const make = (nowMs: number) =>
+        new IgnoresHandover(INFO, VM_IDS, 7, nowMs);
+      assertCaught(t, make, /requests in/);
     });
 
     it("that frees grants which are under way", (t) => {
-      class Eager extends LeadPool {
+      class FreesUnsettledGrants extends LeadPool {
         override reconcile(
           entry: string,
           held: readonly HeldSlot[],
@@ -368,18 +379,20 @@
           return super.reconcile(entry, held, nowMs + 2000);
         }
       }
-      const make = (nowMs: number) => new Eager(INFO, VM_IDS, 7, nowMs);
-      caught(t, make, /requests in/);
+      const make = (nowMs: number) =>
+        new FreesUnsettledGrants(INFO, VM_IDS, 7, nowMs);
+      assertCaught(t, make, /requests in/);
     });
 
     it("that believes every renewal", (t) => {
-      class Trusting extends LeadPool {
+      class AcceptsEveryRenewal extends LeadPool {
         override renew(): boolean {
           return true;
         }
       }
-      const make = (nowMs: number) => new Trusting(INFO, VM_IDS, 7, nowMs);
-      caught(t, make, /requests in|the book/);
+      const make = (nowMs: number) =>
+        new AcceptsEveryRenewal(INFO, VM_IDS, 7, nowMs);
+      assertCaught(t, make, /requests in|the book/);
     });
   });
 });
--- a/src/services/lead_view.ts
+++ b/src/services/lead_view.ts
@@ -15,13 +15,15 @@
 import type { TopicValue, VmInfo } from "./messages.ts";
 
 /** Prefix of the topics under which leads publish the digests of their pools. */
-export const LOAD_TOPIC = "load/";
+export const LOAD_TOPIC_PREFIX = "load/";
 
 /** What is published of a pool: no more than others decide on, as every VM of the region passes it on. */
-export type LoadTopic = Pick<PoolDigest, "predictedWaitMs" | "takesIn">;
+export type PublishedLoad = Pick<PoolDigest, "predictedWaitMs" | "takesIn">;
 
 /** The digest as it is published: a wait to two digits, so that small changes are no news. */
-export function loadTopic({ predictedWaitMs, takesIn }: PoolDigest): LoadTopic {
+export function toPublishedLoad(
+  { predictedWaitMs, takesIn }: PoolDigest,
+): PublishedLoad {
   return { predictedWaitMs: Number(predictedWaitMs.toPrecision(2)), takesIn };
 }
 
@@ -29,7 +31,7 @@
  * A workspace keeps to its pool, where its prompts are cached, until another would start it this much sooner. Less than
  * a cold prompt costs would only trade waiting for prefill.
  */
-const KEEP_POOL_MS = 500;
+const MIN_SWITCH_GAIN_MS = 500;
 
 /** See the module's comment. */
 export class LeadView {
@@ -37,9 +39,9 @@
   #table: Table | undefined;
   #vms: readonly VmInfo[];
   #pools: ReadonlyMap<string, PoolInfo> = new Map();
-  #byService = new Map<string, PoolInfo[]>();
-  #orders = new Map<string, readonly VmInfo[]>();
-  #digests = new Map<string, LoadTopic>();
+  #poolsByService = new Map<string, PoolInfo[]>();
+  #candidates = new Map<string, readonly VmInfo[]>();
+  #digests = new Map<string, PublishedLoad>();
 
   constructor(self: VmInfo) {
     this.self = self;
@@ -61,11 +63,11 @@
     if (!table || table.version <= (this.#table?.version ?? -1)) return false;
     this.#table = table;
     this.#pools = poolsOfRegion(table, this.self.region);
-    this.#byService = new Map();
+    this.#poolsByService = new Map();
     for (const pool of this.#pools.values()) {
-      const pools = this.#byService.get(pool.service) ?? [];
+      const pools = this.#poolsByService.get(pool.service) ?? [];
       pools.push(pool);
-      this.#byService.set(pool.service, pools);
+      this.#poolsByService.set(pool.service, pools);
     }
     return true;
   }
@@ -74,7 +76,7 @@
   setVms(vms: readonly VmInfo[]): boolean {
     const before = this.#vms.map(stateKey).sort().join();
     this.#vms = vms.length > 0 ? vms : [this.self];
-    this.#orders.clear();
+    this.#candidates.clear();
     return before !== this.#vms.map(stateKey).sort().join();
   }
 
@@ -82,24 +84,27 @@
   setDigests(topics: readonly TopicValue[]): void {
     this.#digests = new Map();
     for (const { topic, body } of topics) {
-      if (!topic.startsWith(LOAD_TOPIC)) continue;
-      this.#digests.set(topic.slice(LOAD_TOPIC.length), body as LoadTopic);
+      if (!topic.startsWith(LOAD_TOPIC_PREFIX)) continue;
+      this.#digests.set(
+        topic.slice(LOAD_TOPIC_PREFIX.length),
+        body as PublishedLoad,
+      );
     }
   }
 
   /** The VMs that may lead this pool, best first; never empty. */
-  order(poolKey: string): readonly VmInfo[] {
-    let order = this.#orders.get(poolKey);
-    if (!order) {
-      order = leadOrder(poolKey, this.#vms);
-      this.#orders.set(poolKey, order);
+  leadCandidates(poolKey: string): readonly VmInfo[] {
+    let candidates = this.#candidates.get(poolKey);
+    if (!candidates) {
+      candidates = leadOrder(poolKey, this.#vms);
+      this.#candidates.set(poolKey, candidates);
     }
-    return order;
+    return candidates;
   }
 
   /** The VM that leads this pool, as seen from here. */
-  lead(poolKey: string): VmInfo {
-    return this.order(poolKey)[0];
+  leadOf(poolKey: string): VmInfo {
+    return this.leadCandidates(poolKey)[0];
   }
 
   /** Whether a VM of this id is still among those of the region. */
@@ -109,7 +114,7 @@
 
   /** The pool a request goes to: its workspace's own, unless another would start it much sooner. */
   choosePool(request: SlotRequest): PoolInfo | undefined {
-    const pools = this.#byService.get(request.service) ?? [];
+    const pools = this.#poolsByService.get(request.service) ?? [];
     if (pools.length < 2) return pools[0];
     const [first, second] = rendezvous(
       request.workspace,
@@ -117,7 +122,7 @@
       (pool) => pool.key,
     );
     const gainMs = this.#waitMs(first) - this.#waitMs(second);
-    return gainMs > KEEP_POOL_MS ? second : first;
+    return gainMs > MIN_SWITCH_GAIN_MS ? second : first;
   }
 
   #waitMs(pool: PoolInfo): number {
--- a/src/services/member_regions.ts
+++ b/src/services/member_regions.ts
@@ -15,22 +15,22 @@
 import type { TopicValue, VmInfo } from "./messages.ts";
 
 /** VMs that a region names to another. */
-const CONTACTS = 3;
+const MAX_CONTACTS = 3;
 /** A region's news is cut to this, in bytes of JSON of its topics. */
-const MOST_TOPIC_BYTES = 1000;
+const MAX_TOPIC_BYTES = 1000;
 /** Unchanged contacts are told again this often: for VMs that came since, and for the table versions in them. */
-const REPEAT_CONTACTS_MS = 10_000;
+const CONTACTS_REPEAT_MS = 10_000;
 /** A topic that nobody renewed for this long is dropped: its publisher is gone. */
 const TOPIC_TTL_MS = 15_000;
 /** Those who do not act on a region's topics hear them no more often: each copy costs every VM bytes. */
-const SPREAD_MS = 5000;
+const SPREAD_INTERVAL_MS = 5000;
 /** A region that was not heard of for this long is out of reach; its VMs are not offered. */
 const REGION_TTL_MS = 60_000;
 /**
  * News counts as newer by its publisher's wall clock. Should that have been ahead, nothing after it would count; so what
  * was not renewed for this long gives way to anything.
  */
-const CLOCK_SKEW_MS = 5000;
+const MAX_CLOCK_SKEW_MS = 5000;
 
 interface Seen<T> {
   readonly news: T;
@@ -38,37 +38,39 @@
 }
 
 /** See the module's comment. */
-export class RegionBook {
+export class RegionStore {
   readonly #region: string;
   readonly #topics = new Map<string, Seen<TopicNews>>();
   readonly #regions = new Map<string, Seen<RegionNews>>();
   readonly #contacts = new Map<string, Seen<ContactNews>>();
   readonly #spreadAtMs = new Map<string, number>();
   /** What each region was last told of this one's contacts. */
-  readonly #told = new Map<string, { text: string; atMs: number }>();
+  readonly #sentContacts = new Map<string, { text: string; atMs: number }>();
 
   constructor(region: string) {
     this.#region = region;
   }
 
   /** Takes a topic's value; answers whether it is newer than the one here. */
-  hearTopic(news: TopicNews, nowMs: number): boolean {
+  mergeTopic(news: TopicNews, nowMs: number): boolean {
     if (!isNewer(news, this.#topics.get(news.topic), nowMs)) return false;
     this.#topics.set(news.topic, { news, seenAtMs: nowMs });
     return true;
   }
 
   /** Takes another region's news; answers whether it is newer than what is here. */
-  hearRegion(news: RegionNews, nowMs: number): boolean {
+  mergeRegion(news: RegionNews, nowMs: number): boolean {
     if (news.region === this.#region) return false;
     if (!isNewer(news, this.#regions.get(news.region), nowMs)) return false;
     this.#regions.set(news.region, { news, seenAtMs: nowMs });
     return true;
   }
 
-  /** Whether news of this region is due to be passed on to all; see {@link SPREAD_MS}. */
-  spreads(region: string, nowMs: number): boolean {
-    if (nowMs - (this.#spreadAtMs.get(region) ?? 0) < SPREAD_MS) return false;
+  /** Whether news of this region is due to be passed on to all; see {@link SPREAD_INTERVAL_MS}. */
+  recordSpreadIfDue(region: string, nowMs: number): boolean {
+    if (nowMs - (this.#spreadAtMs.get(region) ?? 0) < SPREAD_INTERVAL_MS) {
+      return false;
+    }
     this.#spreadAtMs.set(region, nowMs);
     return true;
   }
@@ -83,7 +85,7 @@
   }
 
   /** Takes another region's contacts; answers whether they are newer than those here. */
-  hearContacts(news: ContactNews, nowMs: number): boolean {
+  mergeContacts(news: ContactNews, nowMs: number): boolean {
     if (news.region === this.#region) return false;
     if (!isNewer(news, this.#contacts.get(news.region), nowMs)) return false;
     this.#contacts.set(news.region, { news, seenAtMs: nowMs });
@@ -113,26 +115,30 @@
       record,
     }));
     const contacts = leadOrder(`contact/${to}`, candidates)
-      .slice(0, CONTACTS)
+      .slice(0, MAX_CONTACTS)
       .map(({ record }) => contactOf(record, versionOf(record.id)));
     return { type: "contacts", region: this.#region, atMs: nowMs, contacts };
   }
 
   /** Whether the region `to` is due these contacts. */
-  isDue(to: string, { contacts }: ContactNews, nowMs: number): boolean {
-    const told = this.#told.get(to);
+  recordContactsIfDue(
+    to: string,
+    { contacts }: ContactNews,
+    nowMs: number,
+  ): boolean {
+    const last = this.#sentContacts.get(to);
     const text = contacts.map(({ id, incarnation }) => `${id}/${incarnation}`)
       .join();
-    if (told?.text === text && nowMs - told.atMs < REPEAT_CONTACTS_MS) {
+    if (last?.text === text && nowMs - last.atMs < CONTACTS_REPEAT_MS) {
       return false;
     }
-    this.#told.set(to, { text, atMs: nowMs });
+    this.#sentContacts.set(to, { text, atMs: nowMs });
     return true;
   }
 
   /** A digest did not arrive: what it told must be told again. */
-  untold(to: string): void {
-    this.#told.delete(to);
+  forgetSentContacts(to: string): void {
+    this.#sentContacts.delete(to);
   }
 
   /** The contacts of all other regions. */
@@ -141,7 +147,7 @@
   }
 
   /** The regions known, out of reach or not. */
-  regions(): string[] {
+  knownRegions(): string[] {
     return [...new Set([...this.#regions.keys(), ...this.#contacts.keys()])];
   }
 
@@ -157,7 +163,7 @@
     for (const [region, { news, seenAtMs }] of this.#contacts) {
       const heardMs = this.#regions.get(region)?.seenAtMs ?? seenAtMs;
       if (nowMs - Math.max(heardMs, seenAtMs) > REGION_TTL_MS) continue;
-      others.set(region, news.contacts.map((c) => infoOf(region, c)));
+      others.set(region, news.contacts.map((c) => vmInfoOf(region, c)));
     }
     return others;
   }
@@ -169,10 +175,13 @@
       this.#region,
       [...this.#topics.values()]
         .filter(({ seenAtMs }) => nowMs - seenAtMs <= TOPIC_TTL_MS)
-        .map(({ news, seenAtMs }) => valueOf(news, seenAtMs)),
+        .map(({ news, seenAtMs }) => topicValueOf(news, seenAtMs)),
     );
     for (const [region, { news, seenAtMs }] of this.#regions) {
-      topics.set(region, news.topics.map((topic) => valueOf(topic, seenAtMs)));
+      topics.set(
+        region,
+        news.topics.map((topic) => topicValueOf(topic, seenAtMs)),
+      );
     }
     return topics;
   }
@@ -199,7 +208,7 @@
         continue;
       }
       bytes += JSON.stringify(news).length;
-      if (bytes > MOST_TOPIC_BYTES) break;
+      if (bytes > MAX_TOPIC_BYTES) break;
       topics.push(news);
     }
     return topics;
@@ -212,7 +221,8 @@
   nowMs: number,
 ): boolean {
   if (!seen || news.atMs > seen.news.atMs) return true;
-  return news.atMs < seen.news.atMs && nowMs - seen.seenAtMs > CLOCK_SKEW_MS;
+  return news.atMs < seen.news.atMs &&
+    nowMs - seen.seenAtMs > MAX_CLOCK_SKEW_MS;
 }
 
 function contactOf(record: MemberRecord, tableVersion: number): RegionContact {
@@ -227,11 +237,11 @@
   };
 }
 
-function infoOf(region: string, contact: RegionContact): VmInfo {
+function vmInfoOf(region: string, contact: RegionContact): VmInfo {
   return { ...contact, region, state: "live" };
 }
 
-function valueOf(news: TopicNews, seenAtMs: number): TopicValue {
+function topicValueOf(news: TopicNews, seenAtMs: number): TopicValue {
   const { topic, vmId, body } = news;
   return { topic, vmId, body, seenAtMs };
 }
--- a/src/services/members.ts
+++ b/src/services/members.ts
@@ -6,12 +6,12 @@
 
 import type { Transport, VmList } from "../adapters/mod.ts";
 import {
+  DEFAULT_MEMBERSHIP_TIMES,
   type Gossip,
   type MemberRecord,
-  Members,
-  MEMBERS_TIMES,
-  type MembersOutput,
-  type MembersTimes,
+  Membership,
+  type MembershipOutput,
+  type MembershipTimes,
 } from "../agreement/mod.ts";
 import { type Clock, hash32, Random, type Timer } from "../base/mod.ts";
 import { type Handlers, type Kernel, type Log, Task } from "../kernel/mod.ts";
@@ -40,44 +40,44 @@
   readonly seeds: readonly string[];
   /** The platform's lagging list, where there is one; it only seeds. */
   readonly vmList?: VmList;
-  readonly times?: MembersTimes;
+  readonly times?: MembershipTimes;
 }
 
-const TICK_MS = 100;
-const PING_CALL_MS = 300;
-const PING_VIA_CALL_MS = 600;
-const SYNC_CALL_MS = 1000;
-const LIST_PERIOD_MS = 30_000;
+const TICK_INTERVAL_MS = 100;
+const PING_TIMEOUT_MS = 300;
+const PING_VIA_TIMEOUT_MS = 600;
+const SYNC_TIMEOUT_MS = 1000;
+const LIST_INTERVAL_MS = 30_000;
 /** How long a start waits for the first VM that knows the others; after that this VM goes on alone. */
-const JOIN_MS = 1500;
+const JOIN_TIMEOUT_MS = 1500;
 /** VMs asked at the start: one that answers is enough, and each answer is as long as the region. */
-const MOST_JOINS = 8;
+const MAX_JOIN_CALLS = 8;
 
 /** Its name is `members`. Start it before `slots`; it reads the version in force from `table` once that has started. */
 export class MembersService extends Task<MembersMessages> {
   readonly name = "members";
   protected readonly handlers: Handlers<MembersMessages> = {
-    region: () => this.#machine.present().map((record) => this.#info(record)),
-    others: () => this.#digests.book.others(this.#clock.nowMs()),
-    leave: () => this.#do(this.#machine.leave(false)),
-    check: ({ vmId }) => this.#do(this.#machine.check(vmId)),
+    region: () => this.#machine.present().map((record) => this.#vmInfo(record)),
+    others: () => this.#digests.regions.others(this.#clock.nowMs()),
+    leave: () => this.#applyOutputs(this.#machine.leave(false)),
+    check: ({ vmId }) => this.#applyOutputs(this.#machine.probe(vmId)),
     publish: ({ topic, body }) => this.#digests.publish(topic, body),
-    topics: () => this.#digests.book.topics(this.#clock.nowMs()),
+    topics: () => this.#digests.regions.topics(this.#clock.nowMs()),
   };
   readonly #options: MembersOptions;
   readonly #timers: Timer[] = [];
   readonly #pinging = new Set<string>();
   /** Addresses by region, from the platform's list. */
-  readonly #listed = new Map<string, string[]>();
+  readonly #listedAddresses = new Map<string, string[]>();
   /** Seeds that turned out to be VMs of other regions. */
-  readonly #farSeeds = new Set<string>();
-  #machine!: Members;
+  readonly #remoteSeeds = new Set<string>();
+  #machine!: Membership;
   #digests!: MemberDigests;
   #clock!: Clock;
   #log!: Log;
   #kernel!: Kernel;
   #random!: Random;
-  #statuses = new Map<string, string>();
+  #loggedStates = new Map<string, string>();
 
   constructor(options: MembersOptions) {
     super();
@@ -93,9 +93,9 @@
     const incarnation = this.#options.incarnation ??
       Math.floor(this.#clock.nowMs());
     this.#random = new Random(hash32(`${vmId}/${incarnation}`));
-    this.#machine = new Members(
+    this.#machine = new Membership(
       { id: vmId, incarnation, region, failureDomain, peerAddress, callerUrl },
-      this.#options.times ?? MEMBERS_TIMES,
+      this.#options.times ?? DEFAULT_MEMBERSHIP_TIMES,
     );
     this.#digests = new MemberDigests({
       region,
@@ -103,46 +103,46 @@
       random: this.#random,
       transport: this.#options.transport,
       machine: this.#machine,
-      listed: this.#listed,
+      listedAddresses: this.#listedAddresses,
       seeds: this.#options.seeds,
       sync: (address) => this.#sync(address),
     });
     this.#listen();
     await this.#readList();
     await this.#join();
-    this.#every(TICK_MS, () => void this.#tick());
-    this.#every(TICK_MS, () => this.#digests.tellRegions());
-    this.#every(LIST_PERIOD_MS, () => void this.#readList());
+    this.#runEvery(TICK_INTERVAL_MS, () => void this.#tick());
+    this.#runEvery(TICK_INTERVAL_MS, () => this.#digests.sendDigests());
+    this.#runEvery(LIST_INTERVAL_MS, () => void this.#readList());
   }
 
   /** Tells the others that this VM is gone, so that none waits for it to be found dead. */
   async close(_deadlineMs: number): Promise<void> {
     for (const timer of this.#timers.splice(0)) timer.close();
-    this.#do(this.#machine.leave(true));
+    this.#applyOutputs(this.#machine.leave(true));
     await this.#options.vmList?.close();
   }
 
   dump(): unknown {
     return {
       ...this.#machine.dump() as Record<string, unknown>,
-      ...this.#digests.book.dump(this.#clock.nowMs()) as Record<
+      ...this.#digests.regions.dump(this.#clock.nowMs()) as Record<
         string,
         unknown
       >,
     };
   }
 
-  #every(periodMs: number, run: () => void): void {
+  #runEvery(periodMs: number, run: () => void): void {
     this.#timers.push(this.#clock.every(periodMs, run));
   }
 
   #listen(): void {
     const { transport } = this.#options;
     transport.handle("members.ping", (params) => {
-      this.#hear(params as PingMessage);
+      this.#receive(params as PingMessage);
       return this.#gossip();
     });
-    transport.handle("members.tell", (p) => this.#hear(p as PingMessage));
+    transport.handle("members.tell", (p) => this.#receive(p as PingMessage));
     transport.handle("members.pingVia", async (params) => {
       const { vmId, peerAddress } = params as PingViaMessage;
       const answered = await this.#ping(vmId, peerAddress);
@@ -158,11 +158,11 @@
         .ask("current", undefined);
       if (table) this.#machine.setTableVersion(table.version);
     }
-    this.#do(this.#machine.tick(this.#clock.nowMs()));
+    this.#applyOutputs(this.#machine.tick(this.#clock.nowMs()));
     this.#logChanges();
   }
 
-  #do(outputs: readonly MembersOutput[]): void {
+  #applyOutputs(outputs: readonly MembershipOutput[]): void {
     for (const output of outputs) {
       switch (output.type) {
         case "ping":
@@ -191,7 +191,7 @@
     this.#pinging.add(target.id);
     const answered = await this.#ping(target.id, target.peerAddress);
     this.#pinging.delete(target.id);
-    if (!answered) this.#do(this.#machine.pingFailed(target.id));
+    if (!answered) this.#applyOutputs(this.#machine.pingFailed(target.id));
   }
 
   async #probeVia(
@@ -200,7 +200,7 @@
   ): Promise<void> {
     const { id: vmId, peerAddress } = target;
     const message: PingViaMessage = { vmId, peerAddress };
-    const deadlineMs = this.#clock.nowMs() + PING_VIA_CALL_MS;
+    const deadlineMs = this.#clock.nowMs() + PING_VIA_TIMEOUT_MS;
     const answers = await Promise.all(helpers.map(async (helper) => {
       const reply = await this.#options.transport.call(
         helper.peerAddress,
@@ -211,7 +211,9 @@
       return reply.isOk() && (reply.value as PingViaReply).answered;
     }));
     if (answers.includes(true)) return;
-    this.#do(this.#machine.unanswered(target, this.#clock.nowMs()));
+    this.#applyOutputs(
+      this.#machine.indirectPingFailed(target, this.#clock.nowMs()),
+    );
   }
 
   /** Whether this very VM answered: another at the same address does not count. */
@@ -220,11 +222,11 @@
       peerAddress,
       "members.ping",
       this.#gossip(),
-      this.#clock.nowMs() + PING_CALL_MS,
+      this.#clock.nowMs() + PING_TIMEOUT_MS,
     );
     if (reply.isErr()) return false;
     const gossip = reply.value as Gossip;
-    this.#hear(gossip);
+    this.#receive(gossip);
     return gossip.vm === vmId;
   }
 
@@ -232,9 +234,9 @@
     return this.#machine.gossip(this.#clock.nowMs());
   }
 
-  #hear(gossip: Gossip): void {
-    this.#do(this.#machine.hear(gossip, this.#clock.nowMs()));
-    for (const item of gossip.news) this.#digests.hear(item);
+  #receive(gossip: Gossip): void {
+    this.#applyOutputs(this.#machine.receive(gossip, this.#clock.nowMs()));
+    for (const item of gossip.news) this.#digests.receive(item);
   }
 
   async #sync(address: string): Promise<boolean> {
@@ -246,45 +248,47 @@
       address,
       "members.sync",
       message,
-      this.#clock.nowMs() + SYNC_CALL_MS,
+      this.#clock.nowMs() + SYNC_TIMEOUT_MS,
     );
     if (reply.isErr()) return false;
     const { region, records, digest, regions } = reply.value as SyncReply;
-    this.#learnAll(records);
-    this.#digests.hearDigest(digest);
-    for (const contacts of regions) this.#digests.hearContacts(contacts);
+    this.#learnRecords(records);
+    this.#digests.receiveDigest(digest);
+    for (const contacts of regions) this.#digests.receiveContacts(contacts);
     if (region === this.#options.region) return true;
-    this.#farSeeds.add(address);
+    this.#remoteSeeds.add(address);
     this.#setSeeds();
     return false;
   }
 
   #answerSync(message: SyncMessage): SyncReply {
-    const sameRegion = message.region === this.#options.region;
-    if (sameRegion) this.#learnAll(message.records);
+    const isSameRegion = message.region === this.#options.region;
+    if (isSameRegion) this.#learnRecords(message.records);
     return {
       region: this.#options.region,
-      records: sameRegion ? this.#machine.all() : [],
+      records: isSameRegion ? this.#machine.all() : [],
       digest: this.#digests.digestFor(message.region),
-      regions: this.#digests.book.allContacts(),
+      regions: this.#digests.regions.allContacts(),
     };
   }
 
-  #learnAll(records: readonly MemberRecord[]): void {
+  #learnRecords(records: readonly MemberRecord[]): void {
     const nowMs = this.#clock.nowMs();
-    for (const record of records) this.#do(this.#machine.learn(record, nowMs));
+    for (const record of records) {
+      this.#applyOutputs(this.#machine.learn(record, nowMs));
+    }
   }
 
   async #readList(): Promise<void> {
     const { vmList, vmId } = this.#options;
     const listed = await vmList?.list();
     if (listed?.isOk()) {
-      this.#listed.clear();
+      this.#listedAddresses.clear();
       for (const vm of listed.value) {
         if (vm.id === vmId) continue;
-        const addresses = this.#listed.get(vm.region) ?? [];
+        const addresses = this.#listedAddresses.get(vm.region) ?? [];
         addresses.push(vm.peerAddress);
-        this.#listed.set(vm.region, addresses);
+        this.#listedAddresses.set(vm.region, addresses);
       }
     }
     this.#setSeeds();
@@ -292,20 +296,23 @@
 
   #setSeeds(): void {
     const { seeds, region } = this.#options;
-    const listed = this.#listed.get(region) ?? [];
-    const own = seeds.filter((seed) => !this.#farSeeds.has(seed));
-    this.#machine.setSeeds([...own, ...listed]);
+    const listed = this.#listedAddresses.get(region) ?? [];
+    const ownSeeds = seeds.filter((seed) => !this.#remoteSeeds.has(seed));
+    this.#machine.setSeeds([...ownSeeds, ...listed]);
   }
 
   async #join(): Promise<void> {
     const { seeds, region, peerAddress } = this.#options;
-    const addresses = [...seeds, ...this.#listed.get(region) ?? []]
+    const addresses = [...seeds, ...this.#listedAddresses.get(region) ?? []]
       .filter((address) => address !== peerAddress);
-    const asked = this.#random.sample([...new Set(addresses)], MOST_JOINS);
-    const joins = asked.map((address) => this.#sync(address));
+    const targets = this.#random.sample(
+      [...new Set(addresses)],
+      MAX_JOIN_CALLS,
+    );
+    const joins = targets.map((address) => this.#sync(address));
     if (joins.length === 0) return;
-    const late = this.#clock.sleep(JOIN_MS).then(() => []);
-    const joined = await Promise.race([Promise.all(joins), late]);
+    const timeout = this.#clock.sleep(JOIN_TIMEOUT_MS).then(() => []);
+    const joined = await Promise.race([Promise.all(joins), timeout]);
     this.#log.info("members joined", {
       asked: joins.length,
       answered: joined.filter((same) => same).length,
@@ -313,7 +320,7 @@
     });
   }
 
-  #info(record: MemberRecord): VmInfo {
+  #vmInfo(record: MemberRecord): VmInfo {
     return {
       id: record.id,
       incarnation: record.incarnation,
@@ -332,9 +339,9 @@
       const { id, incarnation, status, leaving } = record;
       const state = leaving && status === "live" ? "leaving" : status;
       statuses.set(id, `${incarnation}/${state}`);
-      if (statuses.get(id) === this.#statuses.get(id)) continue;
+      if (statuses.get(id) === this.#loggedStates.get(id)) continue;
       this.#log.info("member changed", { vm: id, incarnation, status: state });
     }
-    this.#statuses = statuses;
+    this.#loggedStates = statuses;
   }
 }
--- a/src/services/members_test.ts
+++ b/src/services/members_test.ts
@@ -10,30 +10,30 @@
 
 const table = planTable(1, ["agadir"], 2, 8);
 
-async function region(t: ExecutionContext, count: number): Promise<Vm[]> {
+async function startRegion(t: ExecutionContext, count: number): Promise<Vm[]> {
   const vms = await openRegion("agadir", count, { table });
   t.teardown(() => Promise.all(vms.map((vm) => vm.crash())));
   await untilAgreed(vms);
   return vms;
 }
 
-const sees = async (vm: Vm, id: string) => (await vm.sees()).get(id);
+const vmInfoAt = async (vm: Vm, id: string) => (await vm.sees()).get(id);
 
 /** Every VM of `vms` finds `id` gone. */
 function untilGone(vms: readonly Vm[], id: string): Promise<void> {
   return until(`${id} is gone`, async () => {
-    for (const vm of vms) if (await sees(vm, id)) return false;
+    for (const vm of vms) if (await vmInfoAt(vm, id)) return false;
     return true;
   });
 }
 
 describe("members", () => {
   it("joins through any VM that is known and spreads table versions", async (t) => {
-    const vms = await region(t, 5);
+    const vms = await startRegion(t, 5);
     vms[3].table.table = planTable(7, ["agadir"], 2, 8);
     await until("all know the version of agadir-3", async () => {
       for (const vm of vms) {
-        if ((await sees(vm, "agadir-3"))?.tableVersion !== 7) return false;
+        if ((await vmInfoAt(vm, "agadir-3"))?.tableVersion !== 7) return false;
       }
       return true;
     });
@@ -43,7 +43,7 @@
   // A VM crashes: its connections break and nobody is told. Callers at the others see nothing, as long as the others
   // find it dead and stop counting on it; nobody else may be taken for dead on the way.
   it("finds a crashed VM and no other", async (t) => {
-    const vms = await region(t, 5);
+    const vms = await startRegion(t, 5);
     const [lost, ...rest] = vms;
     await lost.crash();
     await untilGone(rest, lost.id);
@@ -53,7 +53,7 @@
 
   // Half of a region goes at once, the helpers that would confirm a death among them. The rest must find all of them.
   it("finds half of a region gone", async (t) => {
-    const vms = await region(t, 6);
+    const vms = await startRegion(t, 6);
     const rest = vms.slice(3);
     await Promise.all(vms.slice(0, 3).map((vm) => vm.crash()));
     await untilAgreed(rest);
@@ -63,12 +63,12 @@
   // A VM is told to stop. It must get nothing new at once, so the others hear `leaving` from it, not from a deadline;
   // after its end it is gone without being suspected first.
   it("tells at once that it is leaving and then that it is gone", async (t) => {
-    const vms = await region(t, 4);
+    const vms = await startRegion(t, 4);
     const [leaving, ...rest] = vms;
     await leaving.members.ask("leave", undefined);
     await until("all see it leave", async () => {
       for (const vm of vms) {
-        if ((await sees(vm, leaving.id))?.state !== "leaving") return false;
+        if ((await vmInfoAt(vm, leaving.id))?.state !== "leaving") return false;
       }
       return true;
     });
@@ -80,9 +80,9 @@
   // A VM is killed and a new process with the same name starts at the same address before anyone noticed. The others
   // must take the new one for a new one: what the old one held is gone with it.
   it("tells a replacement under the same address from the VM before it", async (t) => {
-    const vms = await region(t, 4);
+    const vms = await startRegion(t, 4);
     const [old, ...rest] = vms;
-    const before = (await sees(rest[0], old.id))!.incarnation;
+    const before = (await vmInfoAt(rest[0], old.id))!.incarnation;
     const { id, port, region: name } = old;
     await old.crash();
     const seeds = rest.map((vm) => vm.address);
@@ -90,23 +90,23 @@
     t.teardown(() => replacement.crash());
     await untilAgreed([replacement, ...rest]);
     for (const vm of rest) {
-      t.true((await sees(vm, id))!.incarnation > before);
+      t.true((await vmInfoAt(vm, id))!.incarnation > before);
     }
   });
 
   // One direction of one link drops everything: A's pings to B are lost, while B and the others reach each other. B is
   // healthy; the VM that cannot reach it asks two others to ping it, and nobody takes it for dead.
   it("keeps a VM that only one other cannot reach", async (t) => {
-    const vms = await region(t, 4);
+    const vms = await startRegion(t, 4);
     const [a, b] = vms;
     a.transport.faults.set("deaf", {
       peer: { vmId: b.id },
       direction: "out",
       cut: true,
     });
-    const stillThere = Date.now() + 4000;
-    while (Date.now() < stillThere) {
-      for (const vm of vms) t.truthy(await sees(vm, b.id));
+    const untilMs = Date.now() + 4000;
+    while (Date.now() < untilMs) {
+      for (const vm of vms) t.truthy(await vmInfoAt(vm, b.id));
       await new Promise((resolve) => setTimeout(resolve, 100));
     }
   });
@@ -114,7 +114,7 @@
   // The region is cut into halves for longer than it takes to find a VM dead, then the cut heals. Each half goes on
   // with the VMs it reaches; afterwards all must find each other again without any operator.
   it("goes on in both halves of a cut and joins them again", async (t) => {
-    const vms = await region(t, 6);
+    const vms = await startRegion(t, 6);
     const halves = [vms.slice(0, 3), vms.slice(3)];
     for (const [mine, theirs] of [halves, [...halves].reverse()]) {
       for (const vm of mine) {
@@ -136,7 +136,7 @@
   // Two regions that know one address of each other. Each must learn of the other's VMs and topics by one digest, keep
   // them through the death of the VM that spoke, and drop them when the other region is out of reach.
   it("tells other regions its VMs and topics", async (t) => {
-    const agadir = await region(t, 3);
+    const agadir = await startRegion(t, 3);
     const casa = await openRegion("casablanca", 3, {
       table,
       seeds: [agadir[0].address],
--- a/src/services/metrics.ts
+++ b/src/services/metrics.ts
@@ -8,7 +8,7 @@
 import { type Kernel, Task } from "../kernel/mod.ts";
 
 /** What became of one request. */
-export interface RequestMeasure {
+export interface RequestMetrics {
   readonly service: string;
   readonly region: string;
   /** Result code; 0 for success. */
@@ -23,21 +23,21 @@
 
 /** What the metrics service answers; its name is `metrics`. */
 export type MetricsMessages = {
-  request: { in: RequestMeasure; out: void };
+  request: { in: RequestMetrics; out: void };
   /** Adds to a counter of the daemon, for example a dropped late answer. */
   count: { in: { readonly name: string; readonly by?: number }; out: void };
   /** The Prometheus text page. */
   page: { in: void; out: string };
 };
 
-const MEASURES = ["first_token", "between_tokens", "queue_wait"] as const;
-type Measure = typeof MEASURES[number];
+const TIMINGS = ["first_token", "between_tokens", "queue_wait"] as const;
+type Timing = typeof TIMINGS[number];
 const QUANTILES = [0.5, 0.95, 0.99];
 /** Longest time told apart: an hour. Two digits keep one histogram below 20 KB. */
-const MOST_MS = 3_600_000;
-const HISTOGRAM: BuildRequest = {
+const MAX_DURATION_MS = 3_600_000;
+const HISTOGRAM_OPTIONS: BuildRequest = {
   lowestDiscernibleValue: 1,
-  highestTrackableValue: MOST_MS,
+  highestTrackableValue: MAX_DURATION_MS,
   numberOfSignificantValueDigits: 2,
 };
 
@@ -48,10 +48,10 @@
   readonly #histograms = new Map<string, Histogram>();
 
   protected readonly handlers = {
-    request: (measure: RequestMeasure) => this.#record(measure),
+    request: (metrics: RequestMetrics) => this.#recordRequest(metrics),
     count: ({ name, by }: MetricsMessages["count"]["in"]) =>
-      this.#add(`ibisgap_${name}_total`, by ?? 1),
-    page: () => this.#page(),
+      this.#increment(`ibisgap_${name}_total`, by ?? 1),
+    page: () => this.#renderPage(),
   };
 
   start(_kernel: Kernel): Promise<void> {
@@ -66,55 +66,61 @@
     return Object.fromEntries(this.#counters);
   }
 
-  #record(measure: RequestMeasure): void {
-    const labels = `service="${measure.service}",region="${measure.region}"`;
-    this.#add(`ibisgap_requests_total{${labels},code="${measure.code}"}`, 1);
-    if (measure.outputTokens) {
-      this.#add(`ibisgap_output_tokens_total{${labels}}`, measure.outputTokens);
+  #recordRequest(metrics: RequestMetrics): void {
+    const labels = `service="${metrics.service}",region="${metrics.region}"`;
+    this.#increment(
+      `ibisgap_requests_total{${labels},code="${metrics.code}"}`,
+      1,
+    );
+    if (metrics.outputTokens) {
+      this.#increment(
+        `ibisgap_output_tokens_total{${labels}}`,
+        metrics.outputTokens,
+      );
     }
-    if (measure.servedElsewhere) {
-      this.#add(`ibisgap_sent_away_total{${labels}}`, 1);
+    if (metrics.servedElsewhere) {
+      this.#increment(`ibisgap_sent_away_total{${labels}}`, 1);
     }
-    if (measure.queuedMs !== undefined) {
-      this.#time("queue_wait", labels, measure.queuedMs);
+    if (metrics.queuedMs !== undefined) {
+      this.#recordTiming("queue_wait", labels, metrics.queuedMs);
     }
-    if (measure.firstTokenMs !== undefined) {
-      this.#time("first_token", labels, measure.firstTokenMs);
+    if (metrics.firstTokenMs !== undefined) {
+      this.#recordTiming("first_token", labels, metrics.firstTokenMs);
     }
-    for (const gapMs of measure.gapsMs ?? []) {
-      this.#time("between_tokens", labels, gapMs);
+    for (const gapMs of metrics.gapsMs ?? []) {
+      this.#recordTiming("between_tokens", labels, gapMs);
     }
   }
 
-  #add(name: string, by: number): void {
+  #increment(name: string, by: number): void {
     this.#counters.set(name, (this.#counters.get(name) ?? 0) + by);
   }
 
-  #time(measure: Measure, labels: string, ms: number): void {
-    const key = `${measure}|${labels}`;
+  #recordTiming(timing: Timing, labels: string, ms: number): void {
+    const key = `${timing}|${labels}`;
     let histogram = this.#histograms.get(key);
     if (!histogram) {
-      histogram = build(HISTOGRAM);
+      histogram = build(HISTOGRAM_OPTIONS);
       this.#histograms.set(key, histogram);
     }
     histogram.recordValue(
-      Math.min(MOST_MS, Math.max(0, Math.round(ms))),
+      Math.min(MAX_DURATION_MS, Math.max(0, Math.round(ms))),
     );
   }
 
-  #page(): string {
+  #renderPage(): string {
     const lines: string[] = [];
     for (const [name, value] of this.#counters) lines.push(`${name} ${value}`);
     for (const [key, histogram] of this.#histograms) {
-      const [measure, labels] = key.split("|");
+      const [timing, labels] = key.split("|");
       for (const quantile of QUANTILES) {
         const ms = histogram.getValueAtPercentile(quantile * 100);
         lines.push(
-          `ibisgap_${measure}_ms{${labels},quantile="${quantile}"} ${ms}`,
+          `ibisgap_${timing}_ms{${labels},quantile="${quantile}"} ${ms}`,
         );
       }
       lines.push(
-        `ibisgap_${measure}_ms_count{${labels}} ${histogram.totalCount}`,
+        `ibisgap_${timing}_ms_count{${labels}} ${histogram.totalCount}`,
       );
     }
     return lines.sort().join("\n") + "\n";
--- a/src/services/mod.ts
+++ b/src/services/mod.ts
@@ -14,7 +14,7 @@
 export type { OrderSink } from "./lead_server.ts";
 export * from "./members.ts";
 export * from "./table_in_force.ts";
-export type { EditRefused } from "./table_refusals.ts";
+export type { EditRefusal } from "./table_refusals.ts";
 export * from "./table_routes.ts";
 export * from "./fencing.ts";
 export * from "./directory.ts";
