--- a/src/services/slots.ts
+++ b/src/services/slots.ts
@@ -27,18 +27,18 @@
   Task,
   type TaskPort,
 } from "../kernel/mod.ts";
-import { AwayClient, AwayHost } from "./away.ts";
-import { LeadClient, RENEW_MS } from "./lead_client.ts";
+import { RemoteSlotsClient, RemoteSlotsHost } from "./away.ts";
+import { LeadClient, RENEW_INTERVAL_MS } from "./lead_client.ts";
 import { LoadPoller, type LoadSource } from "./lead_load.ts";
 import type { HandoverMessage } from "./lead_messages.ts";
-import { COLLECT_MS } from "./lead_pool.ts";
+import { COLLECT_TIMEOUT_MS } from "./lead_pool.ts";
 import { LeadRouter } from "./lead_router.ts";
 import { LeadServer, type OrderSink } from "./lead_server.ts";
 import {
   LeadView,
-  LOAD_TOPIC,
-  type LoadTopic,
-  loadTopic,
+  LOAD_TOPIC_PREFIX,
+  type PublishedLoad,
+  toPublishedLoad,
 } from "./lead_view.ts";
 import type {
   MembersMessages,
@@ -58,17 +58,17 @@
   readonly onOrder?: OrderSink;
 }
 
-const TICK_MS = 50;
+const TICK_INTERVAL_MS = 50;
 /** How often the VMs and the table are looked at: a small part of the time it takes to find a dead VM. */
-const FOLLOW_MS = 100;
-const DIGEST_MS = 1000;
+const REFRESH_INTERVAL_MS = 100;
+const DIGEST_INTERVAL_MS = 1000;
 /** How long a request waits for the table's version that it was accepted on. */
-const CATCH_UP_MS = 500;
+const MAX_CATCH_UP_MS = 500;
 /** A digest that did not change is published again after this. */
-const REPEAT_DIGEST_MS = 4000;
-const SWEEP_MS = 1000;
+const DIGEST_REPEAT_MS = 4000;
+const SWEEP_INTERVAL_MS = 1000;
 /** A digest that was not renewed for this long says nothing any more: its lead is gone or out of reach. */
-const STALE_DIGEST_MS = 10_000;
+const MAX_DIGEST_AGE_MS = 10_000;
 
 /** Its name is `slots`; needs `table`, and uses `members` where there is one. */
 export class SlotsService extends Task<SlotsMessages> {
@@ -76,11 +76,11 @@
   protected readonly handlers: Handlers<SlotsMessages> = {
     acquire: (request) => this.#acquire(request),
     report: (report) => {
-      if (!this.#away?.report(report)) this.#client.report(report);
+      if (!this.#remoteClient?.report(report)) this.#client.report(report);
     },
     cancel: ({ attemptId }) => {
-      this.#arriving.delete(attemptId);
-      this.#away?.cancel(attemptId);
+      this.#awaitingTable.delete(attemptId);
+      this.#remoteClient?.cancel(attemptId);
       this.#client.cancel(attemptId);
     },
   };
@@ -94,19 +94,19 @@
   #router!: LeadRouter;
   #client!: LeadClient;
   #poller: LoadPoller | undefined;
-  #away: AwayClient | undefined;
-  #host: AwayHost | undefined;
+  #remoteClient: RemoteSlotsClient | undefined;
+  #remoteHost: RemoteSlotsHost | undefined;
   /** Attempts that wait for the table they were accepted on. */
-  readonly #arriving = new Set<string>();
-  #pause!: PauseDetector;
-  #looking: Promise<void> | undefined;
-  #lookAgain: Promise<void> | undefined;
-  readonly #published = new Map<string, { text: string; atMs: number }>();
+  readonly #awaitingTable = new Set<string>();
+  #pauseDetector!: PauseDetector;
+  #refreshing: Promise<void> | undefined;
+  #nextRefresh: Promise<void> | undefined;
+  readonly #lastPublished = new Map<string, { text: string; atMs: number }>();
 
   constructor(options: SlotsOptions) {
     super();
     this.#options = options;
-    this.#view = new LeadView(alone(options));
+    this.#view = new LeadView(standaloneVm(options));
   }
 
   async start(kernel: Kernel): Promise<void> {
@@ -115,25 +115,25 @@
     if (kernel.has("members")) {
       this.#members = kernel.get<MembersMessages>("members");
     }
-    this.#wire(kernel);
-    await this.#follow();
-    this.#pause = new PauseDetector(this.#clock);
-    this.#every(TICK_MS, () => this.#tick());
-    this.#every(FOLLOW_MS, () => void this.#follow());
-    this.#every(RENEW_MS, () => {
+    this.#createParts(kernel);
+    await this.#refresh();
+    this.#pauseDetector = new PauseDetector(this.#clock);
+    this.#runEvery(TICK_INTERVAL_MS, () => this.#tick());
+    this.#runEvery(REFRESH_INTERVAL_MS, () => void this.#refresh());
+    this.#runEvery(RENEW_INTERVAL_MS, () => {
       this.#client.renewAll();
-      this.#away?.renewAll();
+      this.#remoteClient?.renewAll();
     });
-    this.#every(SWEEP_MS, () => this.#host?.sweep());
-    this.#every(DIGEST_MS, () => void this.#exchangeDigests());
+    this.#runEvery(SWEEP_INTERVAL_MS, () => this.#remoteHost?.sweep());
+    this.#runEvery(DIGEST_INTERVAL_MS, () => void this.#exchangeDigests());
   }
 
   /** Hands its pools over. What other VMs wait for here is sent on to the next leads at once. */
   async close(_deadlineMs: number): Promise<void> {
     for (const timer of this.#timers.splice(0)) timer.close();
-    this.#pause.close();
+    this.#pauseDetector.close();
     await this.#members?.ask("leave", undefined);
-    await this.#follow();
+    await this.#refresh();
     this.#server.close();
     await this.#options.loadSource?.close();
   }
@@ -144,11 +144,14 @@
       vms: this.#view.vms.map((vm) => `${vm.id} ${vm.state}`),
       leads: this.#server.dump(),
       client: this.#client.dump(),
-      away: { held: this.#away?.holding, hosted: this.#host?.hosting },
+      away: {
+        held: this.#remoteClient?.heldCount,
+        hosted: this.#remoteHost?.hostedCount,
+      },
     };
   }
 
-  #wire(kernel: Kernel): void {
+  #createParts(kernel: Kernel): void {
     const { clock, log } = kernel;
     const { transport, vmId, loadSource } = this.#options;
     const view = this.#view;
@@ -166,55 +169,57 @@
       view,
       server: this.#server,
       transport,
-      suspect: (id) => void this.#members?.ask("check", { vmId: id }),
+      onCallFailed: (id) => void this.#members?.ask("check", { vmId: id }),
     });
     const random = new Random(hash32(vmId));
     const router = this.#router;
     this.#client = new LeadClient({ clock, log, random, view, router });
     this.#router.listen(({ pool }) => this.#client.heldOf(pool));
-    this.#wireAway();
+    this.#createRemoteParts();
     if (!loadSource) return;
     this.#poller = new LoadPoller(
       clock,
       loadSource,
-      (pool, load) => this.#server.observe(pool, load),
+      (pool, load) => this.#server.observeLoad(pool, load),
     );
   }
 
-  #every(periodMs: number, run: () => void): void {
+  #runEvery(periodMs: number, run: () => void): void {
     this.#timers.push(this.#clock.every(periodMs, run));
   }
 
   #tick(): void {
-    if (this.#pause.consumePause()) this.#server.restart();
+    if (this.#pauseDetector.consumePause()) this.#server.restart();
     this.#server.tick();
   }
 
   /** Looks at the table and the VMs; one look at a time, and whoever asks meanwhile waits for one that starts after. */
-  #follow(): Promise<void> {
-    if (this.#looking) {
-      this.#lookAgain ??= this.#looking.then(() => {
-        this.#lookAgain = undefined;
-        return this.#follow();
+  #refresh(): Promise<void> {
+    if (this.#refreshing) {
+      this.#nextRefresh ??= this.#refreshing.then(() => {
+        this.#nextRefresh = undefined;
+        return this.#refresh();
       });
-      return this.#lookAgain;
+      return this.#nextRefresh;
     }
-    this.#looking = this.#look().finally(() => this.#looking = undefined);
-    return this.#looking;
+    this.#refreshing = this.#refreshOnce().finally(() =>
+      this.#refreshing = undefined
+    );
+    return this.#refreshing;
   }
 
-  async #look(): Promise<void> {
+  async #refreshOnce(): Promise<void> {
     const table = await this.#table.ask("current", undefined);
     const tableChanged = this.#view.setTable(table);
     const vms = await this.#members?.ask("region", undefined);
     const vmsChanged = this.#view.setVms(vms ?? []);
-    if (vmsChanged) this.#router.vmsChanged();
-    if (tableChanged || vmsChanged) this.#server.follow(tableChanged);
+    if (vmsChanged) this.#router.abortCallsToMissingVms();
+    if (tableChanged || vmsChanged) this.#server.update(tableChanged);
     // Reports that were sent to a lost lead are lost with it: a new one learns now what is no longer held.
     if (vmsChanged) this.#client.renewAll();
     // A plain service has no load page: asking it would be a call that its owner did not make.
     this.#poller?.poll(
-      this.#server.infos().filter((info) =>
+      this.#server.ledPoolInfos().filter((info) =>
         table?.service(info.service)?.type === "model"
       ),
     );
@@ -222,11 +227,11 @@
 
   #collect(
     pool: string,
-    heard: (entry: string, held: readonly HeldSlot[]) => void,
+    onHeld: (entry: string, held: readonly HeldSlot[]) => void,
   ): void {
     const { self, vms } = this.#view;
-    heard(self.id, this.#client.heldOf(pool));
-    const deadlineMs = this.#clock.nowMs() + COLLECT_MS;
+    onHeld(self.id, this.#client.heldOf(pool));
+    const deadlineMs = this.#clock.nowMs() + COLLECT_TIMEOUT_MS;
     for (const vm of vms) {
       if (vm.id === self.id) continue;
       const call = this.#options.transport?.call(
@@ -236,13 +241,13 @@
         deadlineMs,
       );
       void call?.then((result) =>
-        result.map((held) => heard(vm.id, held as HeldSlot[]))
+        result.map((held) => onHeld(vm.id, held as HeldSlot[]))
       );
     }
   }
 
   #handOver(message: HandoverMessage): void {
-    const next = this.#view.order(message.pool)
+    const next = this.#view.leadCandidates(message.pool)
       .find((vm) => vm.id !== this.#view.self.id);
     if (!next) return;
     this.#options.transport?.notify(
@@ -252,30 +257,33 @@
     );
   }
 
-  #wireAway(): void {
+  #createRemoteParts(): void {
     const { transport, region } = this.#options;
     const members = this.#members;
     if (!transport || !members) return;
     const table = this.#table;
     const context = { clock: this.#clock, region, transport, members, table };
-    this.#away = new AwayClient(context);
-    this.#host = new AwayHost(context, {
+    this.#remoteClient = new RemoteSlotsClient(context);
+    this.#remoteHost = new RemoteSlotsHost(context, {
       acquire: (request) => this.#client.acquire(request),
       report: (report) => this.#client.report(report),
       cancel: (attemptId) => this.#client.cancel(attemptId),
     });
-    this.#host.listen();
+    this.#remoteHost.listen();
   }
 
   /** Where the lead sends the request away and that region gives no slot, the home lead decides again, for good. */
   async #acquire(request: SlotRequest): Promise<SlotAnswer> {
-    if (this.#isBehind(request) && !await this.#arrive(request)) {
+    if (this.#isBehind(request) && !await this.#awaitTable(request)) {
       return { type: "refuse", failure: failure("canceled", { ran: "no" }) };
     }
     const answer = await this.#client.acquire(request);
     if (answer.type !== "shift") return answer;
-    const far = await this.#away?.acquire(answer.region, request);
-    if (far) return far;
+    const remoteAnswer = await this.#remoteClient?.acquire(
+      answer.region,
+      request,
+    );
+    if (remoteAnswer) return remoteAnswer;
     return await this.#client.acquire({ ...request, stayHome: true });
   }
 
@@ -284,10 +292,10 @@
   }
 
   /** Catches up; answers whether the request is still wanted then. */
-  async #arrive(request: SlotRequest): Promise<boolean> {
-    this.#arriving.add(request.attemptId);
+  async #awaitTable(request: SlotRequest): Promise<boolean> {
+    this.#awaitingTable.add(request.attemptId);
     await this.#catchUp(request);
-    return this.#arriving.delete(request.attemptId);
+    return this.#awaitingTable.delete(request.attemptId);
   }
 
   /**
@@ -296,53 +304,55 @@
    */
   async #catchUp(request: SlotRequest): Promise<void> {
     const { tableVersion } = request;
-    const untilMs = this.#clock.nowMs() + CATCH_UP_MS;
+    const untilMs = this.#clock.nowMs() + MAX_CATCH_UP_MS;
     const deadlineMs = Math.min(request.deadlineMs, untilMs);
     await this.#table.ask("waitFor", { version: tableVersion, deadlineMs });
-    await this.#follow();
+    await this.#refresh();
   }
 
   async #exchangeDigests(): Promise<void> {
     if (!this.#members) return;
     for (const [info, digest] of this.#server.digests()) {
-      const topic = `${LOAD_TOPIC}${info.service}/${info.number}`;
-      const body = loadTopic(digest);
-      if (this.#isDue(topic, JSON.stringify(body))) {
+      const topic = `${LOAD_TOPIC_PREFIX}${info.service}/${info.number}`;
+      const body = toPublishedLoad(digest);
+      if (this.#recordIfDue(topic, JSON.stringify(body))) {
         await this.#members.ask("publish", { topic, body });
       }
     }
     const topics = await this.#members.ask("topics", undefined);
     this.#view.setDigests(topics.get(this.#view.self.region) ?? []);
-    this.#server.setFar((info) => this.#far(info, topics));
+    this.#server.setRemoteRegions((info) => this.#remoteRegions(info, topics));
   }
 
-  #isDue(topic: string, text: string): boolean {
+  #recordIfDue(topic: string, text: string): boolean {
     const nowMs = this.#clock.nowMs();
-    const last = this.#published.get(topic);
-    if (last?.text === text && nowMs - last.atMs < REPEAT_DIGEST_MS) {
+    const last = this.#lastPublished.get(topic);
+    if (last?.text === text && nowMs - last.atMs < DIGEST_REPEAT_MS) {
       return false;
     }
-    this.#published.set(topic, { text, atMs: nowMs });
+    this.#lastPublished.set(topic, { text, atMs: nowMs });
     return true;
   }
 
-  #far(
+  #remoteRegions(
     info: PoolInfo,
     topics: ReadonlyMap<string, readonly TopicValue[]>,
   ): RemoteRegion[] {
     const links = this.#view.table?.region(info.region)?.linkMs ?? {};
-    const freshMs = this.#clock.nowMs() - STALE_DIGEST_MS;
-    const far: RemoteRegion[] = [];
+    const minSeenAtMs = this.#clock.nowMs() - MAX_DIGEST_AGE_MS;
+    const remoteRegions: RemoteRegion[] = [];
     for (const [region, values] of topics) {
       if (region === info.region) continue;
       const digests = values.filter((value) =>
-        value.seenAtMs >= freshMs &&
-        value.topic.startsWith(`${LOAD_TOPIC}${info.service}/`)
+        value.seenAtMs >= minSeenAtMs &&
+        value.topic.startsWith(`${LOAD_TOPIC_PREFIX}${info.service}/`)
       );
       const best = bestPool(digests);
-      if (best) far.push({ region, linkMs: links[region] ?? 0, ...best });
+      if (best) {
+        remoteRegions.push({ region, linkMs: links[region] ?? 0, ...best });
+      }
     }
-    return far;
+    return remoteRegions;
   }
 }
 
@@ -351,7 +361,7 @@
   values: readonly TopicValue[],
 ): Pick<RemoteRegion, "predictedWaitMs" | "takesIn" | "seenAtMs"> | undefined {
   const pools = values.map(({ body, seenAtMs }) => {
-    const { predictedWaitMs, takesIn } = body as LoadTopic;
+    const { predictedWaitMs, takesIn } = body as PublishedLoad;
     return { predictedWaitMs, takesIn, seenAtMs };
   });
   pools.sort((a, b) =>
@@ -361,7 +371,7 @@
   return pools[0];
 }
 
-function alone({ vmId, region }: SlotsOptions): VmInfo {
+function standaloneVm({ vmId, region }: SlotsOptions): VmInfo {
   return {
     id: vmId,
     incarnation: 0,
--- a/src/services/slots_test.ts
+++ b/src/services/slots_test.ts
@@ -52,7 +52,7 @@
   };
 }
 
-async function alone(t: ExecutionContext, table: Table | undefined) {
+async function startAlone(t: ExecutionContext, table: Table | undefined) {
   const clock = new ManualClock();
   const kernel = new Kernel(clock, openLog("silent"));
   const tables = new FixedTable();
@@ -65,13 +65,16 @@
 
 describe("slots", () => {
   it("grants a slot on a VM that runs alone", async (t) => {
-    const { clock, slots } = await alone(t, tableOf(1, [plan, upstream("u1")]));
+    const { clock, slots } = await startAlone(
+      t,
+      tableOf(1, [plan, upstream("u1")]),
+    );
     const answer = await slots.ask("acquire", request(clock.nowMs(), "x1"));
     t.like(answer, { type: "grant", upstreamId: "u1" });
   });
 
   it("refuses truthfully without a table and for an unknown service", async (t) => {
-    const { clock, tables, slots } = await alone(t, undefined);
+    const { clock, tables, slots } = await startAlone(t, undefined);
     const early = await slots.ask("acquire", request(clock.nowMs(), "x1"));
     t.like(early, {
       type: "refuse",
@@ -87,7 +90,7 @@
   });
 
   it("leads the upstreams of a newer table", async (t) => {
-    const { clock, tables, slots } = await alone(t, tableOf(1, [plan]));
+    const { clock, tables, slots } = await startAlone(t, tableOf(1, [plan]));
     const none = await slots.ask("acquire", request(clock.nowMs(), "x1"));
     t.is(none.type, "refuse");
     tables.table = tableOf(2, [plan, upstream("u2")]);
--- a/src/services/slots_vms_test.ts
+++ b/src/services/slots_vms_test.ts
@@ -17,7 +17,7 @@
 const CAPACITY = UPSTREAMS * SLOTS;
 const table = planTable(1, ["agadir"], UPSTREAMS, SLOTS);
 
-async function region(t: ExecutionContext, count: number) {
+async function startRegion(t: ExecutionContext, count: number) {
   const vms = await openRegion("agadir", count, { table });
   t.teardown(() => Promise.all(vms.map((vm) => vm.crash())));
   await untilAgreed(vms);
@@ -56,7 +56,7 @@
 }
 
 /** Requests in the queue of the pool's lead; one that still collects has none. */
-function waiting(vms: readonly Vm[]): number {
+function countWaiting(vms: readonly Vm[]): number {
   const leads = vms.map((vm) => vm.led(POOL));
   const deciding = leads.filter((pool) => pool && !pool.collecting);
   return deciding.reduce((sum, pool) => sum + pool!.waiting, 0);
@@ -65,20 +65,20 @@
 /** Whether a request from `vm` finds no room: it is queued at the one lead among `vms`, and given up again. */
 async function isFull(vm: Vm, vms: readonly Vm[]): Promise<boolean> {
   const attemptId = `probe-${vm.id}-${vms.length}`;
-  const before = waiting(vms);
+  const before = countWaiting(vms);
   const asked = acquire(vm, attemptId).then(() => "answered" as const);
-  const queued = until("it is queued", () => waiting(vms) > before);
+  const queued = until("it is queued", () => countWaiting(vms) > before);
   const first = await Promise.race([asked, queued]);
   await vm.slots.ask("cancel", { attemptId, service: "plan" });
   queued.catch(() => {});
   if (first === "answered") return false;
-  await until("it is given up", () => waiting(vms) === before);
+  await until("it is given up", () => countWaiting(vms) === before);
   return true;
 }
 
 describe("slots between VMs", () => {
   it("has one lead that counts the slots of all entry VMs", async (t) => {
-    const { vms, others: [a, b] } = await region(t, 4);
+    const { vms, others: [a, b] } = await startRegion(t, 4);
     await fill(a, CAPACITY / 2, "a");
     await fill(b, CAPACITY / 2, "b");
     t.true(await isFull(a, vms));
@@ -86,11 +86,11 @@
   });
 
   it("answers a queued request as soon as a slot is free", async (t) => {
-    const { vms, others: [a, b] } = await region(t, 4);
+    const { vms, others: [a, b] } = await startRegion(t, 4);
     const first = await acquire(a, "first");
     await fill(a, CAPACITY - 1);
     const queued = acquire(b, "queued");
-    await until("it is queued", () => waiting(vms) === 1);
+    await until("it is queued", () => countWaiting(vms) === 1);
     await report(a, first, "started");
     t.true(await isFull(b, vms));
     await report(a, first);
@@ -100,7 +100,7 @@
   // A caller closes its connection while its request waits in another VM's queue. Its slot must not be taken when its
   // turn comes, and the entry VM is told at once.
   it("gives up a queued request whose caller has gone", async (t) => {
-    const { others: [a, b] } = await region(t, 4);
+    const { others: [a, b] } = await startRegion(t, 4);
     const first = await acquire(a, "first");
     await fill(a, CAPACITY - 1);
     const gone = acquire(b, "gone");
@@ -115,7 +115,7 @@
     // All slots are held by another VM's running requests when the lead crashes. The next lead must learn of them from
     // that VM: if it started from nothing it would send as much again to upstreams that are full.
     it("is replaced by one that knows what entry VMs hold", async (t) => {
-      const { lead, others } = await region(t, 4);
+      const { lead, others } = await startRegion(t, 4);
       const [a, b] = others;
       await fill(a, CAPACITY);
       await lead.crash();
@@ -127,7 +127,7 @@
     // A request waits in the lead's queue when the lead crashes. Its caller sees only that it waits longer: the entry
     // VM asks the next lead, and the request is granted there when a slot is free.
     it("costs a queued request time and no error", async (t) => {
-      const { lead, others } = await region(t, 4);
+      const { lead, others } = await startRegion(t, 4);
       const [a, b] = others;
       const first = await acquire(a, "first");
       await fill(a, CAPACITY - 1);
@@ -142,12 +142,12 @@
   // The lead freezes while a request waits in its queue: its connections stay open and nothing answers. The entry VM must
   // not wait out the request's deadline for it; once the others find it dead the request is asked at the next lead.
   it("does not wait for a lead that froze", async (t) => {
-    const { vms, lead, others } = await region(t, 4);
+    const { vms, lead, others } = await startRegion(t, 4);
     const [a, b] = others;
     const first = await acquire(a, "first");
     await fill(a, CAPACITY - 1);
     const queued = acquire(b, "queued");
-    await until("it is queued", () => waiting(vms) === 1);
+    await until("it is queued", () => countWaiting(vms) === 1);
     lead.transport.faults.set("frozen", { peer: {}, cut: true });
     await leadOf(others, POOL);
     await report(a, first);
@@ -157,7 +157,7 @@
   // An entry VM crashes while it holds all slots. Nobody reports their end; they come back when their time has passed
   // without a renewal, and not before, since its requests may still run.
   it("takes back the slots of a crashed entry VM", async (t) => {
-    const { vms, others: [a, b] } = await region(t, 4);
+    const { vms, others: [a, b] } = await startRegion(t, 4);
     await fill(a, CAPACITY);
     await a.crash();
     t.true(await isFull(b, vms));
@@ -166,7 +166,7 @@
 
   // Held longer than a slot's time: renewals must keep it, or the lead would give it to a second request.
   it("keeps slots that are renewed", async (t) => {
-    const { vms, others: [a, b] } = await region(t, 3);
+    const { vms, others: [a, b] } = await startRegion(t, 3);
     await fill(a, CAPACITY);
     await new Promise((resolve) => setTimeout(resolve, 8000));
     t.true(await isFull(b, vms));
@@ -175,14 +175,14 @@
   // The lead is stopped as planned while requests run and wait. No caller may see an error: the one that waits goes to
   // the next lead at once, and that lead knows the slots of the running ones.
   it("hands over at a planned stop", async (t) => {
-    const { lead, others } = await region(t, 4);
+    const { lead, others } = await startRegion(t, 4);
     const [a, b] = others;
     const first = await acquire(a, "first");
     await fill(a, CAPACITY - 1);
     const queued = acquire(b, "queued");
     await lead.stop();
     await leadOf(others, POOL);
-    await until("it is queued again", () => waiting(others) === 1);
+    await until("it is queued again", () => countWaiting(others) === 1);
     t.true(await isFull(a, others));
     await report(a, first);
     t.like(await queued, { type: "grant", attemptId: "queued" });
@@ -190,7 +190,7 @@
 
   // A VM is told to leave while it leads. New requests must be decided elsewhere before it stops.
   it("gives a leaving VM nothing to lead", async (t) => {
-    const { lead, others } = await region(t, 4);
+    const { lead, others } = await startRegion(t, 4);
     await lead.members.ask("leave", undefined);
     await until(
       "the leaving VM leads nothing",
@@ -204,7 +204,7 @@
   // One VM is cut off from all others. It must go on serving its own callers: it leads everything it can reach. The
   // others go on with a lead of their own. After the cut there is one lead again.
   it("lets an isolated VM lead alone and ends that afterwards", async (t) => {
-    const { vms, others } = await region(t, 4);
+    const { vms, others } = await startRegion(t, 4);
     const [cut, ...rest] = [others[0], ...vms.filter((v) => v !== others[0])];
     cut.transport.faults.set("isolated", { peer: {}, cut: true });
     await until("it leads alone", () => cut.leads().includes(POOL));
@@ -220,7 +220,7 @@
   // The way from one entry VM to the lead is cut, in this direction only. Its callers must see no error: another VM
   // relays its requests to the same lead, whose count stays exact.
   it("relays around a link that is cut", async (t) => {
-    const { vms, lead, others: [a, b] } = await region(t, 4);
+    const { vms, lead, others: [a, b] } = await startRegion(t, 4);
     a.transport.faults.set("one-way", {
       peer: { vmId: lead.id },
       direction: "out",
@@ -238,7 +238,7 @@
   // A lead is replaced by a new process under the same name and address. It leads the same pools and knows nothing; it
   // must collect what the entry VMs hold before it grants anything.
   it("collects anew after a replacement under the same address", async (t) => {
-    const { lead, others } = await region(t, 4);
+    const { lead, others } = await startRegion(t, 4);
     await fill(others[0], CAPACITY);
     const { id, port, region: name } = lead;
     await lead.crash();
--- a/src/services/suspects.ts
+++ b/src/services/suspects.ts
@@ -6,7 +6,7 @@
 
 import {
   type KeyValue,
-  reachOf,
+  probeAddress,
   SuspectStore,
   type Transport,
 } from "../adapters/mod.ts";
@@ -30,14 +30,14 @@
 import type { MembersMessages, SuspectsMessages } from "./messages.ts";
 
 /** The method by which VMs tell each other of ends. */
-const ENDS_METHOD = "suspects.ends";
+const CRASHES_METHOD = "suspects.ends";
 const SUSPECT_PREFIX = "/ibisgap/suspects/";
 const TRIAL_PREFIX = "/ibisgap/trials/";
 /** The store's leases are seconds at least. */
-const LEAST_LEASE_MS = 1_000;
-const TELL_AGAIN_MS = 2_000;
+const MIN_LEASE_MS = 1_000;
+const REPUBLISH_PERIOD_MS = 2_000;
 /** How often the store is asked after a start until it answers. */
-const LIST_AGAIN_MS = 1_000;
+const LOAD_RETRY_MS = 1_000;
 
 /** Options of {@link SuspectsService}. */
 export interface SuspectsOptions {
@@ -52,17 +52,17 @@
   readonly name = "suspects";
   readonly #options: SuspectsOptions;
   readonly #store: SuspectStore;
-  #keeper!: SuspectTracker;
+  #tracker!: SuspectTracker;
   #clock!: Clock;
   #log!: Log;
-  #lateWatch!: LagDetector;
+  #lagDetector!: LagDetector;
   #timer: Timer | undefined;
-  #open = true;
+  #isOpen = true;
 
   protected readonly handlers: Handlers<SuspectsMessages> = {
-    judge: ({ digest, hasLeave }) => this.#keeper.decide(digest, hasLeave),
-    lost: (loss) => this.#lost(loss),
-    served: ({ digest }) => this.#keeper.clear(digest),
+    judge: ({ digest, hasLeave }) => this.#tracker.decide(digest, hasLeave),
+    lost: (loss) => this.#handleLoss(loss),
+    served: ({ digest }) => this.#tracker.clear(digest),
   };
 
   constructor(options: SuspectsOptions) {
@@ -71,7 +71,7 @@
     this.#store = new SuspectStore({
       store: options.store,
       vmId: options.vmId,
-      leastLeaseMs: LEAST_LEASE_MS,
+      leastLeaseMs: MIN_LEASE_MS,
       suspectPrefix: SUSPECT_PREFIX,
       trialPrefix: TRIAL_PREFIX,
     });
@@ -81,46 +81,46 @@
     const { clock } = kernel;
     this.#clock = clock;
     this.#log = kernel.log;
-    this.#lateWatch = new LagDetector(clock);
-    this.#keeper = new SuspectTracker(
-      new Links(this.#options, kernel.get("members"), kernel.log),
+    this.#lagDetector = new LagDetector(clock);
+    this.#tracker = new SuspectTracker(
+      new PeerPublisher(this.#options, kernel.get("members"), kernel.log),
       this.#store,
       () => clock.monoMs(),
     );
-    this.#options.transport.handle(ENDS_METHOD, (params) => {
-      const told = decodeCrashes(params);
-      if (told) this.#keeper.merge(told.rows);
+    this.#options.transport.handle(CRASHES_METHOD, (params) => {
+      const message = decodeCrashes(params);
+      if (message) this.#tracker.merge(message.rows);
     });
     this.#timer = clock.every(
-      TELL_AGAIN_MS,
-      () => this.#keeper.republish(false),
+      REPUBLISH_PERIOD_MS,
+      () => this.#tracker.republish(false),
     );
-    void this.#readStore();
+    void this.#loadRecords();
     return Promise.resolve();
   }
 
   close(_deadlineMs: number): Promise<void> {
-    this.#open = false;
+    this.#isOpen = false;
     this.#timer?.close();
-    this.#lateWatch.close();
+    this.#lagDetector.close();
     return Promise.resolve();
   }
 
   dump(): unknown {
-    return this.#keeper.dump();
+    return this.#tracker.dump();
   }
 
-  async #lost(
+  async #handleLoss(
     { digest, upstreamId, url, sentAgoMs, beganAgoMs }:
       SuspectsMessages["lost"]["in"],
   ): Promise<void> {
     const lostMs = this.#clock.monoMs();
-    const { wasLate } = this.#lateWatch;
+    const { wasLate } = this.#lagDetector;
     const { hostname, port, protocol } = new URL(url);
-    const usualPort = protocol === "https:" ? 443 : 80;
-    const reach = await reachOf(
+    const defaultPort = protocol === "https:" ? 443 : 80;
+    const reach = await probeAddress(
       hostname,
-      Number(port) || usualPort,
+      Number(port) || defaultPort,
       this.#clock,
     );
     this.#log.warn("upstream lost", { upstream: upstreamId, reach, wasLate });
@@ -130,19 +130,19 @@
     const hasEnded = reach === "refused" || (reach === "open" && wasLate);
     if (!hasEnded || !isCause) return;
     const sinceLostMs = this.#clock.monoMs() - lostMs;
-    this.#keeper.noteCrash(digest, upstreamId, sentAgoMs + sinceLostMs);
+    this.#tracker.noteCrash(digest, upstreamId, sentAgoMs + sinceLostMs);
   }
 
-  async #readStore(): Promise<void> {
-    while (this.#open) {
-      if (await this.#keeper.loadRecords()) return;
-      await this.#clock.sleep(LIST_AGAIN_MS);
+  async #loadRecords(): Promise<void> {
+    while (this.#isOpen) {
+      if (await this.#tracker.loadRecords()) return;
+      await this.#clock.sleep(LOAD_RETRY_MS);
     }
   }
 }
 
 /** This VM's ways to the others and the log. */
-class Links extends SuspectPublisher {
+class PeerPublisher extends SuspectPublisher {
   readonly #options: SuspectsOptions;
   readonly #members: TaskPort<MembersMessages>;
   readonly #log: Log;
@@ -159,7 +159,7 @@
   }
 
   publish(rows: readonly CrashRow[]): void {
-    void this.#tellAll(rows);
+    void this.#notifyPeers(rows);
   }
 
   noteEvent({ type, ...fields }: SuspectEvent): void {
@@ -167,15 +167,15 @@
   }
 
   /** A few VMs a region: each tells all. */
-  async #tellAll(rows: readonly CrashRow[]): Promise<void> {
+  async #notifyPeers(rows: readonly CrashRow[]): Promise<void> {
     const { vmId, region, transport } = this.#options;
-    const near = await this.#members.ask("region", undefined);
-    const far = await this.#members.ask("others", undefined);
-    const vms = [...near, ...[...far.values()].flat()];
-    for (const told of encodeCrashes(region, rows)) {
+    const regionVms = await this.#members.ask("region", undefined);
+    const remoteVms = await this.#members.ask("others", undefined);
+    const vms = [...regionVms, ...[...remoteVms.values()].flat()];
+    for (const message of encodeCrashes(region, rows)) {
       for (const vm of vms) {
         if (vm.id !== vmId) {
-          transport.notify(vm.peerAddress, ENDS_METHOD, told);
+          transport.notify(vm.peerAddress, CRASHES_METHOD, message);
         }
       }
     }
--- a/src/services/table_editor.ts
+++ b/src/services/table_editor.ts
@@ -23,23 +23,23 @@
 } from "../agreement/mod.ts";
 import { backoffMs, type Clock, failure, type Random } from "../base/mod.ts";
 import {
-  type EditRefused,
-  invalid,
+  type EditRefusal,
   refusalOf,
-  storeAway,
+  refuseInvalid,
+  refuseUnavailable,
 } from "./table_refusals.ts";
 import type { TableService } from "./table_service.ts";
 import type { StoreHead } from "./table_store.ts";
 
 /** An accepted edit, or one that found every row as wanted. */
-export interface EditAccepted {
+export interface EditResult {
   /** The version to wait for. */
   readonly version: number;
   readonly changed: boolean;
 }
 
 /** A whole table to be put in force. */
-export interface ApplyRequest {
+export interface TableApplyRequest {
   readonly rows: readonly TableRow[];
   readonly author: string;
   readonly dryRun: boolean;
@@ -47,7 +47,7 @@
 }
 
 /** What an apply changes, and the version it made; `undefined` for a dry run. */
-export interface Applied {
+export interface TableApplyResult {
   readonly changes: readonly RowChange[];
   readonly version: number | undefined;
 }
@@ -61,18 +61,18 @@
 }
 
 /** Waits between tries while the store refuses, or other editors keep winning. */
-const RETRY = { firstMs: 20, maxMs: 1000 };
+const RETRY_BACKOFF = { firstMs: 20, maxMs: 1000 };
 /** A snapshot is due after this many edits; a cold start reads at most a few more records than these. */
-const SNAPSHOT_EVERY = 512;
+const EDITS_PER_SNAPSHOT = 512;
 /** A snapshot whose writer died is tried again by whoever makes one of the next edits divisible by this. */
-const SNAPSHOT_RETRY_EVERY = 16;
+const EDITS_PER_SNAPSHOT_RETRY = 16;
 
 /** Makes edits one after the other, so that this VM's editors never race each other. */
 export class TableEditor {
   readonly #options: TableEditorOptions;
-  #last: Promise<unknown> = Promise.resolve();
+  #lastRun: Promise<unknown> = Promise.resolve();
   /** The head after this VM's last edit: spares the next one a reading. */
-  #seen: StoreHead | undefined;
+  #cachedHead: StoreHead | undefined;
 
   constructor(options: TableEditorOptions) {
     this.#options = options;
@@ -82,16 +82,16 @@
   submit(
     proposal: Proposal,
     deadlineMs: number,
-  ): Promise<Result<EditAccepted, EditRefused>> {
-    return this.#inTurn(() => this.#submit(proposal, deadlineMs));
+  ): Promise<Result<EditResult, EditRefusal>> {
+    return this.#runInOrder(() => this.#submit(proposal, deadlineMs));
   }
 
   /** What `rows` would change. */
   async diff(
     rows: readonly TableRow[],
-  ): Promise<Result<RowChange[], EditRefused>> {
+  ): Promise<Result<RowChange[], EditRefusal>> {
     const seen = await this.#options.service.sync();
-    if (seen.isErr()) return err(storeAway(seen.error, false));
+    if (seen.isErr()) return err(refuseUnavailable(seen.error, false));
     return ok(diffRows(this.#options.service.log.table, rows));
   }
 
@@ -99,19 +99,21 @@
    * Makes the table hold exactly `rows`. What does not fit one record goes in several, in an order in which each is
    * valid; each row is changed only if it stands as the diff saw it.
    */
-  async apply(request: ApplyRequest): Promise<Result<Applied, EditRefused>> {
+  async apply(
+    request: TableApplyRequest,
+  ): Promise<Result<TableApplyResult, EditRefusal>> {
     const diff = await this.diff(request.rows);
     if (diff.isErr()) return err(diff.error);
     const changes = diff.value;
     const faults = this.#faultsOf(changes);
-    if (faults.length > 0) return err(invalid(faults));
+    if (faults.length > 0) return err(refuseInvalid(faults));
     if (request.dryRun) return ok({ changes, version: undefined });
     let { version } = this.#options.service.log.table;
-    for (const part of splitChanges(changes)) {
+    for (const chunk of splitChanges(changes)) {
       const proposal = {
         id: randomUUID(),
         author: request.author,
-        changes: part,
+        changes: chunk,
       };
       const result = await this.submit(proposal, request.deadlineMs);
       if (result.isErr()) {
@@ -126,14 +128,14 @@
   async history(
     before: number | undefined,
     limit: number,
-  ): Promise<Result<readonly LoggedEdit[], EditRefused>> {
+  ): Promise<Result<readonly LoggedEdit[], EditRefusal>> {
     const { log, store } = this.#options.service;
     const end = Math.min(before ?? Infinity, log.table.version + 1);
     const from = Math.max(1, end - limit);
-    const kept = log.since(from - 1);
+    const kept = log.editsSince(from - 1);
     if (kept) return ok(kept.filter((it) => it.version < end).reverse());
     const read = await store.edits(from, end - from);
-    if (read.isErr()) return err(storeAway(read.error, false));
+    if (read.isErr()) return err(refuseUnavailable(read.error, false));
     const found = read.value.edits.filter((it) => it.version < end);
     return ok(found.reverse());
   }
@@ -142,75 +144,75 @@
    * Publishes the table in force here to a store that was restored from an old copy, as a snapshot, so that the store
    * agrees again. Refused while another VM has a newer table, or the store goes on with other edits.
    */
-  republish(): Promise<Result<EditAccepted, EditRefused>> {
-    return this.#inTurn(() => this.#republish());
+  republish(): Promise<Result<EditResult, EditRefusal>> {
+    return this.#runInOrder(() => this.#republish());
   }
 
-  #inTurn<T>(run: () => Promise<T>): Promise<T> {
-    const turn = this.#last.then(run);
-    this.#last = turn.catch(() => {});
-    return turn;
+  #runInOrder<T>(run: () => Promise<T>): Promise<T> {
+    const result = this.#lastRun.then(run);
+    this.#lastRun = result.catch(() => {});
+    return result;
   }
 
   async #submit(
     proposal: Proposal,
     deadlineMs: number,
-  ): Promise<Result<EditAccepted, EditRefused>> {
+  ): Promise<Result<EditResult, EditRefusal>> {
     const { service, clock, random } = this.#options;
     const attempt = new EditAttempt(proposal);
     for (let tries = 0;; tries++) {
       const known = await service.fleet.knownVersion();
-      const seen = await this.#look(known);
+      const seen = await this.#readHead(known);
       const step: EditStep = seen.isOk()
         ? attempt.next(service.log, seen.value, known, clock.nowMs())
         : { type: "catchUp" };
-      const ended = step.type === "write"
-        ? this.#end(await this.#write(attempt, step), attempt)
-        : this.#end(step, attempt);
-      if (ended) return ended;
+      const result = step.type === "write"
+        ? this.#resultOf(await this.#writeEdit(attempt, step), attempt)
+        : this.#resultOf(step, attempt);
+      if (result) return result;
       if (clock.nowMs() >= deadlineMs) {
         const error = seen.isErr() ? seen.error : undefined;
-        return err(storeAway(error, attempt.unsettled));
+        return err(refuseUnavailable(error, attempt.unsettled));
       }
-      await clock.sleep(backoffMs(tries, RETRY, random));
+      await clock.sleep(backoffMs(tries, RETRY_BACKOFF, random));
     }
   }
 
   /** The head: the one kept since this VM's last edit, unless another VM is known to have gone on from there. */
-  async #look(known: number): Promise<Result<StoreHead, StoreError>> {
+  async #readHead(known: number): Promise<Result<StoreHead, StoreError>> {
     const { service } = this.#options;
     const { version } = service.log.table;
-    const seen = this.#seen;
+    const seen = this.#cachedHead;
     if (seen?.head?.version === version && known <= version) return ok(seen);
-    this.#seen = undefined;
+    this.#cachedHead = undefined;
     return await service.sync();
   }
 
-  async #write(
+  async #writeEdit(
     attempt: EditAttempt,
     step: Extract<EditStep, { type: "write" }>,
   ): Promise<EditStep> {
     const { service } = this.#options;
     const before = service.log.table.version;
     const { answer, rev } = await service.store.write(step);
-    const next = attempt.answered(answer, service.log);
+    const next = attempt.onAnswer(answer, service.log);
     const { head } = step;
-    this.#seen = answer === "done"
+    this.#cachedHead = answer === "done"
       ? { head, rev, storeRev: rev, readAtVersion: head.version }
       : undefined;
     if (next.type !== "accepted") return next;
     // The watch may have been faster; then it has been told already.
     if (service.log.table.version > before) {
-      await service.noteApplied([step.edit]);
+      await service.onEditsApplied([step.edit]);
     }
     this.#snapshotIfDue(step);
     return next;
   }
 
-  #end(
+  #resultOf(
     step: EditStep,
     attempt: EditAttempt,
-  ): Result<EditAccepted, EditRefused> | undefined {
+  ): Result<EditResult, EditRefusal> | undefined {
     if (step.type === "accepted") {
       return ok({ version: step.version, changed: true });
     }
@@ -223,13 +225,13 @@
 
   #snapshotIfDue(step: Extract<EditStep, { type: "write" }>): void {
     const { version, snapshot } = step.head;
-    const due = version - (snapshot?.version ?? 0) >= SNAPSHOT_EVERY;
-    if (!due || version % SNAPSHOT_RETRY_EVERY !== 0) return;
+    const isDue = version - (snapshot?.version ?? 0) >= EDITS_PER_SNAPSHOT;
+    if (!isDue || version % EDITS_PER_SNAPSHOT_RETRY !== 0) return;
     const { service, vmId } = this.#options;
     const image = service.log.image();
     void service.store.writeSnapshot(image, vmId).then(() => {
       // The head has another revision now.
-      this.#seen = undefined;
+      this.#cachedHead = undefined;
     });
   }
 
@@ -247,11 +249,11 @@
     return checkChanges(Table.of(version, rows.values()), changes);
   }
 
-  async #republish(): Promise<Result<EditAccepted, EditRefused>> {
+  async #republish(): Promise<Result<EditResult, EditRefusal>> {
     const { service, vmId } = this.#options;
     const known = await service.fleet.knownVersion();
     const seen = await service.sync();
-    if (seen.isErr()) return err(storeAway(seen.error, false));
+    if (seen.isErr()) return err(refuseUnavailable(seen.error, false));
     const { version } = service.log.table;
     if (service.log.regression?.type === "forked" || known > version) {
       const message = known > version
@@ -265,8 +267,8 @@
       vmId,
       { mayAdvance: true },
     );
-    if (written.isErr()) return err(storeAway(written.error, true));
-    this.#seen = undefined;
+    if (written.isErr()) return err(refuseUnavailable(written.error, true));
+    this.#cachedHead = undefined;
     await service.sync();
     return ok({ version, changed: true });
   }
--- a/src/services/table_fleet.ts
+++ b/src/services/table_fleet.ts
@@ -22,18 +22,18 @@
   }
 
   /** The VMs of this region, this one among them. */
-  async region(): Promise<readonly VmInfo[]> {
+  async regionVms(): Promise<readonly VmInfo[]> {
     return await this.#members?.ask("region", undefined) ?? [];
   }
 
   /** Some VMs of each other region. */
-  async others(): Promise<ReadonlyMap<string, readonly VmInfo[]>> {
+  async remoteVms(): Promise<ReadonlyMap<string, readonly VmInfo[]>> {
     return await this.#members?.ask("others", undefined) ?? new Map();
   }
 
   /** All other VMs known here. */
   async peers(): Promise<VmInfo[]> {
-    const [region, others] = [await this.region(), await this.others()];
+    const [region, others] = [await this.regionVms(), await this.remoteVms()];
     return [...region, ...[...others.values()].flat()]
       .filter((vm) => vm.id !== this.#vm.id);
   }
@@ -45,28 +45,28 @@
   }
 
   /** The ids of the watchers of this region. */
-  async watchers(): Promise<string[]> {
-    const vms = await this.region();
+  async watcherIds(): Promise<string[]> {
+    const vms = await this.regionVms();
     const ids = vms.filter((vm) => vm.state === "live").map((vm) => vm.id);
     return watchersOf(this.#vm.region, ids);
   }
 
   /** Whether this VM watches the store. One that knows of no other must not be left without it. */
   async isWatcher(): Promise<boolean> {
-    const watchers = await this.watchers();
+    const watchers = await this.watcherIds();
     return watchers.length === 0 || watchers.includes(this.#vm.id);
   }
 
   /** VMs of this region that are known to have a version newer than `version` in force. */
-  async ahead(version: number): Promise<VmInfo[]> {
-    return (await this.region()).filter((vm) => vm.tableVersion > version);
+  async regionVmsAhead(version: number): Promise<VmInfo[]> {
+    return (await this.regionVms()).filter((vm) => vm.tableVersion > version);
   }
 
   /** VMs of other regions, those known to be ahead of `version` if there are any. */
-  async far(version: number): Promise<VmInfo[]> {
-    const far = [...(await this.others()).values()].flat();
-    const ahead = far.filter((vm) => vm.tableVersion > version);
-    return ahead.length > 0 ? ahead : far;
+  async remoteVmsToAsk(version: number): Promise<VmInfo[]> {
+    const remote = [...(await this.remoteVms()).values()].flat();
+    const ahead = remote.filter((vm) => vm.tableVersion > version);
+    return ahead.length > 0 ? ahead : remote;
   }
 
   get #members(): TaskPort<MembersMessages> | undefined {
--- a/src/services/table_in_force.ts
+++ b/src/services/table_in_force.ts
@@ -10,16 +10,16 @@
 import type { TableFleet } from "./table_fleet.ts";
 
 /** A VM with the newest version it is known to have in force; 0 for none. */
-export interface VmInForce {
+export interface VmTableVersion {
   readonly id: string;
   readonly state: "live" | "leaving";
   readonly version: number;
 }
 
 /** A region with its VMs. */
-export interface RegionInForce {
+export interface RegionTableVersions {
   readonly region: string;
-  readonly vms: readonly VmInForce[];
+  readonly vms: readonly VmTableVersion[];
   /** `whole`: a VM of the region named all of its VMs. `part`: none answered; only some are known, from a while ago. */
   readonly view: "whole" | "part";
 }
@@ -32,8 +32,8 @@
 
 const ASK_TIMEOUT_MS = 1000;
 
-/** What a {@link TableInForce} works with. */
-export interface TableInForceOptions {
+/** What a {@link TableVersions} works with. */
+export interface TableVersionsOptions {
   readonly vm: { readonly id: string; readonly region: string };
   readonly fleet: TableFleet;
   readonly transport: Transport | undefined;
@@ -43,42 +43,42 @@
 }
 
 /** Gathers versions: this region's from membership, another's from one of its VMs. */
-export class TableInForce {
-  readonly #options: TableInForceOptions;
+export class TableVersions {
+  readonly #options: TableVersionsOptions;
 
-  constructor(options: TableInForceOptions) {
+  constructor(options: TableVersionsOptions) {
     this.#options = options;
-    options.transport?.handle("table.region", () => this.#region());
+    options.transport?.handle("table.region", () => this.#ownRegion());
   }
 
   /** All regions that this VM knows of, its own first. */
-  async regions(): Promise<RegionInForce[]> {
+  async collect(): Promise<RegionTableVersions[]> {
     const { vm, fleet } = this.#options;
-    const own: RegionInForce = {
+    const own: RegionTableVersions = {
       region: vm.region,
-      vms: await this.#region(),
+      vms: await this.#ownRegion(),
       view: "whole",
     };
-    const others = [...await fleet.others()].map(([region, vms]) =>
-      this.#ask(region, vms)
+    const others = [...await fleet.remoteVms()].map(([region, vms]) =>
+      this.#askRegion(region, vms)
     );
     return [own, ...await Promise.all(others)];
   }
 
-  async #region(): Promise<VmInForce[]> {
+  async #ownRegion(): Promise<VmTableVersion[]> {
     const { vm, fleet, version } = this.#options;
-    const vms = await fleet.region();
+    const vms = await fleet.regionVms();
     const own = { id: vm.id, state: "live" as const, version: version() };
     if (vms.length === 0) return [own];
     return vms.map((it) =>
-      it.id === vm.id ? { ...own, state: it.state } : inForce(it)
+      it.id === vm.id ? { ...own, state: it.state } : vmVersionOf(it)
     );
   }
 
-  async #ask(
+  async #askRegion(
     region: string,
     known: readonly VmInfo[],
-  ): Promise<RegionInForce> {
+  ): Promise<RegionTableVersions> {
     const { transport, nowMs } = this.#options;
     for (const vm of known) {
       const answer = await transport?.call(
@@ -90,10 +90,10 @@
       const parsed = answerSchema.safeParse(answer?.unwrapOr(undefined));
       if (parsed.success) return { region, vms: parsed.data, view: "whole" };
     }
-    return { region, vms: known.map(inForce), view: "part" };
+    return { region, vms: known.map(vmVersionOf), view: "part" };
   }
 }
 
-function inForce(vm: VmInfo): VmInForce {
+function vmVersionOf(vm: VmInfo): VmTableVersion {
   return { id: vm.id, state: vm.state, version: vm.tableVersion };
 }
--- a/src/services/table_peers.ts
+++ b/src/services/table_peers.ts
@@ -7,14 +7,14 @@
 import { z } from "zod";
 import type { Transport } from "../adapters/mod.ts";
 import {
-  imageOf,
   type ImagePage,
+  joinPages,
   type LoggedEdit,
   MAX_EDIT_CHARS,
-  pagesOf,
   parseEdit,
   parsePage,
   pushTargets,
+  splitImage,
   type TableImage,
   type TableLog,
 } from "../agreement/mod.ts";
@@ -23,11 +23,11 @@
 /** Longest way of a push; the tree of a region of 1,400 VMs is six levels deep. */
 const MAX_HOPS = 8;
 /** Versions remembered as passed on, so that a push never runs in a circle while VMs disagree on who is there. */
-const PASSED_REMEMBERED = 64;
+const MAX_REMEMBERED_VERSIONS = 64;
 const PULL_TIMEOUT_MS = 2000;
 const PUSH_TIMEOUT_MS = 300;
 /** Images kept for VMs that are in the middle of pulling them. */
-const IMAGES_KEPT = 2;
+const MAX_CACHED_IMAGES = 2;
 
 const pushMessage = z.object({
   edits: z.array(z.unknown()),
@@ -55,7 +55,7 @@
 ]);
 
 /** What a pull brought. */
-export type Pulled =
+export type PullResult =
   | {
     readonly type: "edits";
     readonly edits: readonly LoggedEdit[];
@@ -71,7 +71,7 @@
   readonly transport: Transport;
   readonly nowMs: () => number;
   /** The VMs of this region. */
-  readonly region: () => Promise<readonly VmInfo[]>;
+  readonly regionVms: () => Promise<readonly VmInfo[]>;
   /** Takes edits that another VM pushed. */
   readonly onPush: (edits: readonly LoggedEdit[]) => void;
 }
@@ -90,8 +90,8 @@
 export class TablePeers {
   readonly #options: TablePeersOptions;
   readonly #images = new Map<number, readonly ImagePage[]>();
-  readonly #passed = new Set<number>();
-  #pushes = 0;
+  readonly #forwardedVersions = new Set<number>();
+  #pushCount = 0;
 
   constructor(options: TablePeersOptions) {
     this.#options = options;
@@ -100,20 +100,20 @@
   }
 
   /** Messages sent by {@link TablePeers.push} and on behalf of others. */
-  get pushes(): number {
-    return this.#pushes;
+  get pushCount(): number {
+    return this.#pushCount;
   }
 
   /** Passes edits on, as the root of their tree. Too many for one message are left to be pulled. */
   async push(edits: readonly LoggedEdit[]): Promise<void> {
     if (JSON.stringify(edits).length > MAX_EDIT_CHARS) return;
-    await this.#pass(edits, this.#options.vmId, 0);
+    await this.#forward(edits, this.#options.vmId, 0);
   }
 
   /** Asks a VM for what is newer than what is in force here; `undefined` if that failed. */
-  async pull(address: string): Promise<Pulled | undefined> {
+  async pull(address: string): Promise<PullResult | undefined> {
     const { version } = this.#options.log.table;
-    const first = await this.#call(address, { version });
+    const first = await this.#callPull(address, { version });
     if (!first || first.type === "gone") return undefined;
     if (first.type === "edits") {
       const { version: peerVersion } = first;
@@ -122,15 +122,15 @@
     const pages = [parsePage(first.page)];
     while (pages.length < pages[0].pages) {
       const image = { version: pages[0].version, page: pages.length };
-      const next = await this.#call(address, { version, image });
+      const next = await this.#callPull(address, { version, image });
       if (next?.type !== "page") return undefined;
       pages.push(parsePage(next.page));
     }
-    const image = imageOf(pages);
+    const image = joinPages(pages);
     return image && { type: "image", image };
   }
 
-  async #call(address: string, params: z.infer<typeof pullMessage>) {
+  async #callPull(address: string, params: z.infer<typeof pullMessage>) {
     const { transport, nowMs } = this.#options;
     const deadlineMs = nowMs() + PULL_TIMEOUT_MS;
     const answer = await transport.call(
@@ -146,19 +146,19 @@
     const { edits, root, hops } = pushMessage.parse(params);
     const parsed = edits.map(parseEdit);
     this.#options.onPush(parsed);
-    if (hops < MAX_HOPS) void this.#pass(parsed, root, hops);
+    if (hops < MAX_HOPS) void this.#forward(parsed, root, hops);
     return {};
   }
 
-  async #pass(
+  async #forward(
     edits: readonly LoggedEdit[],
     root: string,
     hops: number,
   ): Promise<void> {
     const version = edits.at(-1)?.version;
-    if (version === undefined || this.#passed.has(version)) return;
-    this.#remember(version);
-    const vms = await this.#options.region();
+    if (version === undefined || this.#forwardedVersions.has(version)) return;
+    this.#rememberForwarded(version);
+    const vms = await this.#options.regionVms();
     const tree: PushTree = {
       version,
       root,
@@ -171,18 +171,18 @@
 
   async #sendToChildren(tree: PushTree, parent: string): Promise<void> {
     const children = pushTargets(tree.version, tree.root, parent, tree.ids);
-    await Promise.all(children.map((child) => this.#send(tree, child)));
+    await Promise.all(children.map((child) => this.#sendPush(tree, child)));
   }
 
   /**
    * A child that is dead or frozen and not yet found so would leave all VMs below it without the edit until a
    * heartbeat tells them, a second or two later. Its children get the push from here instead.
    */
-  async #send(tree: PushTree, child: string): Promise<void> {
+  async #sendPush(tree: PushTree, child: string): Promise<void> {
     const { transport, nowMs } = this.#options;
     const address = tree.addresses.get(child)!;
     const deadlineMs = nowMs() + PUSH_TIMEOUT_MS;
-    this.#pushes++;
+    this.#pushCount++;
     const { message } = tree;
     const sent = await transport.call(
       address,
@@ -193,11 +193,11 @@
     if (sent.isErr()) await this.#sendToChildren(tree, child);
   }
 
-  #remember(version: number): void {
-    this.#passed.add(version);
-    if (this.#passed.size <= PASSED_REMEMBERED) return;
-    const [oldest] = this.#passed;
-    this.#passed.delete(oldest);
+  #rememberForwarded(version: number): void {
+    this.#forwardedVersions.add(version);
+    if (this.#forwardedVersions.size <= MAX_REMEMBERED_VERSIONS) return;
+    const [oldest] = this.#forwardedVersions;
+    this.#forwardedVersions.delete(oldest);
   }
 
   #onPull(params: unknown): z.infer<typeof pullAnswer> {
@@ -210,12 +210,12 @@
     if (edits) {
       return { type: "edits", edits, version: this.#options.log.table.version };
     }
-    return { type: "page", page: this.#pages()[0] };
+    return { type: "page", page: this.#imagePages()[0] };
   }
 
   /** The edits after `version`, as many as fit one message; `undefined` if the image is needed. */
   #editsSince(version: number): LoggedEdit[] | undefined {
-    const edits = this.#options.log.since(version);
+    const edits = this.#options.log.editsSince(version);
     if (!edits) return undefined;
     const fitting: LoggedEdit[] = [];
     let chars = 0;
@@ -227,14 +227,14 @@
     return fitting;
   }
 
-  #pages(): readonly ImagePage[] {
+  #imagePages(): readonly ImagePage[] {
     const image = this.#options.log.image();
     const { version } = image.table;
-    const known = this.#images.get(version);
-    if (known) return known;
-    const pages = pagesOf(image);
+    const cached = this.#images.get(version);
+    if (cached) return cached;
+    const pages = splitImage(image);
     this.#images.set(version, pages);
-    if (this.#images.size > IMAGES_KEPT) {
+    if (this.#images.size > MAX_CACHED_IMAGES) {
       const [oldest] = this.#images.keys();
       this.#images.delete(oldest);
     }
--- a/src/services/table_refusals.ts
+++ b/src/services/table_refusals.ts
@@ -14,7 +14,7 @@
 import { type Failure, failure } from "../base/mod.ts";
 
 /** A refused edit, with what its author must look at. */
-export interface EditRefused {
+export interface EditRefusal {
   readonly failure: Failure;
   readonly conflicts?: readonly RowConflict[];
   readonly faults?: readonly RowFault[];
@@ -23,10 +23,10 @@
 }
 
 /** The store could not be asked, or gave no answer in time; `unsettled`: a write may have taken effect. */
-export function storeAway(
+export function refuseUnavailable(
   error: StoreError | undefined,
   unsettled: boolean,
-): EditRefused {
+): EditRefusal {
   const ran = unsettled ? "unknown" : "no";
   const message = error
     ? `the platform's store cannot be reached: ${error.message}`
@@ -35,20 +35,20 @@
 }
 
 /** Other edits changed the same rows first. */
-export function conflict(conflicts: readonly RowConflict[]): EditRefused {
-  const said = conflicts.map(({ key, ifVersion, current }) =>
+export function refuseConflict(conflicts: readonly RowConflict[]): EditRefusal {
+  const descriptions = conflicts.map(({ key, ifVersion, current }) =>
     `${key} was to be at version ${ifVersion} and is ${
       current ? `at ${current.version}` : "deleted"
     }`
   );
   return {
-    failure: failure("editConflict", { message: said.join("; ") }),
+    failure: failure("editConflict", { message: descriptions.join("; ") }),
     conflicts,
   };
 }
 
 /** The rows do not fit each other. */
-export function invalid(faults: readonly RowFault[]): EditRefused {
+export function refuseInvalid(faults: readonly RowFault[]): EditRefusal {
   const message = faults.map(describeFault).join("; ");
   return { failure: failure("invalidEdit", { message }), faults };
 }
@@ -57,27 +57,29 @@
 export function refusalOf(
   step: EditStep,
   unsettled: boolean,
-): EditRefused | undefined {
+): EditRefusal | undefined {
   switch (step.type) {
     case "conflict":
-      return conflict(step.conflicts);
+      return refuseConflict(step.conflicts);
     case "invalid":
-      return invalid(step.faults);
+      return refuseInvalid(step.faults);
     case "tooLarge":
-      return refused("the edit is too large; split it, or use apply");
+      return refuseEdit("the edit is too large; split it, or use apply");
     case "reusedId":
-      return refused(`the id was used for the edit of version ${step.version}`);
+      return refuseEdit(
+        `the id was used for the edit of version ${step.version}`,
+      );
     case "regressed": {
       const ran = step.maybeAccepted ? "unknown" : "no";
       return { failure: failure("storeRegressed", { ran }) };
     }
     case "unknown":
-      return storeAway(undefined, unsettled);
+      return refuseUnavailable(undefined, unsettled);
     default:
       return undefined;
   }
 }
 
-function refused(message: string): EditRefused {
+function refuseEdit(message: string): EditRefusal {
   return { failure: failure("invalidEdit", { message }) };
 }
--- a/src/services/table_routes.ts
+++ b/src/services/table_routes.ts
@@ -11,7 +11,7 @@
 import { rowKey, tableRow } from "../agreement/mod.ts";
 import { type Clock, codes, type Failure, failure } from "../base/mod.ts";
 import type { TableEditor } from "./table_editor.ts";
-import type { EditRefused } from "./table_refusals.ts";
+import type { EditRefusal } from "./table_refusals.ts";
 import type { TableService } from "./table_service.ts";
 
 /** Largest body: about 20,000 rows. */
@@ -68,17 +68,20 @@
 }
 
 /** Makes the routes; see docs/TABLE.md for each. */
-export function tableRoutes(options: TableRoutesOptions): Router {
+export function createTableRouter(options: TableRoutesOptions): Router {
   const { service, editor, clock } = options;
   const router = new Router({ prefix: "/admin/table" });
-  router.get("/", (context) => getRows(context, service));
+  router.get("/", (context) => sendRows(context, service));
   router.post("/edits", async (context) => {
     const body = await readBody(context, editBody);
     if (!body) return;
     const { id, author, changes, waitMs } = body;
     const proposal = { id, author, changes };
     const result = await editor.submit(proposal, clock.nowMs() + waitMs);
-    result.match((accepted) => void (context.body = accepted), refuse(context));
+    result.match(
+      (accepted) => void (context.body = accepted),
+      sendRefusal(context),
+    );
   });
   router.post("/diff", async (context) => {
     const body = await readBody(context, rowsBody);
@@ -86,7 +89,7 @@
     const result = await editor.diff(body.rows);
     result.match(
       (changes) => void (context.body = { changes }),
-      refuse(context),
+      sendRefusal(context),
     );
   });
   router.post("/apply", async (context) => {
@@ -94,30 +97,39 @@
     if (!body) return;
     const deadlineMs = clock.nowMs() + body.waitMs;
     const result = await editor.apply({ ...body, deadlineMs });
-    result.match((applied) => void (context.body = applied), refuse(context));
+    result.match(
+      (applied) => void (context.body = applied),
+      sendRefusal(context),
+    );
   });
   router.get("/history", async (context) => {
     const query = parseOr400(context, historyQuery, context.query);
     if (!query) return;
     const result = await editor.history(query.before, query.limit);
-    result.match((edits) => void (context.body = { edits }), refuse(context));
+    result.match(
+      (edits) => void (context.body = { edits }),
+      sendRefusal(context),
+    );
   });
   router.get("/in-force", async (context) => {
     const version = service.table?.version ?? 0;
-    context.body = { version, regions: await service.inForce() };
+    context.body = { version, regions: await service.regionVersions() };
   });
   router.post("/republish", async (context) => {
     const result = await editor.republish();
-    result.match((accepted) => void (context.body = accepted), refuse(context));
+    result.match(
+      (accepted) => void (context.body = accepted),
+      sendRefusal(context),
+    );
   });
   return router;
 }
 
-function getRows(context: Context, service: TableService): void {
+function sendRows(context: Context, service: TableService): void {
   const query = parseOr400(context, rowsQuery, context.query);
   if (!query) return;
   const { table } = service;
-  if (!table) return refuse(context)({ failure: failure("noTable") });
+  if (!table) return sendRefusal(context)({ failure: failure("noTable") });
   const rows = [...table.rows()]
     .map((it) => ({ key: rowKey(it.row), ...it }))
     .filter((it) => query.key === undefined || it.key === query.key)
@@ -127,7 +139,7 @@
 }
 
 /** Answers with the failure in the shape that callers get too, and what its author must look at. */
-function refuse(context: Context): (refused: EditRefused) => void {
+function sendRefusal(context: Context): (refused: EditRefusal) => void {
   return ({ failure, conflicts, faults, acceptedVersion }) => {
     context.status = codes[failure.code].httpStatus;
     context.set("x-ibisgap-code", String(codes[failure.code].code));
@@ -155,38 +167,40 @@
 ): T | undefined {
   const parsed = schema.safeParse(input);
   if (parsed.success) return parsed.data;
-  const problems = parsed.error.issues.map((it) => problemOf(it, input));
+  const problems = parsed.error.issues.map((it) => describeIssue(it, input));
   const message = problems.map((it) => it.text).join("; ");
-  const code = problems.some((it) => it.inRow) ? "invalidEdit" : "badRequest";
-  refuse(context)({ failure: failure(code, { message }) });
+  const code = problems.some((it) => it.isInRow) ? "invalidEdit" : "badRequest";
+  sendRefusal(context)({ failure: failure(code, { message }) });
   return undefined;
 }
 
 /** Names the row by its key, as a path into a file of thousands of rows helps nobody. */
-function problemOf(
+function describeIssue(
   issue: z.core.$ZodIssue,
   input: unknown,
-): { readonly text: string; readonly inRow: boolean } {
+): { readonly text: string; readonly isInRow: boolean } {
   let value = input;
   let key: string | undefined;
   const field: PropertyKey[] = [];
   for (const step of issue.path) {
     value = (value as Record<PropertyKey, unknown> | undefined)?.[step];
     field.push(step);
-    const rawKey = rawKeyOf(value);
+    const rawKey = unparsedKeyOf(value);
     if (rawKey === undefined) continue;
     key = rawKey;
     field.length = 0;
   }
   const place = [key, field.join(".")].filter(Boolean).join(": ") || "body";
-  const found = typeof value === "object" ? "" : ` is ${JSON.stringify(value)}`;
+  const valueText = typeof value === "object"
+    ? ""
+    : ` is ${JSON.stringify(value)}`;
   return {
-    text: `${place}${found}; ${issue.message}`,
-    inRow: key !== undefined,
+    text: `${place}${valueText}; ${issue.message}`,
+    isInRow: key !== undefined,
   };
 }
 
-function rawKeyOf(value: unknown): string | undefined {
+function unparsedKeyOf(value: unknown): string | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   if (!("kind" in value)) return undefined;
   const row = value as Record<string, unknown>;
--- a/src/services/table_service.ts
+++ b/src/services/table_service.ts
@@ -19,7 +19,7 @@
 import { type Kernel, Task } from "../kernel/mod.ts";
 import type { TableMessages, VmInfo } from "./messages.ts";
 import { TableFleet } from "./table_fleet.ts";
-import { type RegionInForce, TableInForce } from "./table_in_force.ts";
+import { type RegionTableVersions, TableVersions } from "./table_in_force.ts";
 import { TablePeers } from "./table_peers.ts";
 import { type StoreHead, TableStore } from "./table_store.ts";
 import { TableSync } from "./table_sync.ts";
@@ -30,23 +30,23 @@
   /** Between looks at who is there and who is ahead. */
   readonly tickMs: number;
   /** Between a watcher's looks at the store's head. */
-  readonly headMs: number;
+  readonly headCheckMs: number;
   /** How long a VM that starts waits for an answer of a peer that may be ahead of the store. */
-  readonly hearMs: number;
+  readonly peerWaitMs: number;
 }
 
 const DEFAULT_PERIODS: TablePeriods = {
   tickMs: 500,
-  headMs: 5000,
-  hearMs: 1000,
+  headCheckMs: 5000,
+  peerWaitMs: 1000,
 };
 
 /** VMs of a region, on average, that ask another region at each look. */
-const FAR_ASKS = 1;
+const REMOTE_PULLS_PER_TICK = 1;
 /** Between two tries while the service starts. */
-const START_STEP_MS = 100;
+const START_RETRY_MS = 100;
 /** Peers that a starting VM asks for their version. */
-const PEERS_ASKED = 3;
+const MAX_PEERS_ASKED = 3;
 
 /** What a {@link TableService} is made of. */
 export interface TableServiceOptions {
@@ -70,13 +70,13 @@
   readonly #counters = { editsApplied: 0, imagesLoaded: 0, pulls: 0 };
   #kernel!: Kernel;
   #fleet!: TableFleet;
-  #inForce!: TableInForce;
+  #versions!: TableVersions;
   #sync!: TableSync;
   #peers: TablePeers | undefined;
   #timer: Timer | undefined;
   #closed = false;
-  #ready = false;
-  #hearUntilMs = 0;
+  #isReady = false;
+  #peerWaitUntilMs = 0;
 
   protected readonly handlers = {
     current: () => this.table,
@@ -92,7 +92,7 @@
 
   /** The table in force; `undefined` before the first, and until a starting VM has heard whether peers are ahead. */
   get table(): Table | undefined {
-    return this.#ready && this.log.table.version > 0
+    return this.#isReady && this.log.table.version > 0
       ? this.log.table
       : undefined;
   }
@@ -105,18 +105,18 @@
   /** Tries store and peers for up to `hearMs`; if neither has a table, goes on trying in the background. */
   async start(kernel: Kernel): Promise<void> {
     this.#kernel = kernel;
-    this.#hearUntilMs = kernel.clock.monoMs() + this.#periods.hearMs;
+    this.#peerWaitUntilMs = kernel.clock.monoMs() + this.#periods.peerWaitMs;
     this.#fleet = new TableFleet(kernel, this.#options.vm);
-    this.#sync = this.#openSync();
-    this.#peers = this.#openPeers();
-    this.#inForce = new TableInForce({
+    this.#sync = this.#createSync();
+    this.#peers = this.#createPeers();
+    this.#versions = new TableVersions({
       vm: this.#options.vm,
       fleet: this.#fleet,
       transport: this.#options.transport,
       nowMs: () => kernel.clock.nowMs(),
       version: () => this.table?.version ?? 0,
     });
-    await this.#startUp();
+    await this.#waitForTable();
     this.#schedule();
   }
 
@@ -133,9 +133,9 @@
       version: this.log.table.version,
       rows: this.log.table.size,
       lastId: this.log.lastId,
-      ready: this.#ready,
+      ready: this.#isReady,
       pending: this.log.pendingCount,
-      pushes: this.#peers?.pushes ?? 0,
+      pushes: this.#peers?.pushCount ?? 0,
       ...this.#counters,
       ...this.#sync.dump(),
     };
@@ -147,61 +147,64 @@
   }
 
   /** Edits were put in force here: wakes who waits for them, and pushes them if `spread` or that is this VM's part. */
-  async noteApplied(
+  async onEditsApplied(
     edits: readonly LoggedEdit[],
-    spread = false,
+    shouldPush = false,
   ): Promise<void> {
     this.#counters.editsApplied += edits.length;
     this.#onNewVersion();
     const last = edits.at(-1);
     if (!last || !this.#peers) return;
-    const root = pushRoot(last.version, await this.#fleet.watchers());
+    const root = pushRoot(last.version, await this.#fleet.watcherIds());
     // Not waited for: a child that does not answer must not hold up the operator's answer.
-    if (spread || root === this.#options.vm.id) void this.#peers.push(edits);
+    if (shouldPush || root === this.#options.vm.id) {
+      void this.#peers.push(edits);
+    }
   }
 
   /** Which VMs have which version in force, by region. */
-  inForce(): Promise<RegionInForce[]> {
-    return this.#inForce.regions();
+  regionVersions(): Promise<RegionTableVersions[]> {
+    return this.#versions.collect();
   }
 
-  #openSync(): TableSync {
+  #createSync(): TableSync {
     return new TableSync({
       kernel: this.#kernel,
       log: this.log,
       store: this.store,
       random: this.#options.random,
-      headMs: this.#periods.headMs,
-      onEdits: (edits) => this.#offer(edits),
+      headCheckMs: this.#periods.headCheckMs,
+      onEdits: (edits) => this.#applyEdits(edits),
       onCaughtUp: async (edits, imageLoaded) => {
         if (imageLoaded) this.#counters.imagesLoaded++;
-        await this.noteApplied(edits);
+        await this.onEditsApplied(edits);
       },
     });
   }
 
-  #openPeers(): TablePeers | undefined {
+  #createPeers(): TablePeers | undefined {
     const { transport, vm } = this.#options;
     return transport && new TablePeers({
       vmId: vm.id,
       log: this.log,
       transport,
       nowMs: () => this.#kernel.clock.nowMs(),
-      region: () => this.#fleet.region(),
-      onPush: (edits) => this.#offer(edits),
+      regionVms: () => this.#fleet.regionVms(),
+      onPush: (edits) => this.#applyEdits(edits),
     });
   }
 
   /** The services that start next find the table in force, where there is one to be had. */
-  async #startUp(): Promise<void> {
+  async #waitForTable(): Promise<void> {
     const { clock } = this.#kernel;
     for (;;) {
       await this.#tick();
       // An installation without a table yet: the store says so, and no peer has one.
-      const none = this.log.table.version === 0 && this.#sync.reached;
-      if (this.#ready || none) return;
-      if (clock.monoMs() >= this.#hearUntilMs) return;
-      await clock.sleep(START_STEP_MS);
+      const hasNoTable = this.log.table.version === 0 &&
+        this.#sync.isStoreReachable;
+      if (this.#isReady || hasNoTable) return;
+      if (clock.monoMs() >= this.#peerWaitUntilMs) return;
+      await clock.sleep(START_RETRY_MS);
     }
   }
 
@@ -217,34 +220,34 @@
 
   async #tick(): Promise<void> {
     try {
-      const wanted = this.log.table.version === 0;
-      await this.#sync.look(await this.#fleet.isWatcher(), wanted);
+      const needsTable = this.log.table.version === 0;
+      await this.#sync.checkStore(await this.#fleet.isWatcher(), needsTable);
       await this.#pullIfBehind();
-      await this.#becomeReady();
+      await this.#updateReadiness();
     } catch (error) {
       this.#kernel.log.error("table tick failed", { error: String(error) });
     }
   }
 
-  #offer(edits: readonly LoggedEdit[], spread = false): void {
+  #applyEdits(edits: readonly LoggedEdit[], shouldPush = false): void {
     const outcome = this.log.offer(edits);
-    this.#sync.noteAlarm();
+    this.#sync.reportRegression();
     if (outcome.applied.length > 0) {
-      void this.noteApplied(outcome.applied, spread);
+      void this.onEditsApplied(outcome.applied, shouldPush);
     }
     // A watcher reads what is missing from the store; others find themselves behind at the next heartbeat.
-    if (outcome.gap) this.#sync.lookSoon();
+    if (outcome.gap) this.#sync.checkHeadSoon();
   }
 
   /** Takes what a peer has in force and this VM has not: a missed push, or a store that is away. */
   async #pullIfBehind(): Promise<void> {
     if (!this.#peers) return;
     const { version } = this.log.table;
-    const near = await this.#fleet.ahead(version);
-    const peers = near.length > 0
-      ? near
-      : await this.#asksFar()
-      ? await this.#fleet.far(version)
+    const regionPeers = await this.#fleet.regionVmsAhead(version);
+    const peers = regionPeers.length > 0
+      ? regionPeers
+      : await this.#shouldAskRemote()
+      ? await this.#fleet.remoteVmsToAsk(version)
       : [];
     if (peers.length === 0) return;
     await this.#pullFrom(this.#options.random.pick(peers));
@@ -255,10 +258,13 @@
    * region do, drawn anew each time: with both watchers lost, or their store silent, the region would hear of an edit
    * only after they are found dead, later than the three seconds in which it is to be in force.
    */
-  async #asksFar(): Promise<boolean> {
-    if (!this.#sync.reached && await this.#fleet.isWatcher()) return true;
-    const { length } = await this.#fleet.region();
-    return this.#options.random.next() * Math.max(1, length) < FAR_ASKS;
+  async #shouldAskRemote(): Promise<boolean> {
+    if (!this.#sync.isStoreReachable && await this.#fleet.isWatcher()) {
+      return true;
+    }
+    const { length } = await this.#fleet.regionVms();
+    return this.#options.random.next() * Math.max(1, length) <
+      REMOTE_PULLS_PER_TICK;
   }
 
   /** Takes what a peer has and this VM has not; answers whether the peer has a table. */
@@ -268,14 +274,14 @@
     if (!pulled) return false;
     if (pulled.type === "edits") {
       // What comes from afar is new to the whole region.
-      this.#offer(pulled.edits, peer.region !== this.#options.vm.region);
+      this.#applyEdits(pulled.edits, peer.region !== this.#options.vm.region);
       return pulled.peerVersion > 0;
     }
     if (this.log.load(pulled.image)) {
       this.#counters.imagesLoaded++;
       this.#onNewVersion();
     }
-    this.#sync.noteAlarm();
+    this.#sync.reportRegression();
     return true;
   }
 
@@ -284,24 +290,24 @@
    * behind. It asks a few peers first; their heartbeats may not tell their newest version yet. With none that answers
    * it goes on alone after a moment.
    */
-  async #becomeReady(): Promise<void> {
-    if (this.#ready) return;
-    const waited = this.#kernel.clock.monoMs() >= this.#hearUntilMs;
-    const answered = this.#peers !== undefined && await this.#askPeers();
+  async #updateReadiness(): Promise<void> {
+    if (this.#isReady) return;
+    const isWaitOver = this.#kernel.clock.monoMs() >= this.#peerWaitUntilMs;
+    const hasAnswer = this.#peers !== undefined && await this.#pullFromPeers();
     if (this.log.table.version === 0) return;
-    if (this.#peers && !waited && !answered) return;
-    this.#ready = true;
+    if (this.#peers && !isWaitOver && !hasAnswer) return;
+    this.#isReady = true;
     const { version } = this.log.table;
     this.#kernel.log.info("table in force", { version });
     this.#onNewVersion();
   }
 
-  async #askPeers(): Promise<boolean> {
+  async #pullFromPeers(): Promise<boolean> {
     const peers = await this.#fleet.peers();
     const order = peers
       .map((peer) => ({ peer, place: this.#options.random.next() }))
       .sort((a, b) => a.place - b.place)
-      .slice(0, PEERS_ASKED);
+      .slice(0, MAX_PEERS_ASKED);
     const answers = await Promise.all(
       order.map(({ peer }) => this.#pullFrom(peer)),
     );
@@ -311,7 +317,7 @@
   #onNewVersion(): void {
     if (this.table) this.#waiters.resolve(this.table);
     // The first table of a fleet comes by an edit: nobody can be ahead for long.
-    else if (!this.#ready) void this.#becomeReady();
+    else if (!this.#isReady) void this.#updateReadiness();
   }
 
   #waitFor(
--- a/src/services/table_store.ts
+++ b/src/services/table_store.ts
@@ -9,29 +9,29 @@
 import {
   type EditStep,
   HEAD_KEY,
-  imageOf,
   type ImagePage,
+  joinPages,
   LOG_PREFIX,
   type LoggedEdit,
   logKey,
   pageKey,
-  pagesOf,
   parseEdit,
   parsePage,
   parseTableHead,
   type SeenHead,
-  SNAP_PREFIX,
+  SNAPSHOT_PREFIX,
   type SnapshotRef,
+  splitImage,
   type TableImage,
   type TableLog,
   type WriteAnswer,
 } from "../agreement/mod.ts";
 
 /** Edits kept in the log behind a snapshot, for VMs that are a little behind. */
-export const LOG_KEPT = 256;
-const LOG_PAGE = 64;
+export const RETAINED_EDITS = 256;
+const EDITS_PER_READ = 64;
 const DELETES_PER_TRANSACTION = 100;
-const SNAPSHOT_TRIES = 5;
+const MAX_SNAPSHOT_ATTEMPTS = 5;
 
 /** What was read of the head, with the store's revision at that moment: watch from `storeRev + 1`. */
 export interface StoreHead extends SeenHead {
@@ -47,7 +47,7 @@
   }
 
   /** Calls made for the table so far. */
-  get calls(): number {
+  get callCount(): number {
     return this.#store.counts().table;
   }
 
@@ -59,7 +59,7 @@
       const [entry] = entries;
       const at = { storeRev: rev, readAtVersion };
       if (!entry) return ok({ head: undefined, rev: 0, ...at });
-      return parsed(() => ({
+      return tryParse(() => ({
         head: parseTableHead(JSON.parse(entry.value)),
         rev: entry.rev,
         ...at,
@@ -76,19 +76,19 @@
     if (!head || head.version <= log.table.version) return ok(applied);
     const { snapshot } = head;
     const behind = head.version - log.table.version;
-    if (snapshot && behind > LOG_KEPT) {
+    if (snapshot && behind > RETAINED_EDITS) {
       const loaded = await this.#loadSnapshot(log, snapshot);
       if (loaded.isErr()) return err(loaded.error);
     }
     for (;;) {
-      const page = await this.edits(log.table.version + 1, LOG_PAGE);
+      const page = await this.edits(log.table.version + 1, EDITS_PER_READ);
       if (page.isErr()) return err(page.error);
       const outcome = log.offer(page.value.edits);
       applied.push(...outcome.applied);
       if (outcome.applied.length > 0 && page.value.more) continue;
-      const missing = head.version > log.table.version && snapshot &&
+      const needsSnapshot = head.version > log.table.version && snapshot &&
         snapshot.version > log.table.version;
-      if (!missing) return ok(applied);
+      if (!needsSnapshot) return ok(applied);
       const loaded = await this.#loadSnapshot(log, snapshot);
       if (loaded.isErr()) return err(loaded.error);
     }
@@ -111,7 +111,7 @@
       "table",
     );
     return listing.andThen(({ entries, more }) =>
-      parsed(() => ({
+      tryParse(() => ({
         edits: entries.map((entry) => parseEdit(JSON.parse(entry.value))),
         more,
       }))
@@ -156,16 +156,18 @@
   ): Promise<Result<void, StoreError>> {
     const { version } = image.table;
     const name = `${String(version).padStart(12, "0")}-${writer}`;
-    const pages = pagesOf(image);
+    const pages = splitImage(image);
     for (const page of pages) {
       const key = pageKey(name, page.page);
       const put = await this.#store.put(key, JSON.stringify(page), {}, "table");
       if (put.isErr()) return err(put.error);
     }
     const ref = { version, name, pages: pages.length };
-    const advanceTo = options.mayAdvance ? image.lastId : undefined;
-    const named = await this.#nameSnapshot(ref, advanceTo);
-    return named.isErr() ? err(named.error) : await this.#cleanUp(ref);
+    const advanceToId = options.mayAdvance ? image.lastId : undefined;
+    const published = await this.#publishSnapshot(ref, advanceToId);
+    return published.isErr()
+      ? err(published.error)
+      : await this.#deleteReplaced(ref);
   }
 
   /** Reports each new edit from store revision `fromRev` on; `onLost` ends the watch. */
@@ -177,7 +179,7 @@
     return this.#store.watch(LOG_PREFIX, fromRev, (event) => {
       if (event.type === "lost") return onLost(event.message);
       if (event.type === "delete") return;
-      const edit = parsed(() => parseEdit(JSON.parse(event.entry.value)));
+      const edit = tryParse(() => parseEdit(JSON.parse(event.entry.value)));
       if (edit.isOk()) onEdit(edit.value);
       else onLost(edit.error.message);
     }, "table");
@@ -192,31 +194,33 @@
       const entry = await this.#store.get(pageKey(ref.name, page), "table");
       if (entry.isErr()) return err(entry.error);
       // A newer snapshot has replaced this one meanwhile; the next look at the head finds it.
-      if (!entry.value) return err(missing(`page ${page} of ${ref.name}`));
+      if (!entry.value) return err(missingError(`page ${page} of ${ref.name}`));
       const { value } = entry.value;
-      const read = parsed(() => parsePage(JSON.parse(value)));
+      const read = tryParse(() => parsePage(JSON.parse(value)));
       if (read.isErr()) return err(read.error);
       pages.push(read.value);
     }
-    const image = imageOf(pages);
-    if (!image) return err(missing(`whole pages of ${ref.name}`));
+    const image = joinPages(pages);
+    if (!image) return err(missingError(`whole pages of ${ref.name}`));
     log.load(image);
     return ok(undefined);
   }
 
-  async #nameSnapshot(
+  async #publishSnapshot(
     ref: SnapshotRef,
-    advanceTo: string | undefined,
+    advanceToId: string | undefined,
   ): Promise<Result<void, StoreError>> {
-    for (let tries = 0; tries < SNAPSHOT_TRIES; tries++) {
+    for (let tries = 0; tries < MAX_SNAPSHOT_ATTEMPTS; tries++) {
       const seen = await this.head(0);
       if (seen.isErr()) return err(seen.error);
       const { head, rev } = seen.value;
       if ((head?.snapshot?.version ?? 0) >= ref.version) return ok(undefined);
       const behind = (head?.version ?? 0) < ref.version;
-      if (behind && advanceTo === undefined) return err(missing("this head"));
+      if (behind && advanceToId === undefined) {
+        return err(missingError("this head"));
+      }
       const { version, id } = behind
-        ? { version: ref.version, id: advanceTo! }
+        ? { version: ref.version, id: advanceToId! }
         : head!;
       const value = JSON.stringify({ version, id, snapshot: ref });
       const put = await this.#store.put(
@@ -228,19 +232,19 @@
       if (put.isOk()) return ok(undefined);
       if (put.error.kind !== "conflict") return err(put.error);
     }
-    return err(missing("a quiet moment of the head"));
+    return err(missingError("a quiet moment of the head"));
   }
 
-  async #cleanUp(ref: SnapshotRef): Promise<Result<void, StoreError>> {
+  async #deleteReplaced(ref: SnapshotRef): Promise<Result<void, StoreError>> {
     const keys = await this.#oldPages(ref);
     if (keys.isErr()) return err(keys.error);
-    const oldEdits = await this.#oldEdits(ref.version - LOG_KEPT);
+    const oldEdits = await this.#oldEdits(ref.version - RETAINED_EDITS);
     if (oldEdits.isErr()) return err(oldEdits.error);
     const deletes = [...keys.value, ...oldEdits.value]
       .map((key): Write => ({ type: "delete", key }));
     while (deletes.length > 0) {
-      const part = deletes.splice(0, DELETES_PER_TRANSACTION);
-      const result = await this.#store.transact(part, "table");
+      const batch = deletes.splice(0, DELETES_PER_TRANSACTION);
+      const result = await this.#store.transact(batch, "table");
       if (result.isErr()) return err(result.error);
     }
     return ok(undefined);
@@ -249,13 +253,13 @@
   /** Pages of older snapshots, those of writers that died half-way among them; reads one page of each. */
   async #oldPages(ref: SnapshotRef): Promise<Result<string[], StoreError>> {
     const keys: string[] = [];
-    let fromKey = SNAP_PREFIX;
+    let fromKey = SNAPSHOT_PREFIX;
     for (;;) {
       const options = { fromKey, limit: 1 };
-      const found = await this.#store.list(SNAP_PREFIX, options, "table");
+      const found = await this.#store.list(SNAPSHOT_PREFIX, options, "table");
       if (found.isErr()) return err(found.error);
       const [entry] = found.value.entries;
-      const name = entry?.key.slice(SNAP_PREFIX.length).split("/")[0];
+      const name = entry?.key.slice(SNAPSHOT_PREFIX.length).split("/")[0];
       if (!name || name >= ref.name) return ok(keys);
       const { pages } = JSON.parse(entry.value) as ImagePage;
       for (let page = 0; page < pages; page++) keys.push(pageKey(name, page));
@@ -277,7 +281,7 @@
   }
 }
 
-function parsed<T>(read: () => T): Result<T, StoreError> {
+function tryParse<T>(read: () => T): Result<T, StoreError> {
   try {
     return ok(read());
   } catch (error) {
@@ -286,6 +290,6 @@
   }
 }
 
-function missing(what: string): StoreError {
+function missingError(what: string): StoreError {
   return { kind: "unavailable", message: `the store has not got ${what}` };
 }
--- a/src/services/table_store_test.ts
+++ b/src/services/table_store_test.ts
@@ -5,14 +5,14 @@
 import {
   LOG_PREFIX,
   type RowChange,
-  SNAP_PREFIX,
+  SNAPSHOT_PREFIX,
   TableLog,
   tableRow,
 } from "../agreement/mod.ts";
 import { MemoryKeyValue } from "../standins/mod.ts";
 import { TableEditor } from "./table_editor.ts";
 import { TableService } from "./table_service.ts";
-import { LOG_KEPT, TableStore } from "./table_store.ts";
+import { RETAINED_EDITS, TableStore } from "./table_store.ts";
 
 const put = (id: string, weight: number): RowChange => ({
   type: "put",
@@ -59,8 +59,8 @@
     }
     await clock.sleep(0);
     const log = await keys(store, LOG_PREFIX);
-    t.true(log.length < 512 + LOG_KEPT + 20, String(log.length));
-    t.is((await keys(store, SNAP_PREFIX)).length, 1);
+    t.true(log.length < 512 + RETAINED_EDITS + 20, String(log.length));
+    t.is((await keys(store, SNAPSHOT_PREFIX)).length, 1);
     const cold = await coldStart(store);
     t.is(cold.log.table.version, 1300);
     t.is(cold.log.lastId, service.log.lastId);
@@ -81,11 +81,11 @@
     store.faults.set([{ keyPrefix: "table/head", outage: "cut" }]);
     t.true((await writer.writeSnapshot(service.log.image(), "b")).isErr());
     store.faults.clear();
-    t.is((await keys(store, SNAP_PREFIX)).length, 2);
+    t.is((await keys(store, SNAPSHOT_PREFIX)).length, 2);
     t.is((await coldStart(store)).log.table.version, 11);
     await edit([put("r2", 99)]);
     t.true((await writer.writeSnapshot(service.log.image(), "c")).isOk());
-    const [left, ...more] = await keys(store, SNAP_PREFIX);
+    const [left, ...more] = await keys(store, SNAPSHOT_PREFIX);
     t.regex(left, /-c\//);
     t.deepEqual(more, []);
   });
@@ -94,7 +94,7 @@
   // try finds the new one; a table of half the rows never comes in force.
   it("that are replaced while they are read are read again", async (t) => {
     const { edit, service, store } = await openVm(t);
-    for (let i = 1; i <= LOG_KEPT + 50; i++) await edit([put("r1", i)]);
+    for (let i = 1; i <= RETAINED_EDITS + 50; i++) await edit([put("r1", i)]);
     const writer = new TableStore(store);
     t.true((await writer.writeSnapshot(service.log.image(), "a")).isOk());
     const late = (await writer.head(0))._unsafeUnwrap();
--- a/src/services/table_sync.ts
+++ b/src/services/table_sync.ts
@@ -19,7 +19,7 @@
  * A VM without a table that is not a watcher reads the store at this period only: a fleet that starts at once gets its
  * table from the watchers, and does not bring the store down by reading it whole from every VM.
  */
-const WANTED_PERIOD_MS = 10_000;
+const NON_WATCHER_PERIOD_MS = 10_000;
 
 /** What a {@link TableSync} works with. */
 export interface TableSyncOptions {
@@ -28,7 +28,7 @@
   readonly store: TableStore;
   readonly random: Random;
   /** Between looks at the head: finds a silent watch and a store that was restored. */
-  readonly headMs: number;
+  readonly headCheckMs: number;
   /** Takes edits that the watch reports. */
   readonly onEdits: (edits: readonly LoggedEdit[]) => void;
   /** The log was brought up by these edits, after an image if `imageLoaded`. */
@@ -42,17 +42,17 @@
 export class TableSync {
   readonly #options: TableSyncOptions;
   #watch: Watch | undefined;
-  #syncing: Promise<Result<StoreHead, StoreError>> | undefined;
-  #next: Promise<Result<StoreHead, StoreError>> | undefined;
+  #currentRead: Promise<Result<StoreHead, StoreError>> | undefined;
+  #nextRead: Promise<Result<StoreHead, StoreError>> | undefined;
   #error: StoreError | undefined;
-  #alarm: Regression["type"] | undefined;
-  #failuresInRow = 0;
-  #failures = 0;
-  #alarms = 0;
-  #nextHeadAtMs = 0;
+  #reportedRegression: Regression["type"] | undefined;
+  #consecutiveFailures = 0;
+  #failureCount = 0;
+  #regressionCount = 0;
+  #nextHeadCheckAtMs = 0;
   #retryAtMs = 0;
-  #wantedAtMs = 0;
-  #reached = false;
+  #nextTurnAtMs = 0;
+  #isStoreReachable = false;
   #closed = false;
 
   constructor(options: TableSyncOptions) {
@@ -60,24 +60,24 @@
   }
 
   /** Whether the last look at the store succeeded. */
-  get reached(): boolean {
-    return this.#reached;
+  get isStoreReachable(): boolean {
+    return this.#isStoreReachable;
   }
 
   dump() {
     return {
       watching: this.#watch !== undefined,
       storeError: this.#error,
-      storeFailures: this.#failures,
-      storeCalls: this.#options.store.calls,
+      storeFailures: this.#failureCount,
+      storeCalls: this.#options.store.callCount,
       regression: this.#options.log.regression,
-      regressions: this.#alarms,
+      regressions: this.#regressionCount,
     };
   }
 
   close(): void {
     this.#closed = true;
-    this.#unwatch();
+    this.#closeWatch();
   }
 
   /**
@@ -85,30 +85,30 @@
    * than what the caller knows from a heartbeat, and would make a sound store look restored. Calls share the next one.
    */
   sync(): Promise<Result<StoreHead, StoreError>> {
-    if (!this.#syncing) return this.#begin();
-    const begin = () => {
-      this.#next = undefined;
-      return this.#begin();
+    if (!this.#currentRead) return this.#startRead();
+    const startRead = () => {
+      this.#nextRead = undefined;
+      return this.#startRead();
     };
-    this.#next ??= this.#syncing.then(begin, begin);
-    return this.#next;
+    this.#nextRead ??= this.#currentRead.then(startRead, startRead);
+    return this.#nextRead;
   }
 
-  /** Looks at the head at the next {@link TableSync.look}, whatever its period. */
-  lookSoon(): void {
-    this.#nextHeadAtMs = 0;
+  /** Looks at the head at the next {@link TableSync.checkStore}, whatever its period. */
+  checkHeadSoon(): void {
+    this.#nextHeadCheckAtMs = 0;
   }
 
   /** Holds a watch and looks at the head now and then, if `watcher`; otherwise looks only if `wanted`. */
-  async look(watcher: boolean, wanted: boolean): Promise<void> {
+  async checkStore(isWatcher: boolean, needsTable: boolean): Promise<void> {
     const nowMs = this.#options.kernel.clock.monoMs();
-    if (!watcher) this.#unwatch();
-    if (!watcher && !(wanted && this.#takeWantedTurn(nowMs))) return;
+    if (!isWatcher) this.#closeWatch();
+    if (!isWatcher && !(needsTable && this.#takeReadTurn(nowMs))) return;
     if (nowMs < this.#retryAtMs) return;
-    const unwatched = watcher && !this.#watch;
-    if (!unwatched && nowMs < this.#nextHeadAtMs) return;
+    const needsWatch = isWatcher && !this.#watch;
+    if (!needsWatch && nowMs < this.#nextHeadCheckAtMs) return;
     const seen = await this.sync();
-    if (seen.isErr() || !watcher || this.#watch || this.#closed) return;
+    if (seen.isErr() || !isWatcher || this.#watch || this.#closed) return;
     this.#openWatch(seen.value.storeRev + 1);
   }
 
@@ -116,15 +116,15 @@
    * A store that shows an older or another log than is in force was restored from an old copy. Following it would take
    * back accepted edits without anyone's will, so it is told once, in the log, the dump and a counter.
    */
-  noteAlarm(): void {
+  reportRegression(): void {
     const { kernel, log } = this.#options;
     const { regression } = log;
-    if (this.#alarm === regression?.type) return;
-    this.#alarm = regression?.type;
+    if (this.#reportedRegression === regression?.type) return;
+    this.#reportedRegression = regression?.type;
     if (!regression) return void kernel.log.info("table store agrees again");
     const { type, storeVersion, version } = regression;
     const { code } = codes.storeRegressed;
-    this.#alarms++;
+    this.#regressionCount++;
     kernel.log.error("table store regressed", {
       code,
       type,
@@ -137,49 +137,54 @@
   }
 
   /** The first turn comes a second or two after the first look, when the watchers should have the table. */
-  #takeWantedTurn(nowMs: number): boolean {
+  #takeReadTurn(nowMs: number): boolean {
     const jitter = 0.75 + this.#options.random.next() / 2;
-    const first = this.#wantedAtMs === 0;
-    if (!first && nowMs < this.#wantedAtMs) return false;
-    const periodMs = first ? WANTED_PERIOD_MS / 5 : WANTED_PERIOD_MS;
-    this.#wantedAtMs = nowMs + periodMs * jitter;
-    return !first;
+    const isFirst = this.#nextTurnAtMs === 0;
+    if (!isFirst && nowMs < this.#nextTurnAtMs) return false;
+    const periodMs = isFirst
+      ? NON_WATCHER_PERIOD_MS / 5
+      : NON_WATCHER_PERIOD_MS;
+    this.#nextTurnAtMs = nowMs + periodMs * jitter;
+    return !isFirst;
   }
 
-  #begin(): Promise<Result<StoreHead, StoreError>> {
-    this.#syncing = this.#read().finally(() => this.#syncing = undefined);
-    return this.#syncing;
+  #startRead(): Promise<Result<StoreHead, StoreError>> {
+    this.#currentRead = this.#read().finally(() =>
+      this.#currentRead = undefined
+    );
+    return this.#currentRead;
   }
 
   async #read(): Promise<Result<StoreHead, StoreError>> {
     const { log, store, onCaughtUp } = this.#options;
     const seen = await store.head(log.table.version);
-    if (seen.isErr()) return this.#note(seen);
+    if (seen.isErr()) return this.#recordResult(seen);
     const { head, readAtVersion } = seen.value;
     const before = log.table.version;
-    if (log.seeHead(head, readAtVersion) === "ahead") {
+    if (log.compareHead(head, readAtVersion) === "ahead") {
       const applied = await store.catchUp(log, seen.value);
-      if (applied.isErr()) return this.#note(err(applied.error));
-      const risen = log.table.version - before;
-      const imageLoaded = risen > applied.value.length;
-      if (risen > 0) await onCaughtUp(applied.value, imageLoaded);
+      if (applied.isErr()) return this.#recordResult(err(applied.error));
+      const advancedBy = log.table.version - before;
+      const imageLoaded = advancedBy > applied.value.length;
+      if (advancedBy > 0) await onCaughtUp(applied.value, imageLoaded);
       if (log.table.version === head?.version) {
-        log.seeHead(head, readAtVersion);
+        log.compareHead(head, readAtVersion);
       }
     }
-    this.noteAlarm();
-    return this.#note(seen);
+    this.reportRegression();
+    return this.#recordResult(seen);
   }
 
-  #note<T>(result: Result<T, StoreError>): Result<T, StoreError> {
-    const { kernel, random, headMs } = this.#options;
+  #recordResult<T>(result: Result<T, StoreError>): Result<T, StoreError> {
+    const { kernel, random, headCheckMs } = this.#options;
     const nowMs = kernel.clock.monoMs();
-    this.#reached = result.isOk();
+    this.#isStoreReachable = result.isOk();
     if (result.isOk()) {
       if (this.#error) kernel.log.info("table store is back");
       this.#error = undefined;
-      this.#failuresInRow = 0;
-      this.#nextHeadAtMs = nowMs + headMs * (0.75 + random.next() / 2);
+      this.#consecutiveFailures = 0;
+      this.#nextHeadCheckAtMs = nowMs +
+        headCheckMs * (0.75 + random.next() / 2);
       return result;
     }
     const { kind, message } = result.error;
@@ -187,9 +192,9 @@
       kernel.log.warn("table store away", { kind, message });
     }
     this.#error = result.error;
-    this.#failures++;
+    this.#failureCount++;
     this.#retryAtMs = nowMs +
-      backoffMs(this.#failuresInRow++, STORE_BACKOFF, random);
+      backoffMs(this.#consecutiveFailures++, STORE_BACKOFF, random);
     return result;
   }
 
@@ -209,7 +214,7 @@
     this.#watch = watch;
   }
 
-  #unwatch(): void {
+  #closeWatch(): void {
     this.#watch?.close();
     this.#watch = undefined;
   }
--- a/src/services/weights.ts
+++ b/src/services/weights.ts
@@ -16,11 +16,11 @@
   region: string,
 ): Weights {
   const rows = table.upstreams(service, region);
-  const most = Math.max(1, ...rows.map((row) => row.slots));
+  const maxSlots = Math.max(1, ...rows.map((row) => row.slots));
   const weights: Record<string, number> = {};
   for (const row of rows) {
-    const able = row.state === "active" ? row.slots / most : 0;
-    weights[row.id] = Math.round(able * 1000) / 1000;
+    const weight = row.state === "active" ? row.slots / maxSlots : 0;
+    weights[row.id] = Math.round(weight * 1000) / 1000;
   }
   return weights;
 }
@@ -40,7 +40,7 @@
 }
 
 /** Unchanged content is sent again this often: a store that lost it has it back. */
-const REPEAT_MS = 300_000;
+const REPEAT_INTERVAL_MS = 300_000;
 
 /** Remembers what the platform has, and picks what to send next. Free of I/O. */
 export class PublicationQueue {
@@ -53,9 +53,10 @@
     for (const publication of wanted) {
       const sent = this.#sent.get(publication.name);
       const text = JSON.stringify(publication.content);
-      const same = sent?.text === text && nowMs - sent.atMs < REPEAT_MS;
+      const isUnchanged = sent?.text === text &&
+        nowMs - sent.atMs < REPEAT_INTERVAL_MS;
       const sentMs = sent?.atMs ?? 0;
-      if (same || sentMs >= oldestMs) continue;
+      if (isUnchanged || sentMs >= oldestMs) continue;
       oldest = publication;
       oldestMs = sentMs;
     }
@@ -63,7 +64,7 @@
   }
 
   /** The platform took it. */
-  done({ name, content }: Publication, nowMs: number): void {
+  markSent({ name, content }: Publication, nowMs: number): void {
     this.#sent.set(name, { text: JSON.stringify(content), atMs: nowMs });
   }
 
--- a/src/standins/platform.ts
+++ b/src/standins/platform.ts
@@ -10,7 +10,7 @@
 import Router from "@koa/router";
 import Koa from "koa";
 import { z } from "zod";
-import { decode } from "../adapters/etcd_codec.ts";
+import { decodeBase64 } from "../adapters/etcd_codec.ts";
 import type { ListedVm } from "../adapters/platform.ts";
 import {
   faultSchema,
@@ -145,7 +145,7 @@
     router.post("/v3/watch", async (context) => {
       const request = await readJson(context.req) as WatchRequest;
       const vmId = vmIdOf(context.req);
-      const prefix = decode(request.create_request.key);
+      const prefix = decodeBase64(request.create_request.key);
       if (this.faults.isOut(vmId, prefix)) return cut(context);
       if (!this.#allow(false)) return answer(context, tooMany());
       context.respond = false;
@@ -285,7 +285,7 @@
 }
 
 function readOf(request: { readonly key: string }): CallKind {
-  return { key: decode(request.key), write: false };
+  return { key: decodeBase64(request.key), write: false };
 }
 
 function txnOf(
@@ -298,7 +298,7 @@
 ): CallKind {
   const first = request.success?.[0];
   const key = first?.request_put?.key ?? first?.request_delete_range?.key;
-  return { key: decode(key), write: true };
+  return { key: decodeBase64(key), write: true };
 }
 
 function vmIdOf(request: IncomingMessage): string {
--- a/src/standins/platform_etcd.ts
+++ b/src/standins/platform_etcd.ts
@@ -5,7 +5,7 @@
  */
 
 import type { ServerResponse } from "node:http";
-import { decode, encode } from "../adapters/etcd_codec.ts";
+import { decodeBase64, encodeBase64 } from "../adapters/etcd_codec.ts";
 import type {
   PlatformStore,
   StoreChange,
@@ -69,9 +69,11 @@
   }
 
   range(request: RangeRequest): GatewayAnswer {
-    const key = decode(request.key);
+    const key = decodeBase64(request.key);
     const limit = Number(request.limit ?? 0) || Infinity;
-    const end = request.range_end ? decode(request.range_end) : `${key}\0`;
+    const end = request.range_end
+      ? decodeBase64(request.range_end)
+      : `${key}\0`;
     const { entries, more } = this.#store.range(key, end, limit);
     const kvs = entries.map(pairOf);
     return this.#done({ kvs, more, count: String(kvs.length) });
@@ -83,18 +85,21 @@
       return gatewayError(400, 3, "etcdserver: too many operations");
     }
     const compares = (request.compare ?? []).map((compare) => ({
-      key: decode(compare.key),
+      key: decodeBase64(compare.key),
       rev: Number(compare.mod_revision),
     }));
     const writes = success.map(({ request_put, request_delete_range }) =>
       request_put
         ? {
           type: "put" as const,
-          key: decode(request_put.key),
-          value: decode(request_put.value),
+          key: decodeBase64(request_put.key),
+          value: decodeBase64(request_put.value),
           leaseId: leaseOf(request_put.lease),
         }
-        : { type: "delete" as const, key: decode(request_delete_range!.key) }
+        : {
+          type: "delete" as const,
+          key: decodeBase64(request_delete_range!.key),
+        }
     );
     const result = this.#store.transact(compares, writes);
     switch (result.type) {
@@ -127,7 +132,7 @@
   /** Streams changes to `response` as NDJSON until it closes; returns a function that ends the watch. */
   watch(request: WatchRequest, response: ServerResponse): () => void {
     const { key, start_revision } = request.create_request;
-    const prefix = decode(key);
+    const prefix = decodeBase64(key);
     const send = (result: unknown) =>
       response.write(`${JSON.stringify({ result })}\n`);
     const fromRev = Number(start_revision ?? 0) || this.#store.rev + 1;
@@ -170,14 +175,17 @@
 
 function pairOf(entry: StoredEntry) {
   return {
-    key: encode(entry.key),
-    value: encode(entry.value),
+    key: encodeBase64(entry.key),
+    value: encodeBase64(entry.value),
     mod_revision: String(entry.rev),
   };
 }
 
 function eventOf(change: StoreChange) {
   if (change.type === "put") return { kv: pairOf(change.entry) };
-  const kv = { key: encode(change.key), mod_revision: String(change.rev) };
+  const kv = {
+    key: encodeBase64(change.key),
+    mod_revision: String(change.rev),
+  };
   return { type: "DELETE", kv };
 }
--- a/test/fuzz_claims_variants.ts
+++ b/test/fuzz_claims_variants.ts
@@ -7,10 +7,10 @@
 import { ok, type Result } from "neverthrow";
 import type { StoreError } from "../src/adapters/mod.ts";
 import {
-  type ClaimAsk,
-  ClaimCommit,
+  ClaimCommitter,
   type ClaimEvent,
   ClaimOwner,
+  type ClaimRequest,
   ClaimWitness,
   type CommitOutcome,
   type Now,
@@ -20,7 +20,7 @@
 import type { Variant } from "./fuzz_claims_vms.ts";
 
 class GrantsBeforeCommit extends ClaimOwner {
-  protected override admit(now: Now, ask: ClaimAsk, ticket: number): void {
+  protected override admit(now: Now, ask: ClaimRequest, ticket: number): void {
     super.admit(now, ask, ticket);
     const dispatchBeforeMonoMs = now.monoMs + this.limits.dispatchMs;
     const { claimId } = ask;
@@ -28,17 +28,17 @@
   }
 }
 
-class TakesLostAsWritten extends ClaimCommit {
+class TakesLostAsWritten extends ClaimCommitter {
   override onWritten(
     now: Now,
     result: Result<number, StoreError>,
   ): CommitOutcome {
     const isLost = result.isErr() && result.error.kind === "lost";
-    return super.onWritten(now, isLost ? ok(this.at.rev + 1) : result);
+    return super.onWritten(now, isLost ? ok(this.storedHead.rev + 1) : result);
   }
 }
 
-class TakesLostAsNotWritten extends ClaimCommit {
+class TakesLostAsNotWritten extends ClaimCommitter {
   override onWritten(
     now: Now,
     result: Result<number, StoreError>,
@@ -49,19 +49,19 @@
 }
 
 class GrantsWithoutPromise extends ClaimOwner {
-  protected override promisesHold(): boolean {
+  protected override arePromisesValid(): boolean {
     return true;
   }
 }
 
 class GrantsUnheld extends ClaimOwner {
-  protected override heldN(): number {
+  protected override replicatedN(): number {
     return Infinity;
   }
 }
 
 class DeniesAtOnce extends ClaimOwner {
-  protected override denies(): boolean {
+  protected override canDenyWithoutWrite(): boolean {
     return true;
   }
 }
@@ -73,13 +73,13 @@
 }
 
 class ForgetsGrants extends ClaimWitness {
-  override missing(): ClaimEvent[] {
+  override uncommittedEvents(): ClaimEvent[] {
     return [];
   }
 }
 
 class PromisesWhileTaking extends ClaimWitness {
-  override startTake(): void {}
+  override startTakeover(): void {}
 }
 
 class PromisesForPredecessor extends ClaimWitness {
--- a/test/fuzz_claims_vms.ts
+++ b/test/fuzz_claims_vms.ts
@@ -10,7 +10,7 @@
   ClaimOwner,
   ClaimShard,
   ClaimWitness,
-  defaultShardLimits,
+  DEFAULT_SHARD_LIMITS,
   type Effect,
   type Now,
   sameVm,
@@ -35,7 +35,7 @@
 
 /** Limits of the shard, shorter than by default. */
 export const limits: ShardLimits = {
-  ...defaultShardLimits,
+  ...DEFAULT_SHARD_LIMITS,
   touchMs: 500,
   slowMs: 300,
   outageAfterMs: 2000,
--- a/test/fuzz_claims_world.ts
+++ b/test/fuzz_claims_world.ts
@@ -6,8 +6,8 @@
  */
 
 import type {
-  ClaimAsk,
   ClaimChange,
+  ClaimRequest,
   ShardReply,
 } from "../src/agreement/mod.ts";
 import { toggle } from "./fuzz_claims_links.ts";
@@ -24,7 +24,7 @@
 export type Step = readonly [op: number, a: number, b: number];
 
 interface Attempt {
-  readonly ask: ClaimAsk;
+  readonly ask: ClaimRequest;
   readonly by: Vm;
   readonly askedMonoMs: number;
   state: "asked" | "granted" | "dispatched" | "over";
@@ -139,7 +139,7 @@
     for (const vm of this.running()) {
       if (!vm.shard.isOwner) continue;
       const ask = this.#newAsk(vm, "last");
-      this.send(vm, (ticket, now) => vm.shard.ask(now, ask, ticket), (r) => {
+      this.send(vm, (ticket, now) => vm.shard.claim(now, ask, ticket), (r) => {
         reply = r;
       });
     }
@@ -172,7 +172,7 @@
     this.note(`${owner.ref.id} wakes`);
   }
 
-  #newAsk(by: Vm, key: string): ClaimAsk {
+  #newAsk(by: Vm, key: string): ClaimRequest {
     const claimId = `${by.ref.id}.${by.ref.incarnation}.${this.nextTicket++}`;
     return {
       key,
@@ -215,7 +215,7 @@
     this.links.post(by.slot, target, () => {
       const owner = this.vms[target];
       if (!owner) return;
-      this.send(owner, (ticket, now) => owner.shard.ask(now, ask, ticket), (
+      this.send(owner, (ticket, now) => owner.shard.claim(now, ask, ticket), (
         reply,
       ) => {
         const validForMs = reply.type === "granted"
--- a/test/fuzz_table_world.ts
+++ b/test/fuzz_table_world.ts
@@ -223,7 +223,7 @@
 
   #catchUp(vm: Vm, { head, readAtVersion }: SeenHead): void {
     const { log, snapshot } = this.#store;
-    const relation = vm.log.seeHead(head, readAtVersion);
+    const relation = vm.log.compareHead(head, readAtVersion);
     if (relation === "older") {
       must(vm.log.regression !== undefined, "an older store without an alarm");
     }
@@ -231,7 +231,7 @@
       const next = vm.log.table.version + 1;
       if (!log.has(next) && snapshot) vm.log.load(snapshot);
       vm.log.offer([...log.values()]);
-      vm.log.seeHead(head, readAtVersion);
+      vm.log.compareHead(head, readAtVersion);
     }
     this.#check(vm);
   }
@@ -276,11 +276,11 @@
     vm.waiting = undefined;
     const { result } = flight;
     const heard = !lost && result !== "flying" && result !== "cut";
-    this.#end(vm, attempt, attempt.answered(heard ? result : "lost", vm.log));
+    this.#end(vm, attempt, attempt.onAnswer(heard ? result : "lost", vm.log));
   }
 
   #push(from: Vm, to: Vm, c: number): void {
-    const edits = [...from.log.history()];
+    const edits = [...from.log.recentEdits()];
     const part = edits.slice(c % (edits.length + 1));
     if (c % 2) part.reverse();
     to.log.offer(c % 3 ? part : [...part, ...part.slice(0, 2)]);
@@ -323,7 +323,7 @@
   #snapshot(vm: Vm): void {
     const store = this.#store;
     const { head, readAtVersion } = this.#read(vm);
-    if (!head || vm.log.seeHead(head, readAtVersion) !== "same") return;
+    if (!head || vm.log.compareHead(head, readAtVersion) !== "same") return;
     store.snapshot = vm.log.image();
     store.rev++;
     store.headRev = store.rev;
--- a/test/vms.ts
+++ b/test/vms.ts
@@ -6,7 +6,7 @@
 
 import { WsTransport } from "../src/adapters/mod.ts";
 import {
-  type MembersTimes,
+  type MembershipTimes,
   Table,
   type TableRow,
   tableRow,
@@ -112,7 +112,7 @@
   readonly seeds: readonly string[];
   /** 0 or absent: any free port. */
   readonly port?: number;
-  readonly times?: MembersTimes;
+  readonly times?: MembershipTimes;
   readonly loadSource?: LoadSource;
 }
 
