--- a/src/adapters/etcd_key_value.ts
+++ b/src/adapters/etcd_key_value.ts
@@ -33,7 +33,7 @@
   PlatformClient,
   type PlatformOptions,
   toPlatformError,
-} from "./platform_http.ts";
+} from "./platform_client.ts";
 
 /** A connection to etcd. No call is repeated: a lost answer is the caller's to settle. */
 export class EtcdKeyValue extends KeyValue {
--- a/src/adapters/http_platform.ts
+++ b/src/adapters/http_platform.ts
@@ -19,7 +19,7 @@
   type PlatformError,
   type PlatformOptions,
   toPlatformError,
-} from "./platform_http.ts";
+} from "./platform_client.ts";
 
 const listedVms = z.object({
   vms: z.array(z.object({
--- a/src/adapters/mod.ts
+++ b/src/adapters/mod.ts
@@ -7,7 +7,7 @@
 export * from "./key_value.ts";
 export * from "./etcd_key_value.ts";
 export * from "./platform.ts";
-export * from "./platform_http.ts";
+export * from "./platform_client.ts";
 export * from "./http_platform.ts";
 export * from "./transport.ts";
 export * from "./upstream.ts";
@@ -15,6 +15,6 @@
 export * from "./link_faults.ts";
 export * from "./ws_transport.ts";
 export * from "./engine_load.ts";
-export * from "./reach.ts";
+export * from "./reachability.ts";
 export * from "./read_text.ts";
 export * from "./suspect_store.ts";
--- a/src/adapters/platform.ts
+++ b/src/adapters/platform.ts
@@ -6,7 +6,7 @@
  */
 
 import type { Result } from "neverthrow";
-import type { PlatformError } from "./platform_http.ts";
+import type { PlatformError } from "./platform_client.ts";
 
 /** A VM as the platform lists it. */
 export interface ListedVm {
--- a/src/adapters/ws_link.ts
+++ b/src/adapters/ws_link.ts
@@ -22,7 +22,7 @@
   PROTOCOL,
   REGION_HEADER,
   VM_HEADER,
-} from "./ws_wire.ts";
+} from "./peer_socket.ts";
 
 /** What a {@link WsLink} needs of its transport. */
 export interface LinkContext extends PeerSocketContext {
--- a/src/adapters/ws_transport.ts
+++ b/src/adapters/ws_transport.ts
@@ -38,7 +38,7 @@
   PROTOCOL,
   REGION_HEADER,
   VM_HEADER,
-} from "./ws_wire.ts";
+} from "./peer_socket.ts";
 
 /** Who this VM is and where it listens. */
 export interface WsTransportOptions {
--- a/src/agreement/claim_commit.ts
+++ b/src/agreement/claim_commit.ts
@@ -15,7 +15,7 @@
   type StoredHead,
 } from "./claim_batch.ts";
 import { parseHead, type ShardHead } from "./claim_head.ts";
-import type { UncommittedLog } from "./claim_log.ts";
+import type { UncommittedLog } from "./uncommitted_log.ts";
 import type { Now, Outbox, ShardLimits, ShardView } from "./claim_machine.ts";
 import { sameVm, type VmRef } from "./claim_record.ts";
 import type { OwnedShard } from "./claim_takeover.ts";
--- a/src/agreement/claim_machine.ts
+++ b/src/agreement/claim_machine.ts
@@ -8,8 +8,8 @@
 import type { BackoffLimits } from "../base/mod.ts";
 import type { ClaimAnswer } from "./claim.ts";
 import type { TakeoverLimits } from "./claim_head.ts";
-import type { EventLimits, Ticket } from "./claim_log.ts";
-import type { PromiseLimits } from "./claim_outage.ts";
+import type { EventLimits, Ticket } from "./uncommitted_log.ts";
+import type { PromiseLimits } from "./witness_tracker.ts";
 import type { ClaimState, VmRef } from "./claim_record.ts";
 import type { ReplicaMessage } from "./claim_witness.ts";
 
--- a/src/agreement/claim_owner.ts
+++ b/src/agreement/claim_owner.ts
@@ -11,7 +11,11 @@
 import type { ShardKeys, StoredHead } from "./claim_batch.ts";
 import type { ShardHead } from "./claim_head.ts";
 import { ClaimCommitter, type CommitOutcome } from "./claim_commit.ts";
-import { type LogEntry, type Ticket, UncommittedLog } from "./claim_log.ts";
+import {
+  type LogEntry,
+  type Ticket,
+  UncommittedLog,
+} from "./uncommitted_log.ts";
 import type {
   ClaimChange,
   Now,
@@ -20,7 +24,7 @@
   ShardReply,
   ShardView,
 } from "./claim_machine.ts";
-import { WitnessTracker } from "./claim_outage.ts";
+import { WitnessTracker } from "./witness_tracker.ts";
 import {
   type ClaimEvent,
   ClaimIndex,
--- a/src/agreement/claim_shard.ts
+++ b/src/agreement/claim_shard.ts
@@ -12,7 +12,7 @@
 import type { Random } from "../base/mod.ts";
 import type { Result } from "neverthrow";
 import type { ShardKeys } from "./claim_batch.ts";
-import type { Ticket } from "./claim_log.ts";
+import type { Ticket } from "./uncommitted_log.ts";
 import {
   type ClaimChange,
   type Effect,
--- a/src/agreement/members.ts
+++ b/src/agreement/members.ts
@@ -16,7 +16,7 @@
   viewDigest,
 } from "./member_list.ts";
 import { type MemberRecord, replaces } from "./member_record.ts";
-import { SyncTrigger } from "./member_view.ts";
+import { SyncTrigger } from "./sync_trigger.ts";
 
 /** Rides on each ping and answer. */
 export interface Gossip {
--- a/src/explain/mod.ts
+++ b/src/explain/mod.ts
@@ -5,5 +5,5 @@
  */
 
 export * from "./log_line.ts";
-export * from "./story.ts";
+export * from "./explanation.ts";
 export * from "./summary.ts";
--- a/src/services/directory.ts
+++ b/src/services/directory.ts
@@ -32,7 +32,7 @@
   type Publication,
   PublicationQueue,
   weightsOf,
-} from "./weights.ts";
+} from "./publications.ts";
 
 /** Which VM this is, and the platform's services where the settings name them. */
 export interface DirectoryOptions {
--- a/src/services/slots.ts
+++ b/src/services/slots.ts
@@ -27,9 +27,9 @@
   Task,
   type TaskPort,
 } from "../kernel/mod.ts";
-import { RemoteSlotsClient, RemoteSlotsHost } from "./away.ts";
+import { RemoteSlotsClient, RemoteSlotsHost } from "./remote_slots.ts";
 import { LeadClient, RENEW_INTERVAL_MS } from "./lead_client.ts";
-import { LoadPoller, type LoadSource } from "./lead_load.ts";
+import { LoadPoller, type LoadSource } from "./load_poller.ts";
 import type { HandoverMessage } from "./lead_messages.ts";
 import { COLLECT_TIMEOUT_MS } from "./lead_pool.ts";
 import { LeadRouter } from "./lead_router.ts";
--- a/src/services/table_service.ts
+++ b/src/services/table_service.ts
@@ -19,7 +19,7 @@
 import { type Kernel, Task } from "../kernel/mod.ts";
 import type { TableMessages, VmInfo } from "./messages.ts";
 import { TableFleet } from "./table_fleet.ts";
-import { type RegionTableVersions, TableVersions } from "./table_in_force.ts";
+import { type RegionTableVersions, TableVersions } from "./table_versions.ts";
 import { TablePeers } from "./table_peers.ts";
 import { type StoreHead, TableStore } from "./table_store.ts";
 import { TableSync } from "./table_sync.ts";
