--- a/src/services/claims.ts
+++ b/src/services/claims.ts
@@ -1,8 +1,8 @@
 /**
- * The claims service: a call that may not be repeated is recorded before its first byte goes to an upstream.
+ * The claims service: records a call that must run at most once before its first byte goes to an upstream.
  *
- * A claim's shard lies in its workspace's home region, on one owner VM there; claims that arrive elsewhere are sent to
- * it. Where the owner can't be had the caller is told at once, and truthfully, that its call was not run.
+ * A claim belongs to a shard in its workspace's home region. One VM there owns the shard; other VMs forward claims to
+ * it. If the owner cannot be reached, the claim is refused at once, and the caller is told that its call was not run.
  *
  * @module
  */
@@ -58,23 +58,23 @@
 
 const TICK_MS = 20;
 const VIEW_REFRESH_MS = 250;
-/** How long `finish`, `release` and `abandon` are tried for while the caller waits; then they go on behind. */
+/** `finish`, `release` and `abandon` block the caller for at most this long, then continue in the background. */
 const CHANGE_TIMEOUT_MS = 2000;
-/** How long a step is tried for behind the caller's back. */
+/** Most attempts to make a change in the background. */
 const MAX_CHANGE_RETRIES = 12;
-/** Most steps that are tried for at the same time behind their callers' backs. */
+/** Most changes that are retried in the background at the same time. */
 const MAX_BACKGROUND_CHANGES = 500;
 const CHANGE_BACKOFF = { firstMs: 250, maxMs: 10_000 };
 const LOOKUP_TIMEOUT_MS = 3000;
 const REPLICATE_TIMEOUT_MS = 1500;
-/** When a caller may come back whose claim found no owner. */
+/** A refused caller is told to retry after this time, unless the owner names another. */
 const RETRY_AFTER_MS = 1000;
-/** Claims take at most this many writes a second in all regions together, unless the settings say otherwise. */
+/** Default limit for the store writes of claims per second, in all regions together. */
 const WRITES_PER_S = 60;
-/** Kept back from a caller's deadline, so that the refusal still reaches it. */
+/** A claim's deadline is this much before the caller's, so that a refusal still reaches the caller in time. */
 const DEADLINE_MARGIN_MS = 50;
 
-/** What a {@link ClaimsService} works with. */
+/** Options of {@link ClaimsService}. */
 export interface ClaimsOptions {
   readonly me: VmRef;
   readonly region: string;
@@ -82,15 +82,15 @@
   /** Absent where this VM is the only one. */
   readonly transport?: Transport;
   readonly members?: TaskPort<MembersMessages>;
-  /** Says each workspace's home; without it every workspace is at home here. */
+  /** Gives each workspace's home region. Without it the home of every workspace is this region. */
   readonly table?: TaskPort<TableMessages>;
   readonly limits?: Partial<ShardLimits>;
-  /** Writes a second that the claims of all regions may take together. */
+  /** Limit for the store writes of claims per second, in all regions together. */
   readonly writesPerS?: number;
   readonly seed?: number;
 }
 
-/** See the module's comment. */
+/** Routes claims, changes and lookups to the owners of their shards, and runs this VM's part in each shard. */
 export class ClaimsService extends Task<ClaimsMessages> {
   readonly name = "claims";
   readonly #options: ClaimsOptions;
@@ -101,11 +101,12 @@
   readonly #timers: Timer[] = [];
   #router!: ClaimsRouter;
   #clock!: Clock;
+  /** VMs of this region. */
   #local: readonly VmInfo[] = [];
   #remote: ReadonlyMap<string, readonly VmInfo[]> = new Map();
   #table: Table | undefined;
   #nextClaim = 0;
-  /** Steps that are tried for behind their callers' backs. */
+  /** Changes that are retried in the background now. */
   #backgroundChanges = 0;
   #closed = false;
 
@@ -161,7 +162,7 @@
     this.#tick();
   }
 
-  /** Hands over the shards owned here, so that the next owner need not wait. */
+  /** Hands over the shards owned here, so that the next owner can start without waiting for a timeout. */
   async close(deadlineMs: number): Promise<void> {
     for (const driver of this.#drivers) driver.stop();
     while (
@@ -200,7 +201,7 @@
     };
     const routed = await this.#router.send(home, { type: "ask", ask }, false);
     const verdict = this.#verdictOf(routed);
-    // An owner whose answer was lost may have recorded it; the key must be free again for the caller's next try.
+    // If only the owner's answer was lost, the claim may be recorded. It is released, so that the caller can retry.
     if (routed.type === "none" && routed.sent) {
       void this.#changeInBackground(home, { key, claimId, state: "released" });
     }
@@ -232,7 +233,7 @@
     };
   }
 
-  /** Takes a step of a claim. The caller waits while it is tried for some time; after that it goes on behind. */
+  /** Changes a claim's state. If the first attempt fails, the caller is answered and retries run in the background. */
   async #change(
     input: ClaimKey & { readonly claimId: string },
     step: Pick<ClaimChange, "state" | "answer">,
@@ -255,7 +256,7 @@
   }
 
   async #changeInBackground(home: string, change: ClaimChange): Promise<void> {
-    // In an outage of many calls the steps themselves would become a load: the rest is left "running" or "unknown".
+    // Retries for all calls of a long outage would overload the store; further claims stay "running" or "unknown".
     if (this.#backgroundChanges >= MAX_BACKGROUND_CHANGES) return;
     this.#backgroundChanges++;
     await this.#retryChange(home, change);
@@ -287,7 +288,7 @@
     }
     const retryAtMs = this.#clock.nowMs() + RETRY_AFTER_MS;
     const message = "the record of this key cannot be read now";
-    // Nothing is known of the call itself, so "not run" would be a guess.
+    // This VM does not know whether the call ran, so it must not say "not run".
     return err(
       failure("claimUnavailable", { ran: "unknown", message, retryAtMs }),
     );
@@ -322,7 +323,7 @@
     });
   }
 
-  /** A request of another VM: answered here, or, if it came from another region, sent on to this region's owner. */
+  /** Answers a request of another VM from this VM's shard. A relayed request is sent to the shard's owner. */
   async #answerPeer(
     region: string,
     relayed: boolean,
--- a/src/services/claims_driver.ts
+++ b/src/services/claims_driver.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one {@link ClaimShard}: carries its effects out and brings it the answers.
+ * Runs one {@link ClaimShard}: executes its effects and passes the results back to it.
  *
  * @module
  */
@@ -27,10 +27,10 @@
 } from "../agreement/mod.ts";
 import type { Clock, Random } from "../base/mod.ts";
 
-/** Most segments read in one call. */
+/** Most segments that are read in one store call. */
 const MAX_SEGMENTS_PER_READ = 64;
 
-/** A message to an owner. */
+/** A request to the owner of a shard. */
 export type DriverRequest =
   | { readonly type: "ask"; readonly ask: ClaimRequest }
   | {
@@ -44,7 +44,7 @@
     readonly deadlineMs: number;
   };
 
-/** What a driver works with. */
+/** Options of {@link ClaimsDriver}. */
 export interface ClaimsDriverOptions {
   readonly me: VmRef;
   readonly region: string;
@@ -54,11 +54,11 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
-  /** Sends to a witness; resolves with whether it accepted. Never rejects. */
+  /** Sends grants to a witness. Resolves with whether the witness accepted them; never rejects. */
   readonly replicate: (to: VmRef, message: ReplicaMessage) => Promise<boolean>;
 }
 
-/** The shard's machine with its store and its links. */
+/** Connects a shard's state machine with the store, the clock and the witnesses. */
 export class ClaimsDriver {
   readonly #options: ClaimsDriverOptions;
   readonly #keys: ShardKeys;
@@ -96,12 +96,12 @@
   tick(): void {
     this.#perform(this.#shard.tick(this.#now()));
   }
-  /** Hands the shard over; {@link ClaimsDriver.isStopped} tells when that is done. */
+  /** Starts to hand the shard over; {@link ClaimsDriver.isStopped} becomes true when that is done. */
   stop(): void {
     this.#perform(this.#shard.stop(this.#now()));
   }
 
-  /** Resolves once the request is settled: a claim granted or refused, a step kept. */
+  /** Resolves once the request is settled: the claim is granted or refused, or the change is recorded. */
   send(request: DriverRequest): Promise<ShardReply> {
     const ticket = this.#nextTicket++;
     return new Promise((resolve) => {
@@ -110,12 +110,12 @@
     });
   }
 
-  /** An owner's grants, to this VM as a witness. */
+  /** Accepts or refuses an owner's grants, as a witness. */
   acceptReplica(message: ReplicaMessage): ReplicaAnswer {
     return this.#shard.onReplica(this.#now(), message);
   }
 
-  /** Answers whoever still waits, and drops late answers. */
+  /** Answers all pending requests with `notOwner`, and ignores results that arrive later. */
   close(): void {
     this.#closed = true;
     for (const resolve of this.#pending.values()) resolve({ type: "notOwner" });
@@ -208,7 +208,7 @@
         if (parsed.isErr()) return err(segmentError(entry.key, parsed.error));
         segments.push(parsed.value);
       }
-      // A gap would forget claims: their keys would run again.
+      // Claims in a missing segment would be forgotten, and calls with their keys would run again.
       const expected = segmentKey(this.#keys, from + segments.length - 1);
       const last = found.value.entries.at(-1)?.key;
       if (last !== expected) return err(segmentError(expected, "missing"));
@@ -222,7 +222,7 @@
   return { kind: "unavailable", message: `segment ${key}: ${message}` };
 }
 
-/** A call that throws may have taken effect, like one whose answer was lost. */
+/** Turns an exception into `lost`: a call that throws may have taken effect, as one whose answer was lost may have. */
 async function catchErrors<T>(
   call: Promise<Result<T, StoreError>>,
 ): Promise<Result<T, StoreError>> {
--- a/src/services/claims_region_test.ts
+++ b/src/services/claims_region_test.ts
@@ -20,7 +20,7 @@
 }
 
 describe("claims of several VMs", () => {
-  it("go to the owner, whichever VM is asked", async (t) => {
+  it("are decided by the shard's owner, whichever VM is asked", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
     t.is((await regions.claim(other, "k")).type, "granted");
     t.is((await regions.claim(owner, "k")).type, "running");
@@ -28,8 +28,8 @@
   });
 
   /*
-   * The caller's call is granted by an entry VM that crashes; it repeats the call at another VM. Whether the first one
-   * ran cannot be known, so the repeat is told "unknown" and does not run. New calls go on at the next owner.
+   * The VM that received a call crashes after the claim was granted, and the caller retries at another VM. Whether the
+   * call ran cannot be known, so the retry is answered "unknown" and does not run. The next owner grants new claims.
    */
   it("survive the crash of the owner", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2", "r-3");
@@ -39,7 +39,7 @@
     t.is((await regions.claim(other, "k2", 5000)).type, "granted");
   });
 
-  it("are handed over by an owner that leaves", async (t) => {
+  it("are granted by the next owner after a handover", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
     const closed = owner.claims.close(regions.clock.nowMs() + 5000);
     t.is((await regions.claim(other, "k", 3000)).type, "granted");
@@ -48,16 +48,16 @@
 
   describe("while the store is down", () => {
     /*
-     * A clerk logs a departure in a region that has lost the store. It is served once the owner has the other VM's
-     * promise. Then the owner crashes and the store returns: the repeat must not run a second time.
+     * A region has lost the store. A claim is granted once the other VM has promised not to take the shard over. Then
+     * the owner crashes and the store returns: a retry of the call must not run a second time.
      */
-    it("are granted from memory and not forgotten", async (t) => {
+    it("are granted with the witness's promise and not forgotten", async (t) => {
       const { regions, owner, other } = await startRegion("r-1", "r-2");
       regions.faults.set(storeDown);
       t.is((await regions.claim(other, "k", 9000)).type, "granted");
       t.is((await regions.claim(owner, "k2")).type, "granted");
       regions.crash(owner.info.id);
-      // The other VM waits out its promise before it takes over.
+      // The other VM does not take over before its promise has expired.
       t.not((await regions.claim(other, "k", 15_000)).type, "granted");
       await regions.clock.advance(8000);
       t.is((await regions.claim(other, "k", 15_000)).type, "running");
@@ -65,7 +65,7 @@
       t.is((await regions.claim(other, "k3", 15_000)).type, "granted");
     });
 
-    it("reach the store when it returns, in few writes", async (t) => {
+    it("are written to the store in few writes when it returns", async (t) => {
       const { regions, owner, other } = await startRegion("r-1", "r-2");
       regions.faults.set(storeDown);
       for (let i = 0; i < 40; i++) {
@@ -82,10 +82,10 @@
     });
 
     /*
-     * The store is down and the owner's only witness is cut off, so nobody promises not to replace the owner. The caller
-     * is told at once that its call was not run and when to come back; it is not left waiting for its deadline.
+     * The store is down and the owner's only witness is unreachable, so no VM can promise not to replace the owner. The
+     * caller is told at once that its call was not run and when to retry. It does not have to wait for its deadline.
      */
-    it("are refused truthfully where no promise can be had", async (t) => {
+    it("are refused as not run if no witness can promise", async (t) => {
       const { regions, owner, other } = await startRegion("r-1", "r-2");
       regions.faults.set(storeDown);
       regions.setCut("r-1", "r-2", true);
@@ -104,8 +104,8 @@
   });
 
   /*
-   * The answers of the owner's next writes are lost, though the writes took effect. The callers wait a little longer and
-   * each call is granted once; a repeat finds it running.
+   * The answers to the owner's next writes are lost, although the writes took effect. The callers wait a little longer,
+   * and each claim is granted once. A retry finds the call running.
    */
   it("are settled when the store's answers are lost", async (t) => {
     const { regions, owner } = await startRegion("r-1", "r-2");
@@ -115,10 +115,10 @@
   });
 
   /*
-   * The store is restored from a copy that is older than a claim. The claim's record is gone, but the call ran: a repeat
-   * must be told "unknown", as must every key that is not on record.
+   * The store is restored from a backup that is older than a claim. The claim's record is gone, but the call ran. A
+   * retry must be answered "unknown", and so must every key without a record.
    */
-  it("are doubted after the store went back", async (t) => {
+  it("are answered unknown after the store was restored from a backup", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
     const copy = regions.platform.copy();
     t.is((await regions.claim(owner, "k")).type, "granted");
@@ -129,10 +129,10 @@
   });
 
   /*
-   * The owner cannot see the other VM but reaches the store, as does the other. They must not take the shard from each
-   * other for ever, and the key is granted once.
+   * The owner and the other VM cannot reach each other, but both reach the store. They must not keep taking the shard
+   * from each other, and the key is granted once.
    */
-  it("stay with an owner that shows in the store that it lives", async (t) => {
+  it("stay with an owner that renews its record in the store", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
     regions.setCut("r-1", "r-2", true);
     await regions.clock.advance(10_000);
@@ -140,7 +140,7 @@
     t.is((await regions.claim(other, "k", 8000)).type, "refused");
   });
 
-  it("reach a hidden owner through a third VM", async (t) => {
+  it("reach an owner through a third VM if the link to it is cut", async (t) => {
     const { regions, owner, vms } = await startRegion("r-1", "r-2", "r-3");
     const [other] = vms.filter((vm) => vm !== owner);
     regions.setCut(owner.info.id, other.info.id, true);
@@ -149,10 +149,11 @@
   });
 
   /*
-   * The owner loses region and store at once, as when it is frozen, and is replaced. When it is back it believes that
-   * it still owns the shard: its write fails, its caller is told that nothing ran, and it denies nothing.
+   * The owner loses its region and the store at once, as a frozen process does, and is replaced. When it continues it
+   * believes that it still owns the shard. Its write must fail, its caller is told that nothing ran, and its lookups
+   * must not say that there is no record.
    */
-  it("are fenced when a replaced owner goes on", async (t) => {
+  it("are not granted by a replaced owner that continues", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
     const vm = `^${owner.info.id}$`;
     regions.setCut("r-1", "r-2", true);
@@ -167,10 +168,10 @@
   });
 
   /*
-   * A workspace is at home in another region. Its claim goes there; when that region cannot be reached, the caller is
-   * told at once that its call was not run.
+   * The home of a workspace is a remote region, and its claims are sent there. While that region cannot be reached, the
+   * caller is told at once that its call was not run.
    */
-  it("go to the workspace's home, or are refused at once", async (t) => {
+  it("are sent to the workspace's home region, or refused at once", async (t) => {
     const { regions, vms } = await startRegion("r-1", "q-1");
     const remote = vms.find((vm) => vm.info.region === "q")!;
     regions.homes.set("w", "r");
--- a/src/services/claims_router.ts
+++ b/src/services/claims_router.ts
@@ -1,5 +1,6 @@
 /**
- * Finds the owner of a claim's shard, on this VM or another, and asks it until it answers or the deadline is near.
+ * Finds the owner of a claim's shard, on this VM or another, and sends it requests until it answers or the deadline is
+ * near.
  *
  * @module
  */
@@ -24,35 +25,35 @@
 } from "./claims_wire.ts";
 import type { VmInfo } from "./messages.ts";
 
-/** Between tries while no owner is found: a take-over is under way. */
+/** Delay between attempts while no owner is found, because a takeover is in progress. */
 const OWNER_RETRY_MS = 100;
-/** Longest time that an owner is looked for: a dead one is missed and replaced well before. */
+/** The search for an owner ends after this time; a dead owner is detected and replaced well before. */
 const OWNER_TIMEOUT_MS = 6000;
-/** Most VMs tried in turn to reach an owner through. */
+/** Most VMs that are tried in turn as relays to an owner. */
 const MAX_RELAYS = 2;
-/** Longest time given to one call to another VM; an owner in an outage may hold an ask for some seconds. */
+/** Timeout of one call to another VM. During a store outage an owner may take some seconds to answer a claim. */
 const CALL_TIMEOUT_MS = 8000;
 
-/** What came of a request: a reply, or nothing that settles it; `sent` if an owner may have taken it in. */
+/** The result of a request: a reply, or none that settles it. `sent` says whether an owner may have received it. */
 export type RouteResult =
   | { readonly type: "reply"; readonly reply: ShardReply }
   | { readonly type: "none"; readonly sent: boolean };
 
-/** What a router works with. */
+/** Options of {@link ClaimsRouter}. */
 export interface ClaimsRouterOptions {
   readonly me: VmRef;
   readonly region: string;
   readonly clock: Clock;
   readonly transport: Transport | undefined;
   readonly drivers: readonly ClaimsDriver[];
-  /** The VMs of this region, and a few of each other one. */
+  /** The VMs of this region, and a few VMs of each remote region. */
   readonly members: () => {
     readonly local: readonly VmInfo[];
     readonly remote: ReadonlyMap<string, readonly VmInfo[]>;
   };
 }
 
-/** See the module's comment. */
+/** Sends requests to the owners of their shards, if necessary through other VMs. */
 export class ClaimsRouter {
   readonly #options: ClaimsRouterOptions;
   #closed = false;
@@ -65,7 +66,7 @@
     this.#closed = true;
   }
 
-  /** Sends a request to the owner in `region`. A relayed one came from another region and goes to no further one. */
+  /** Sends a request to the owner in `region`. A relayed request came from another VM and is not relayed again. */
   async send(
     region: string,
     request: DriverRequest,
@@ -78,7 +79,7 @@
     return await this.#relay(region, request);
   }
 
-  /** Answers as this VM's own shard stands, without asking others. */
+  /** Answers from this VM's own shard, without asking other VMs. */
   async answerLocally(request: DriverRequest): Promise<ShardReply> {
     return await this.#driverOf(request).send(request);
   }
@@ -109,7 +110,7 @@
       else if (routed.reply.type !== "notOwner") return routed;
       else {
         ownerHint = routed.reply.owner;
-        // An owner that lost the shard while the ask waited names nobody; what it wrote last may have taken effect.
+        // An owner that loses the shard while a request waits names no new owner. Its last write may have taken effect.
         sent ||= ownerHint === undefined;
         driver.recheck();
       }
@@ -130,14 +131,14 @@
     if (vm && !sameVm(vm, me)) {
       return await this.#call(vm, region, request, false);
     }
-    // The owner may live, seen by others of the region only.
+    // The owner may be alive but visible only to other VMs of the region.
     const isUnseen = owner !== undefined && !sameVm(owner, me);
     return mayRelay && isUnseen
       ? await this.#relay(region, request)
       : { type: "none", sent: false };
   }
 
-  /** Through a VM that sees the owner, of this region or another. */
+  /** Sends the request through other VMs of `region`, which may reach the owner. */
   async #relay(region: string, request: DriverRequest): Promise<RouteResult> {
     const { local, remote } = this.#options.members();
     const vms = region === this.#options.region
--- a/src/services/claims_test.ts
+++ b/src/services/claims_test.ts
@@ -28,7 +28,7 @@
 
 describe("claims", () => {
   describe("one VM", () => {
-    it("grants a key once and gives repeats the first answer", async (t) => {
+    it("grants a key once and gives retries the first answer", async (t) => {
       const { clock, claims, claim } = await startOne();
       const first = await claim();
       t.is(first.type, "granted");
@@ -64,7 +64,7 @@
       await released;
       t.is((await claim()).type, "granted");
     });
-    it("commits claims that come together in one write", async (t) => {
+    it("commits claims that arrive together in one write", async (t) => {
       const { clock, claims, kv } = await startOne();
       const before = kv.counts().claims;
       const asked = Array.from({ length: 50 }, (_, i) =>
@@ -80,10 +80,10 @@
       t.true(kv.counts().claims - before <= 4);
     });
     /*
-     * The VM is killed and comes back under its name. The caller repeats its call: it must be told that the outcome
-     * is unknown, since the old run of the VM may have sent it.
+     * The VM is killed and restarts under the same id, and the caller retries its call. The caller must be told that
+     * the outcome is unknown, because the earlier run of the VM may have sent the call.
      */
-    it("answers unknown after the claimer was replaced", async (t) => {
+    it("answers unknown after the claiming VM restarted", async (t) => {
       const one = await startOne();
       t.is((await one.claim()).type, "granted");
       const two = await startOne(2, one.kv);
--- a/src/services/claims_wire.ts
+++ b/src/services/claims_wire.ts
@@ -1,5 +1,5 @@
 /**
- * What VMs send each other about claims, checked on arrival.
+ * Schemas of the messages about claims that VMs send each other.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { z } from "zod";
 import { claimEvents, type ShardReply } from "../agreement/mod.ts";
 
-/** The methods, as {@link Transport.handle} names them. */
+/** Method names for {@link Transport.handle}. */
 export const claimsMethod = {
   ask: "claims.ask",
   change: "claims.change",
@@ -28,13 +28,13 @@
   truncated: z.boolean(),
 });
 
-/** How the message travels: `region` is the shard's; a relayed one came from another region and is routed here once. */
+/** Routing fields: `region` is the shard's region. The receiver of a relayed message sends it on to the owner, once. */
 const routeFields = {
   region: z.string().max(64),
   relayed: z.boolean(),
 };
 
-/** An ask on its way to the shard's owner. */
+/** A claim, sent to the shard's owner. */
 export const askMessage = z.object({
   ...routeFields,
   ask: z.object({
@@ -46,7 +46,7 @@
   }),
 });
 
-/** A step of a claim on its way to the shard's owner. */
+/** A change of a claim's state, sent to the shard's owner. */
 export const changeMessage = z.object({
   ...routeFields,
   change: z.object({
@@ -58,14 +58,14 @@
   deadlineMs: z.number(),
 });
 
-/** A lookup on its way to the shard's owner. */
+/** A lookup, sent to the shard's owner. */
 export const lookupMessage = z.object({
   ...routeFields,
   key: digest,
   deadlineMs: z.number(),
 });
 
-/** Grants on their way to a witness. `to` names its run: a restarted VM must not answer for its predecessor. */
+/** Grants, sent to a witness. `to` includes the incarnation: a restarted VM must not answer for its earlier run. */
 export const replicateMessage = z.object({
   shard: z.number().int(),
   to: vmRef,
@@ -77,7 +77,7 @@
   }),
 });
 
-/** A {@link ShardReply} between VMs: clocks differ, so a grant states how long it is valid from its sending on. */
+/** A {@link ShardReply} between VMs. Because clocks differ, a grant says for how long after sending it is valid. */
 export const wireReply = z.discriminatedUnion("type", [
   z.object({ type: z.literal("granted"), claimId, validForMs: z.number() }),
   z.object({ type: z.literal("answered"), answer }),
@@ -95,10 +95,10 @@
   z.object({ type: z.literal("notOwner"), owner: vmRef.optional() }),
 ]);
 
-/** See {@link wireReply}. */
+/** The type of {@link wireReply}. */
 export type WireReply = z.infer<typeof wireReply>;
 
-/** A reply as it is sent. */
+/** Converts a reply to the form in which it is sent. */
 export function toWire(reply: ShardReply, monoMs: number): WireReply {
   if (reply.type !== "granted") return reply;
   const validForMs = reply.dispatchBeforeMonoMs - monoMs;
@@ -106,8 +106,8 @@
 }
 
 /**
- * A reply as it is used by the VM that asked at `askedMonoMs`. Its time is counted from the asking, which came before
- * the grant, so a VM that was paused meanwhile finds the grant over and does not dispatch.
+ * Converts a received reply for the VM that asked at `askedMonoMs`. The validity of a grant is counted from then, which
+ * is before the grant was made. So a VM that was paused in between finds the grant expired and does not dispatch.
  */
 export function fromWire(reply: WireReply, askedMonoMs: number): ShardReply {
   if (reply.type !== "granted") return reply;
--- a/src/services/claims_witnesses.ts
+++ b/src/services/claims_witnesses.ts
@@ -1,5 +1,5 @@
 /**
- * Which VMs are asked to hold a shard owner's grants through an outage of the store.
+ * Chooses the VMs that hold a shard owner's grants during an outage of the store.
  *
  * @module
  */
@@ -9,7 +9,10 @@
 
 const MAX_WITNESSES = 2;
 
-/** The first in `order` besides `me`, of another failure domain if there is one: a domain is lost as a whole. */
+/**
+ * Returns the first VMs in `order` other than `me`. VMs of other failure domains come first, because all VMs of one
+ * domain can fail together.
+ */
 export function chooseWitnesses(
   me: VmRef,
   order: readonly VmRef[],
@@ -24,19 +27,19 @@
 }
 
 /**
- * The list is kept this long after its last VM was lost. In a region of two, a VM that is suspected for seconds would be
- * struck off; if the store goes away while that is written, the record without a witness may stand, and no claim can be
- * granted for the whole outage though both VMs live. Longer would cost: an owner lost together with a VM that is still
- * listed is replaced only after a long wait.
+ * The witnesses stay listed for this long after no candidate is left. Without it, in a region of two VMs, the other VM
+ * would be removed when it is suspected for a few seconds. If the store fails during that write, the record may have no
+ * witness, and no claim can be granted during the whole outage although both VMs are alive. A longer time has a cost:
+ * an owner that is lost together with a listed witness is replaced only after a long wait.
  */
 export const WITNESS_RETENTION_MS = 30_000;
 
-/** The witnesses of one shard over time. */
+/** Keeps the list of witnesses of one shard. */
 export class WitnessList {
   #list: readonly VmRef[] = [];
   #chosenAtMonoMs = -Infinity;
 
-  /** The witnesses to list now; see {@link chooseWitnesses} and {@link WITNESS_RETENTION_MS}. */
+  /** Returns the witnesses to list now; see {@link chooseWitnesses} and {@link WITNESS_RETENTION_MS}. */
   choose(
     me: VmRef,
     order: readonly VmRef[],
@@ -53,7 +56,7 @@
   }
 }
 
-/** Only what names a VM, without the rest that it may carry. */
+/** Returns only the fields that identify a VM. */
 export function toVmRef(vm: VmRef): VmRef {
   return { id: vm.id, incarnation: vm.incarnation };
 }
--- a/src/services/claims_witnesses_test.ts
+++ b/src/services/claims_witnesses_test.ts
@@ -20,7 +20,7 @@
 }
 
 describe("witnesses", () => {
-  it("are of another failure domain first", (t) => {
+  it("are first chosen from other failure domains", (t) => {
     const here = [vm("a", "x"), vm("b", "x"), vm("c", "y")];
     t.deepEqual(new WitnessList().choose(me, [me, other, third], here, 0), [
       third,
@@ -28,9 +28,9 @@
     ]);
   });
 
-  // The only other VM of a region is suspected for some seconds. It stays listed; only a long absence strikes it off,
-  // and another VM takes its place at once.
-  it("outlast a short absence of the only other VM", (t) => {
+  // The only other VM of a region is suspected for some seconds. It stays listed and is removed only after a long
+  // absence. If another VM is available, that one replaces it at once.
+  it("stay listed during a short absence of the only other VM", (t) => {
     const list = new WitnessList();
     const here = [vm("a", "x"), vm("b", "x"), vm("c", "x")];
     t.deepEqual(list.choose(me, [me, other], here, 0), [other]);
