--- a/src/services/fencing.ts
+++ b/src/services/fencing.ts
@@ -1,6 +1,6 @@
 /**
- * The fencing service: sends orders to engines under numbers from the store. Orders state the wanted end, so that
- * sending one again changes nothing.
+ * The fencing service: sends orders to engines with fencing numbers from the store. An order states the wanted state,
+ * so sending it again changes nothing.
  *
  * @module
  */
@@ -33,7 +33,7 @@
 const FENCE_HEADER = "x-fencing-token";
 const RETRY_MS = 200;
 
-/** What a {@link FencingService} works with. */
+/** Options of {@link FencingService}. */
 export interface FencingOptions {
   readonly me: VmRef;
   readonly store: KeyValue;
@@ -41,7 +41,7 @@
   readonly limits?: FenceLimits;
 }
 
-/** See the module's comment. */
+/** Acquires fencing numbers and sends orders with them. */
 export class FencingService extends Task<FencingMessages> {
   readonly name = "fencing";
   readonly #options: FencingOptions;
@@ -66,7 +66,7 @@
     return Promise.resolve();
   }
 
-  /** Gives the leases back, so that the next VM need not wait for them to lapse. */
+  /** Releases the leases, so that the next VM does not have to wait until they expire. */
   async close(deadlineMs: number): Promise<void> {
     const held = [...this.#heldFences];
     this.#heldFences.clear();
@@ -108,7 +108,7 @@
     );
   }
 
-  /** A number that orders may be sent under now, taken or renewed in the store if need be. */
+  /** Returns a number with which orders may be sent now. Acquires or renews it in the store if necessary. */
   async #acquireFence(
     upstream: UpstreamRow,
   ): Promise<Result<HeldFence, Failure>> {
@@ -131,7 +131,7 @@
       );
     }
     const rev = await this.#writeRecord(id, step.record, seen.value.rev);
-    // A lost answer is settled by the next look: the record then names this VM, which renews it.
+    // If the write took effect and its answer was lost, the next read finds this VM in the record, and it renews it.
     if (rev === undefined) {
       return err(
         this.#retryableFailure("staleFence", "the number is not settled"),
@@ -190,7 +190,7 @@
   ): Promise<Result<{ readonly fence: number }, Failure>> {
     const { upstreams } = this.#options;
     const abort = new AbortController();
-    // In the step that sends: a VM that was paused since it took the number must not act on it.
+    // This is checked right before sending: a VM that was paused after it acquired the number must not use it.
     if (!canSend(held, this.#clock.monoMs())) {
       return err(this.#retryableFailure("staleFence", "the lease ran out"));
     }
--- a/src/services/fencing_test.ts
+++ b/src/services/fencing_test.ts
@@ -72,7 +72,7 @@
 }
 
 describe("fencing", () => {
-  it("keeps one number for a holder and gives the next a higher one", async (t) => {
+  it("keeps a holder's number and gives the next holder a higher one", async (t) => {
     const { start, orders } = startFencing(true);
     const a = await start("a");
     const b = await start("b");
@@ -83,10 +83,10 @@
   });
 
   /*
-   * A VM took a number and was paused; another VM then woke the engine. The first one goes on with its old order: an
-   * engine that checks refuses it, and the operator is told so.
+   * A VM acquires a number and is paused; another VM then activates the engine. The first VM continues with its old
+   * order. An engine that checks numbers refuses it, and the operator is told so.
    */
-  it("lets an engine that checks refuse an old holder", async (t) => {
+  it("fails for an old holder if the engine checks numbers", async (t) => {
     const { start, orders } = startFencing(true);
     const a = await start("a");
     const b = await start("b");
@@ -98,10 +98,10 @@
   });
 
   /*
-   * The engine does not check. The second VM must wait until the first one's lease has run out on any clock, and the
-   * first one, paused meanwhile, must not send when it wakes.
+   * The engine does not check numbers. The second VM must wait until the first VM's lease has expired by any clock. The
+   * first VM, paused in the meantime, must not send when it continues.
    */
-  it("waits out the lease where the engine does not check", async (t) => {
+  it("waits until the lease expires if the engine does not check", async (t) => {
     const { clock, faults, start, orders } = startFencing(false);
     const a = await start("a");
     const b = await start("b");
@@ -115,7 +115,7 @@
     t.deepEqual(orders.log.map(({ fence }) => fence), [1, 2]);
   });
 
-  it("settles a lost answer without a second number", async (t) => {
+  it("keeps its number after a lost answer of the store", async (t) => {
     const { faults, start, orders } = startFencing(false);
     const a = await start("a");
     faults.set([{ keyPrefix: "fencing/", loseAnswers: 1 }]);
@@ -123,7 +123,7 @@
     t.deepEqual(orders.log.map(({ fence }) => fence), [1]);
   });
 
-  it("gives its leases back when it closes", async (t) => {
+  it("releases its leases when it closes", async (t) => {
     const { clock, start } = startFencing(false);
     const a = await start("a");
     const b = await start("b");
--- a/src/services/suspects.ts
+++ b/src/services/suspects.ts
@@ -1,5 +1,6 @@
 /**
- * The service of suspects: requests under which upstreams ended, as the VMs of the own interface tell each other.
+ * The suspects service of the daemon: tracks the requests under which upstreams crashed, and shares them with the other
+ * VMs.
  *
  * @module
  */
@@ -29,14 +30,14 @@
 } from "../suspects/mod.ts";
 import type { MembersMessages, SuspectsMessages } from "./messages.ts";
 
-/** The method by which VMs tell each other of ends. */
+/** The method by which VMs report crashes to each other. */
 const CRASHES_METHOD = "suspects.ends";
 const SUSPECT_PREFIX = "/ibisgap/suspects/";
 const TRIAL_PREFIX = "/ibisgap/trials/";
-/** The store's leases are seconds at least. */
+/** The store's shortest lease is one second. */
 const MIN_LEASE_MS = 1_000;
 const REPUBLISH_PERIOD_MS = 2_000;
-/** How often the store is asked after a start until it answers. */
+/** Delay between reads of the store after a start, until it answers. */
 const LOAD_RETRY_MS = 1_000;
 
 /** Options of {@link SuspectsService}. */
@@ -47,7 +48,7 @@
   readonly transport: Transport;
 }
 
-/** See the module. */
+/** Tracks suspects, detects crashes behind lost connections, and exchanges them with other VMs. */
 export class SuspectsService extends Task<SuspectsMessages> {
   readonly name = "suspects";
   readonly #options: SuspectsOptions;
@@ -125,8 +126,9 @@
     );
     this.#log.warn("upstream lost", { upstream: upstreamId, reach, wasLate });
     const isCause = canBeCause(beganAgoMs === undefined ? {} : { beganAgoMs });
-    // A process that is late may find an upstream back that had ended. Taken for an end, the next answer clears it; taken
-    // for a broken link, a request that ends whatever runs it would go on and on.
+    // If this process runs late, a crashed upstream may already be back and accept connections. A broken link that is
+    // taken for a crash is cleared by the next answer. A crash that is taken for a broken link would let a request that
+    // crashes every upstream be retried without end.
     const hasEnded = reach === "refused" || (reach === "open" && wasLate);
     if (!hasEnded || !isCause) return;
     const sinceLostMs = this.#clock.monoMs() - lostMs;
@@ -141,7 +143,7 @@
   }
 }
 
-/** This VM's ways to the others and the log. */
+/** Publishes crashes to other VMs and logs events. */
 class PeerPublisher extends SuspectPublisher {
   readonly #options: SuspectsOptions;
   readonly #members: TaskPort<MembersMessages>;
@@ -166,7 +168,7 @@
     this.#log.warn(`suspect ${type}`, fields);
   }
 
-  /** A few VMs a region: each tells all. */
+  /** Sends to every known VM directly, because a region has only a few VMs. */
   async #notifyPeers(rows: readonly CrashRow[]): Promise<void> {
     const { vmId, region, transport } = this.#options;
     const regionVms = await this.#members.ask("region", undefined);
--- a/src/services/table_editor.ts
+++ b/src/services/table_editor.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' edits: row by row, or whole tables from a file in version control.
+ * Operators' edits of the table: of single rows, or of the whole table from a file in version control.
  *
  * @module
  */
@@ -31,7 +31,7 @@
 import type { TableService } from "./table_service.ts";
 import type { StoreHead } from "./table_store.ts";
 
-/** An accepted edit, or one that found every row as wanted. */
+/** The result of an edit that was accepted, or that had nothing to change. */
 export interface EditResult {
   /** The version to wait for. */
   readonly version: number;
@@ -46,13 +46,13 @@
   readonly deadlineMs: number;
 }
 
-/** What an apply changes, and the version it made; `undefined` for a dry run. */
+/** What an apply changes, and the version it made (`undefined` for a dry run). */
 export interface TableApplyResult {
   readonly changes: readonly RowChange[];
   readonly version: number | undefined;
 }
 
-/** What a {@link TableEditor} is made of. */
+/** Options of {@link TableEditor}. */
 export interface TableEditorOptions {
   readonly service: TableService;
   readonly vmId: string;
@@ -60,25 +60,25 @@
   readonly random: Random;
 }
 
-/** Waits between tries while the store refuses, or other editors keep winning. */
+/** Backoff between attempts while the store fails, or other editors change the head first. */
 const RETRY_BACKOFF = { firstMs: 20, maxMs: 1000 };
-/** A snapshot is due after this many edits; a cold start reads at most a few more records than these. */
+/** A snapshot is due after this many edits, so a cold start reads only a few more records than this. */
 const EDITS_PER_SNAPSHOT = 512;
-/** A snapshot whose writer died is tried again by whoever makes one of the next edits divisible by this. */
+/** A due snapshot is written at a version divisible by this. If its writer dies, the next such version retries it. */
 const EDITS_PER_SNAPSHOT_RETRY = 16;
 
-/** Makes edits one after the other, so that this VM's editors never race each other. */
+/** Makes edits one after another, so that edits of the same VM never race each other. */
 export class TableEditor {
   readonly #options: TableEditorOptions;
   #lastRun: Promise<unknown> = Promise.resolve();
-  /** The head after this VM's last edit: spares the next one a reading. */
+  /** The head after this VM's last edit, which saves the next edit a read. */
   #cachedHead: StoreHead | undefined;
 
   constructor(options: TableEditorOptions) {
     this.#options = options;
   }
 
-  /** Tries until the edit is accepted, refused, or `deadlineMs` has passed. */
+  /** Retries until the edit is accepted or refused, or `deadlineMs` has passed. */
   submit(
     proposal: Proposal,
     deadlineMs: number,
@@ -86,7 +86,7 @@
     return this.#runInOrder(() => this.#submit(proposal, deadlineMs));
   }
 
-  /** What `rows` would change. */
+  /** Returns the changes that make the table hold exactly `rows`. */
   async diff(
     rows: readonly TableRow[],
   ): Promise<Result<RowChange[], EditRefusal>> {
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Makes the table hold exactly `rows`. What does not fit one record goes in several, in an order in which each is
-   * valid; each row is changed only if it stands as the diff saw it.
+   * Makes the table hold exactly the rows of `request`. Changes that do not fit in one record are split into several,
+   * in an order in which each is valid. A row is changed only if it still has the version that the diff saw.
    */
   async apply(
     request: TableApplyRequest,
@@ -124,7 +124,7 @@
     return ok({ changes, version });
   }
 
-  /** Edits up to `before`, newest first; from memory, else from the store. */
+  /** Returns the edits before version `before`, newest first, from memory if it holds them or else from the store. */
   async history(
     before: number | undefined,
     limit: number,
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Publishes the table in force here to a store that was restored from an old copy, as a snapshot, so that the store
-   * agrees again. Refused while another VM has a newer table, or the store goes on with other edits.
+   * Writes the table in force here as a snapshot to a store that was restored from an old backup, so that the store is
+   * consistent with the VMs again. Refused while another VM has a newer table, or if the store holds other edits.
    */
   republish(): Promise<Result<EditResult, EditRefusal>> {
     return this.#runInOrder(() => this.#republish());
@@ -178,7 +178,7 @@
     }
   }
 
-  /** The head: the one kept since this VM's last edit, unless another VM is known to have gone on from there. */
+  /** Returns the head cached after this VM's last edit, or reads it if another VM is known to have a newer version. */
   async #readHead(known: number): Promise<Result<StoreHead, StoreError>> {
     const { service } = this.#options;
     const { version } = service.log.table;
@@ -201,7 +201,7 @@
       ? { head, rev, storeRev: rev, readAtVersion: head.version }
       : undefined;
     if (next.type !== "accepted") return next;
-    // The watch may have been faster; then it has been told already.
+    // If the watch has applied the edit first, it has also reported it.
     if (service.log.table.version > before) {
       await service.onEditsApplied([step.edit]);
     }
@@ -230,7 +230,7 @@
     const { service, vmId } = this.#options;
     const image = service.log.image();
     void service.store.writeSnapshot(image, vmId).then(() => {
-      // The head has another revision now.
+      // Writing the snapshot has changed the head's revision.
       this.#cachedHead = undefined;
     });
   }
--- a/src/services/table_fleet.ts
+++ b/src/services/table_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The other VMs as the table service sees them, by way of the membership service.
+ * The table service's view of the other VMs, taken from the membership service.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Kernel, TaskPort } from "../kernel/mod.ts";
 import type { MembersMessages, VmInfo } from "./messages.ts";
 
-/** A view of the fleet; empty in a daemon without a membership service. */
+/** Looks up VMs and the table versions they have in force. Finds none in a daemon without a membership service. */
 export class TableFleet {
   readonly #kernel: Kernel;
   readonly #vm: { readonly id: string; readonly region: string };
@@ -21,48 +21,48 @@
     this.#vm = vm;
   }
 
-  /** The VMs of this region, this one among them. */
+  /** The VMs of this region, including this one. */
   async regionVms(): Promise<readonly VmInfo[]> {
     return await this.#members?.ask("region", undefined) ?? [];
   }
 
-  /** Some VMs of each other region. */
+  /** Some VMs of each remote region. */
   async remoteVms(): Promise<ReadonlyMap<string, readonly VmInfo[]>> {
     return await this.#members?.ask("others", undefined) ?? new Map();
   }
 
-  /** All other VMs known here. */
+  /** All other VMs that this one knows. */
   async peers(): Promise<VmInfo[]> {
     const [region, others] = [await this.regionVms(), await this.remoteVms()];
     return [...region, ...[...others.values()].flat()]
       .filter((vm) => vm.id !== this.#vm.id);
   }
 
-  /** The newest version that any other VM is known to have in force. */
+  /** The newest version that is known to be in force on another VM. */
   async knownVersion(): Promise<number> {
     const peers = await this.peers();
     return Math.max(0, ...peers.map((vm) => vm.tableVersion));
   }
 
-  /** The ids of the watchers of this region. */
+  /** The ids of the VMs that watch the store for this region. */
   async watcherIds(): Promise<string[]> {
     const vms = await this.regionVms();
     const ids = vms.filter((vm) => vm.state === "live").map((vm) => vm.id);
     return watchersOf(this.#vm.region, ids);
   }
 
-  /** Whether this VM watches the store. One that knows of no other must not be left without it. */
+  /** Whether this VM watches the store. A VM that knows no other VM watches, since nobody would push edits to it. */
   async isWatcher(): Promise<boolean> {
     const watchers = await this.watcherIds();
     return watchers.length === 0 || watchers.includes(this.#vm.id);
   }
 
-  /** VMs of this region that are known to have a version newer than `version` in force. */
+  /** The VMs of this region that are known to have a version newer than `version` in force. */
   async regionVmsAhead(version: number): Promise<VmInfo[]> {
     return (await this.regionVms()).filter((vm) => vm.tableVersion > version);
   }
 
-  /** VMs of other regions, those known to be ahead of `version` if there are any. */
+  /** The VMs of remote regions that are known to be ahead of `version`, or all known remote VMs if none is. */
   async remoteVmsToAsk(version: number): Promise<VmInfo[]> {
     const remote = [...(await this.remoteVms()).values()].flat();
     const ahead = remote.filter((vm) => vm.tableVersion > version);
--- a/src/services/table_peers.ts
+++ b/src/services/table_peers.ts
@@ -1,5 +1,5 @@
 /**
- * The table between VMs: pushes of new edits through a tree, and pulls by a VM that is behind.
+ * Exchanges table edits between VMs: pushes new edits through a tree, and pulls if a VM is behind.
  *
  * @module
  */
@@ -20,13 +20,13 @@
 } from "../agreement/mod.ts";
 import type { VmInfo } from "./messages.ts";
 
-/** Longest way of a push; the tree of a region of 1,400 VMs is six levels deep. */
+/** Most hops of a push. The tree of a region of 1,400 VMs has six levels. */
 const MAX_HOPS = 8;
-/** Versions remembered as passed on, so that a push never runs in a circle while VMs disagree on who is there. */
+/** Most forwarded versions that are remembered, so that a push does not loop while VMs disagree on the members. */
 const MAX_REMEMBERED_VERSIONS = 64;
 const PULL_TIMEOUT_MS = 2000;
 const PUSH_TIMEOUT_MS = 300;
-/** Images kept for VMs that are in the middle of pulling them. */
+/** Most images that are kept for VMs that are still pulling their pages. */
 const MAX_CACHED_IMAGES = 2;
 
 const pushMessage = z.object({
@@ -38,7 +38,7 @@
 const pullMessage = z.object({
   /** The version in force at the VM that pulls. */
   version: z.number().int(),
-  /** A further page of the image of this version. */
+  /** Requests a further page of the image of this version. */
   image: z.object({ version: z.number().int(), page: z.number().int() })
     .optional(),
 });
@@ -54,17 +54,17 @@
   z.object({ type: z.literal("gone") }),
 ]);
 
-/** What a pull brought. */
+/** The result of a pull. */
 export type PullResult =
   | {
     readonly type: "edits";
     readonly edits: readonly LoggedEdit[];
-    /** The version in force at the peer; 0 for none. */
+    /** The version in force at the peer, or 0 for none. */
     readonly peerVersion: number;
   }
   | { readonly type: "image"; readonly image: TableImage };
 
-/** What a {@link TablePeers} works with. */
+/** Options of {@link TablePeers}. */
 export interface TablePeersOptions {
   readonly vmId: string;
   readonly log: TableLog;
@@ -72,11 +72,11 @@
   readonly nowMs: () => number;
   /** The VMs of this region. */
   readonly regionVms: () => Promise<readonly VmInfo[]>;
-  /** Takes edits that another VM pushed. */
+  /** Receives edits that another VM pushed. */
   readonly onPush: (edits: readonly LoggedEdit[]) => void;
 }
 
-/** One push on its way through a region. */
+/** A push of one version through the VMs of a region. */
 interface PushTree {
   readonly version: number;
   readonly root: string;
@@ -86,7 +86,7 @@
   readonly message: unknown;
 }
 
-/** The table's messages to and from other VMs. */
+/** Sends and answers the table's messages between VMs. */
 export class TablePeers {
   readonly #options: TablePeersOptions;
   readonly #images = new Map<number, readonly ImagePage[]>();
@@ -99,18 +99,18 @@
     options.transport.handle("table.pull", (params) => this.#onPull(params));
   }
 
-  /** Messages sent by {@link TablePeers.push} and on behalf of others. */
+  /** The number of push messages sent, both for {@link TablePeers.push} and when forwarding. */
   get pushCount(): number {
     return this.#pushCount;
   }
 
-  /** Passes edits on, as the root of their tree. Too many for one message are left to be pulled. */
+  /** Pushes edits to the region, as the root of the tree. Edits too large for one message are left to be pulled. */
   async push(edits: readonly LoggedEdit[]): Promise<void> {
     if (JSON.stringify(edits).length > MAX_EDIT_CHARS) return;
     await this.#forward(edits, this.#options.vmId, 0);
   }
 
-  /** Asks a VM for what is newer than what is in force here; `undefined` if that failed. */
+  /** Pulls what is newer than the version in force here from another VM. Returns `undefined` if that failed. */
   async pull(address: string): Promise<PullResult | undefined> {
     const { version } = this.#options.log.table;
     const first = await this.#callPull(address, { version });
@@ -175,8 +175,9 @@
   }
 
   /**
-   * A child that is dead or frozen and not yet found so would leave all VMs below it without the edit until a
-   * heartbeat tells them, a second or two later. Its children get the push from here instead.
+   * Sends the push to a child. If the child does not answer, sends it to the child's children instead. Otherwise a dead
+   * or frozen child that is not yet detected would leave all VMs below it without the edit until a heartbeat tells
+   * them, a second or two later.
    */
   async #sendPush(tree: PushTree, child: string): Promise<void> {
     const { transport, nowMs } = this.#options;
@@ -213,7 +214,7 @@
     return { type: "page", page: this.#imagePages()[0] };
   }
 
-  /** The edits after `version`, as many as fit one message; `undefined` if the image is needed. */
+  /** Returns the edits after `version` that fit in one message, or `undefined` if the image is needed. */
   #editsSince(version: number): LoggedEdit[] | undefined {
     const edits = this.#options.log.editsSince(version);
     if (!edits) return undefined;
--- a/src/services/table_refusals.ts
+++ b/src/services/table_refusals.ts
@@ -1,5 +1,5 @@
 /**
- * What the author of a refused edit is told.
+ * Refusals of table edits, with the details that their author needs.
  *
  * @module
  */
@@ -13,16 +13,16 @@
 } from "../agreement/mod.ts";
 import { type Failure, failure } from "../base/mod.ts";
 
-/** A refused edit, with what its author must look at. */
+/** Why an edit was refused, with the conflicting or invalid rows. */
 export interface EditRefusal {
   readonly failure: Failure;
   readonly conflicts?: readonly RowConflict[];
   readonly faults?: readonly RowFault[];
-  /** For an apply in parts: the version that the parts before made. */
+  /** For an apply in several edits: the version made by the edits that were accepted before. */
   readonly acceptedVersion?: number;
 }
 
-/** The store could not be asked, or gave no answer in time; `unsettled`: a write may have taken effect. */
+/** Refuses an edit because the store failed or did not answer in time. `unsettled`: a write may have taken effect. */
 export function refuseUnavailable(
   error: StoreError | undefined,
   unsettled: boolean,
@@ -34,7 +34,7 @@
   return { failure: failure("storeUnavailable", { ran, message }) };
 }
 
-/** Other edits changed the same rows first. */
+/** Refuses an edit because other edits changed the same rows first. */
 export function refuseConflict(conflicts: readonly RowConflict[]): EditRefusal {
   const descriptions = conflicts.map(({ key, ifVersion, current }) =>
     `${key} was to be at version ${ifVersion} and is ${
@@ -47,13 +47,13 @@
   };
 }
 
-/** The rows do not fit each other. */
+/** Refuses an edit that would make the table invalid. */
 export function refuseInvalid(faults: readonly RowFault[]): EditRefusal {
   const message = faults.map(describeFault).join("; ");
   return { failure: failure("invalidEdit", { message }), faults };
 }
 
-/** What a step that ends an edit without success says; `undefined` for one that does not. */
+/** Returns the refusal for a step that ends an edit without success, or `undefined` for any other step. */
 export function refusalOf(
   step: EditStep,
   unsettled: boolean,
--- a/src/services/table_routes.ts
+++ b/src/services/table_routes.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' HTTP routes of the table, below `/admin/table`. The edge has checked the operator's token before.
+ * The operators' HTTP routes for the table, below `/admin/table`. The edge checks the operator's token first.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import type { EditRefusal } from "./table_refusals.ts";
 import type { TableService } from "./table_service.ts";
 
-/** Largest body: about 20,000 rows. */
+/** Largest request body; about 20,000 rows fit. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 const DEFAULT_WAIT_MS = 5000;
 const MAX_HISTORY = 200;
@@ -60,14 +60,14 @@
   limit: z.coerce.number().int().min(1).max(MAX_HISTORY).default(20),
 });
 
-/** What the routes work on. */
+/** Options of {@link createTableRouter}. */
 export interface TableRoutesOptions {
   readonly service: TableService;
   readonly editor: TableEditor;
   readonly clock: Clock;
 }
 
-/** Makes the routes; see docs/TABLE.md for each. */
+/** Creates the routes, which docs/TABLE.md describes. */
 export function createTableRouter(options: TableRoutesOptions): Router {
   const { service, editor, clock } = options;
   const router = new Router({ prefix: "/admin/table" });
@@ -138,7 +138,7 @@
   context.body = { version: table.version, rows };
 }
 
-/** Answers with the failure in the shape that callers get too, and what its author must look at. */
+/** Returns a function that answers with a failure in the same form as for callers, and with the rows at fault. */
 function sendRefusal(context: Context): (refused: EditRefusal) => void {
   return ({ failure, conflicts, faults, acceptedVersion }) => {
     context.status = codes[failure.code].httpStatus;
@@ -174,7 +174,7 @@
   return undefined;
 }
 
-/** Names the row by its key, as a path into a file of thousands of rows helps nobody. */
+/** Describes a validation issue. Names the row by its key, since a path is no help in a file of thousands of rows. */
 function describeIssue(
   issue: z.core.$ZodIssue,
   input: unknown,
--- a/src/services/table_service.ts
+++ b/src/services/table_service.ts
@@ -1,8 +1,9 @@
 /**
  * The table service: keeps the newest accepted table in force on this VM.
  *
- * A few VMs of a region watch the store; the others get edits pushed, and repair what they missed by the versions in
- * the heartbeats. While the store is away the last version stays in force; a VM that starts then takes it from a peer.
+ * A few VMs of each region watch the store and push new edits to the others. Heartbeats carry the version in force, so
+ * a VM that missed a push notices it and pulls from a peer. While the store is unavailable, the last version stays in
+ * force, and a VM that starts during that time gets the table from a peer.
  *
  * @module
  */
@@ -27,11 +28,11 @@
 
 /** Periods of the service, in ms. */
 export interface TablePeriods {
-  /** Between looks at who is there and who is ahead. */
+  /** Between checks of the store and of the peers' versions. */
   readonly tickMs: number;
-  /** Between a watcher's looks at the store's head. */
+  /** Between a watcher's reads of the store's head. */
   readonly headCheckMs: number;
-  /** How long a VM that starts waits for an answer of a peer that may be ahead of the store. */
+  /** How long a starting VM waits for the answer of a peer, which may have a newer table than the store. */
   readonly peerWaitMs: number;
 }
 
@@ -41,27 +42,27 @@
   peerWaitMs: 1000,
 };
 
-/** VMs of a region, on average, that ask another region at each look. */
+/** The average number of VMs of a region that pull from a remote region in each tick period. */
 const REMOTE_PULLS_PER_TICK = 1;
-/** Between two tries while the service starts. */
+/** Delay between attempts to get a table while the service starts. */
 const START_RETRY_MS = 100;
-/** Peers that a starting VM asks for their version. */
+/** Most peers that a starting VM pulls from. */
 const MAX_PEERS_ASKED = 3;
 
-/** What a {@link TableService} is made of. */
+/** Options of {@link TableService}. */
 export interface TableServiceOptions {
   readonly vm: { readonly id: string; readonly region: string };
   readonly store: KeyValue;
-  /** Absent where there are no other VMs. */
+  /** Absent if there are no other VMs. */
   readonly transport?: Transport;
   readonly random: Random;
   readonly periods?: Partial<TablePeriods>;
 }
 
-/** See {@link TableMessages}; its name is `table`. */
+/** Keeps the table in force on this VM up to date, and answers {@link TableMessages} under the name `table`. */
 export class TableService extends Task<TableMessages> {
   readonly name = "table";
-  /** The log in force; the editor works on it. */
+  /** The log of the table in force, shared with the editor. */
   readonly log = new TableLog();
   readonly store: TableStore;
   readonly #options: TableServiceOptions;
@@ -90,19 +91,19 @@
     this.store = new TableStore(options.store);
   }
 
-  /** The table in force; `undefined` before the first, and until a starting VM has heard whether peers are ahead. */
+  /** The table in force. `undefined` before there is one, and until a starting VM has checked its peers' versions. */
   get table(): Table | undefined {
     return this.#isReady && this.log.table.version > 0
       ? this.log.table
       : undefined;
   }
 
-  /** The other VMs. */
+  /** The VMs of this region and of remote regions. */
   get fleet(): TableFleet {
     return this.#fleet;
   }
 
-  /** Tries store and peers for up to `hearMs`; if neither has a table, goes on trying in the background. */
+  /** Tries the store and peers for up to `peerWaitMs`. If neither has a table, retries in the background. */
   async start(kernel: Kernel): Promise<void> {
     this.#kernel = kernel;
     this.#peerWaitUntilMs = kernel.clock.monoMs() + this.#periods.peerWaitMs;
@@ -141,12 +142,15 @@
     };
   }
 
-  /** Reads from the store what is missing here. */
+  /** Reads missing edits from the store. */
   sync(): Promise<Result<StoreHead, StoreError>> {
     return this.#sync.sync();
   }
 
-  /** Edits were put in force here: wakes who waits for them, and pushes them if `spread` or that is this VM's part. */
+  /**
+   * Called after edits came in force here. Resolves the waiters for their version. Pushes the edits to the region if
+   * `shouldPush` is set or this VM is the root of the version's push tree.
+   */
   async onEditsApplied(
     edits: readonly LoggedEdit[],
     shouldPush = false,
@@ -156,13 +160,13 @@
     const last = edits.at(-1);
     if (!last || !this.#peers) return;
     const root = pushRoot(last.version, await this.#fleet.watcherIds());
-    // Not waited for: a child that does not answer must not hold up the operator's answer.
+    // The push is not awaited: a child that does not answer must not delay the operator's answer.
     if (shouldPush || root === this.#options.vm.id) {
       void this.#peers.push(edits);
     }
   }
 
-  /** Which VMs have which version in force, by region. */
+  /** The versions in force on all known VMs, by region. */
   regionVersions(): Promise<RegionTableVersions[]> {
     return this.#versions.collect();
   }
@@ -194,12 +198,12 @@
     });
   }
 
-  /** The services that start next find the table in force, where there is one to be had. */
+  /** Waits until a table is in force, if there is one, so that the services that start next find it. */
   async #waitForTable(): Promise<void> {
     const { clock } = this.#kernel;
     for (;;) {
       await this.#tick();
-      // An installation without a table yet: the store says so, and no peer has one.
+      // A new installation has no table: neither the store nor a peer has one.
       const hasNoTable = this.log.table.version === 0 &&
         this.#sync.isStoreReachable;
       if (this.#isReady || hasNoTable) return;
@@ -210,7 +214,7 @@
 
   #schedule(): void {
     if (this.#closed) return;
-    // Jitter keeps the VMs of a region from looking, and pulling, in step.
+    // Jitter keeps the VMs of a region from checking and pulling at the same moments.
     const { tickMs } = this.#periods;
     const delayMs = tickMs * (0.75 + this.#options.random.next() / 2);
     this.#timer = this.#kernel.clock.after(delayMs, () => {
@@ -235,11 +239,11 @@
     if (outcome.applied.length > 0) {
       void this.onEditsApplied(outcome.applied, shouldPush);
     }
-    // A watcher reads what is missing from the store; others find themselves behind at the next heartbeat.
+    // A watcher reads the missing edits from the store. Other VMs learn from the next heartbeat that they are behind.
     if (outcome.gap) this.#sync.checkHeadSoon();
   }
 
-  /** Takes what a peer has in force and this VM has not: a missed push, or a store that is away. */
+  /** Pulls newer edits from a peer, after a missed push or while the store is unavailable. */
   async #pullIfBehind(): Promise<void> {
     if (!this.#peers) return;
     const { version } = this.log.table;
@@ -254,9 +258,10 @@
   }
 
   /**
-   * Whether to ask another region now. A watcher without the store does at each look. Beside that a few VMs of the
-   * region do, drawn anew each time: with both watchers lost, or their store silent, the region would hear of an edit
-   * only after they are found dead, later than the three seconds in which it is to be in force.
+   * Whether to pull from a remote region now. A watcher that cannot reach the store does so at each tick. In addition,
+   * a few VMs of the region do, drawn at random at each tick. Otherwise, if both watchers are lost or their store does
+   * not answer, the region would learn of an edit only after the watchers are detected as dead. That is later than the
+   * three seconds within which an edit must be in force.
    */
   async #shouldAskRemote(): Promise<boolean> {
     if (!this.#sync.isStoreReachable && await this.#fleet.isWatcher()) {
@@ -267,13 +272,13 @@
       REMOTE_PULLS_PER_TICK;
   }
 
-  /** Takes what a peer has and this VM has not; answers whether the peer has a table. */
+  /** Pulls newer edits from a peer. Returns whether the peer has a table. */
   async #pullFrom(peer: VmInfo): Promise<boolean> {
     this.#counters.pulls++;
     const pulled = await this.#peers!.pull(peer.peerAddress);
     if (!pulled) return false;
     if (pulled.type === "edits") {
-      // What comes from afar is new to the whole region.
+      // Edits from a remote region are new to this whole region, so they are pushed.
       this.#applyEdits(pulled.edits, peer.region !== this.#options.vm.region);
       return pulled.peerVersion > 0;
     }
@@ -286,9 +291,9 @@
   }
 
   /**
-   * A VM that starts may find a store restored from an old copy, and would serve on a table that others have left
-   * behind. It asks a few peers first; their heartbeats may not tell their newest version yet. With none that answers
-   * it goes on alone after a moment.
+   * Puts the table in force once it is known to be current. The store may have been restored from an old backup, and a
+   * starting VM would then serve with an outdated table. So it pulls from a few peers first, because their heartbeats
+   * may not show their newest version yet. If no peer answers, it continues alone after `peerWaitMs`.
    */
   async #updateReadiness(): Promise<void> {
     if (this.#isReady) return;
@@ -316,7 +321,7 @@
 
   #onNewVersion(): void {
     if (this.table) this.#waiters.resolve(this.table);
-    // The first table of a fleet comes by an edit: nobody can be ahead for long.
+    // The first table of a fleet is made by an edit, so no peer can have a newer one for long.
     else if (!this.#isReady) void this.#updateReadiness();
   }
 
@@ -325,7 +330,7 @@
   ): Promise<Table | undefined> {
     const { table } = this;
     if (table && table.version >= version) return Promise.resolve(table);
-    // Who names a newer version has seen it in force elsewhere: it is fetched now, not at the next look.
+    // The caller has seen this version in force on another VM, so it is pulled now instead of at the next tick.
     void this.#pullIfBehind();
     return this.#waiters.wait(this.#kernel.clock, version, deadlineMs);
   }
--- a/src/services/table_service_test.ts
+++ b/src/services/table_service_test.ts
@@ -11,7 +11,7 @@
 
 const regions = ["agadir", "marrakech"];
 
-/** Two regions of three VMs each, which know each other and have version 1 in force. */
+/** Opens two regions of three VMs each, which know each other and have version 1 in force. */
 async function openFleet(
   t: ExecutionContext,
 ): Promise<{ platform: Platform; vms: TableVm[] }> {
@@ -46,7 +46,7 @@
   vm.table.table?.region(region)?.weight;
 
 describe("table", () => {
-  it("has an edit in force on every VM, with two watches a region", async (t) => {
+  it("puts an edit in force on every VM, with two watches per region", async (t) => {
     const { platform, vms } = await openFleet(t);
     const edit = await vms[4].put(regionRowOf("agadir", 7));
     await untilInForce(vms, edit._unsafeUnwrap().version);
@@ -54,9 +54,9 @@
     t.is(platform.store.watchCount, 2 * regions.length);
   });
 
-  // Six operators edit at once at six VMs: five change rows of their own, two of them change the same row on the same
-  // version. Those of different rows all succeed; of the two, one is told the row as it now stands.
-  it("lets racing operators win unless they change the same row", async (t) => {
+  // Six operators edit at the same time at six VMs; two of them change the same version of the same row. The edits of
+  // different rows all succeed. One of the two that conflict is refused, and its operator is told the current row.
+  it("accepts racing edits unless they change the same row", async (t) => {
     const { vms } = await openFleet(t);
     const put = (vm: TableVm, id: string, weight: number, ifVersion: number) =>
       vm.edit([{
@@ -78,15 +78,15 @@
     const refused = lost[0]._unsafeUnwrapErr();
     t.is(refused.failure.code, "editConflict");
     const won = results[0].isOk() ? 10 : 11;
-    const stands = refused.conflicts?.[0].current;
-    t.deepEqual(stands?.row, rowOf(regionRowOf("agadir", won)));
+    const currentRow = refused.conflicts?.[0].current;
+    t.deepEqual(currentRow?.row, rowOf(regionRowOf("agadir", won)));
     await untilInForce(vms, 6);
     for (const vm of vms) t.is(weightOf(vm, "agadir"), won);
   });
 
-  // Sixty edits race from six VMs. Each re-bases on the newest head until it is accepted; none may be refused because
-  // a head or heartbeat read a moment ago disagrees with one read now, and no such moment may raise the alarm.
-  it("accepts every edit of a race for different rows, with no false alarm", async (t) => {
+  // Sixty edits race from six VMs. Each is retried on the newest head until it is accepted. A head or heartbeat read a
+  // moment before may differ from one read now; that must neither refuse an edit nor report a regression.
+  it("accepts all racing edits of different rows and reports no regression", async (t) => {
     const { vms } = await openFleet(t);
     const results = await Promise.all(vms.flatMap((vm, i) =>
       Array.from(
@@ -103,8 +103,8 @@
     for (const vm of vms) t.is(vm.dump().regressions, 0);
   });
 
-  // The operator's edit takes effect, the store's answer is lost. The operator is told "accepted" once its own record
-  // is read back; a second write of it finds the first and changes nothing.
+  // The operator's edit takes effect, but the store's answer is lost. The edit is reported as accepted once its record
+  // is read back. A second write of it finds the first and changes nothing.
   it("settles a write whose answer was lost", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ keyPrefix: "table/head", loseAnswers: 1 }]);
@@ -117,9 +117,9 @@
     t.deepEqual(history._unsafeUnwrap().map((it) => it.version), [3, 2, 1]);
   });
 
-  // The store holds a write back for longer than the VM waits. The VM reads back, finds nothing, and writes the same
+  // The store delays a write for longer than the VM's timeout. The VM reads back, finds nothing, and writes the same
   // record again, which is accepted. The first write arrives after that and must not take effect a second time.
-  it("makes one edit of a write that arrives after its repeat", async (t) => {
+  it("makes one edit of a write that arrives after its retry", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ vm: `^${vms[0].id}$`, slowMs: 1500 }]);
     const edit = vms[0].put(regionRowOf("agadir", 3));
@@ -135,10 +135,10 @@
     for (const vm of vms) t.is(weightOf(vm, "agadir"), 4);
   });
 
-  // The store goes away, an operator edits, a VM crashes, another starts. Callers see no change: every VM serves on
-  // version 1, the new one takes it from a peer. The operator is told that nothing was changed. The store returns, and
-  // edits go on.
-  it("serves through an outage of the store, also on a VM that starts in it", async (t) => {
+  // During a store outage an operator edits, a VM crashes and another VM starts. Callers notice nothing: all VMs serve
+  // with version 1, which the new VM pulls from a peer. The operator is told that nothing was changed. When the store
+  // returns, edits are accepted again.
+  it("serves through a store outage, also on a VM that starts during it", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ outage: "refuse" }]);
     const refused = (await vms[0].edit([
@@ -163,8 +163,8 @@
     for (const vm of live) t.is(weightOf(vm, "agadir"), 5);
   });
 
-  // A VM starts alone while the store is away: it has no table and must say so, not serve on an empty one. When the
-  // store returns, it takes the table from there.
+  // A VM starts alone during a store outage. It has no table and must say so, rather than serve with an empty one. When
+  // the store returns, the VM reads the table from it.
   it("has no table on a VM that starts alone without the store", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ vm: "^alone$", outage: "cut" }]);
@@ -181,10 +181,10 @@
     t.is(weightOf(alone, "agadir"), 1);
   });
 
-  // The store comes back from an old copy: its head is below what is in force. No VM goes back, the operator's next
-  // edit is refused with storeRegressed, the alarm is in the dump. The operator publishes the table in force again,
-  // and edits go on from there, with no version given out twice.
-  it("takes an old copy of the store for an alarm, and mends it on request", async (t) => {
+  // The store is restored from an old backup, so its head is older than the version in force. No VM goes back to that
+  // version, the operator's next edit is refused with storeRegressed, and the dump shows the regression. The operator
+  // republishes the table in force, and later edits continue from there without reusing a version.
+  it("reports a store restored from an old backup, and repairs it on request", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.save("old");
     for (const weight of [2, 3, 4]) {
@@ -193,7 +193,7 @@
     await untilInForce(vms, 4);
     platform.restore("old");
     await until(
-      "a watcher raises the alarm",
+      "a watcher reports the regression",
       () => vms.some((vm) => vm.dump().regression !== undefined),
     );
     const edit = await vms[5].put(regionRowOf("agadir", 9));
@@ -205,14 +205,14 @@
     t.is(next._unsafeUnwrap().version, 5);
     await untilInForce(vms, 5);
     await until(
-      "the alarm ends",
+      "the regression ends",
       () => vms.every((vm) => vm.dump().regression === undefined),
     );
   });
 
-  // Two faults together: the store comes back from an old copy and a VM is replaced. The new VM reads the old table
-  // from the store and must not serve on it, as its peers have a newer one in force.
-  it("does not let a new VM serve on an old copy of the store", async (t) => {
+  // Two faults together: the store is restored from an old backup and a VM is replaced. The new VM reads the old table
+  // from the store and must not serve with it, because its peers have a newer one in force.
+  it("does not let a new VM serve with the table of an old backup", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.save("old");
     t.true((await vms[0].put(regionRowOf("agadir", 2))).isOk());
@@ -235,9 +235,9 @@
     t.is(weightOf(late, "agadir"), 2);
   });
 
-  // One region is cut off from the store but not from the other region. An edit made there must be in force here too:
-  // the region's watchers see that the other region is ahead, and pull.
-  it("takes edits from another region when the store is out of reach", async (t) => {
+  // One region cannot reach the store but can reach the other region. An edit made in the other region must come in
+  // force here too: the watchers see that the other region is ahead, and pull.
+  it("pulls edits from a remote region while the store is unreachable", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ vm: "^marrakech", outage: "cut" }]);
     const connected = vms.filter((vm) => vm.region === "agadir");
@@ -246,8 +246,8 @@
     for (const vm of vms) t.is(weightOf(vm, "marrakech"), 8);
   });
 
-  // The two watchers of a region crash while an edit is made. The others of the region elect new ones, which read what
-  // was missed and watch on; the bound on watches holds.
+  // The two watchers of a region crash while an edit is made. Other VMs of the region become watchers, read the missing
+  // edits and keep watching. The limit on the number of watches holds.
   it("replaces watchers that crash", async (t) => {
     const { platform, vms } = await openFleet(t);
     const watchers = vms.filter((vm) =>
@@ -268,8 +268,8 @@
     t.true(platform.store.watchCount <= 2 * regions.length);
   });
 
-  // The links from the watchers to one VM are cut, so that pushes to it are lost. It learns of the new version from the
-  // third VM's heartbeats and pulls it from there.
+  // A VM's inbound link from another VM is cut, so that pushes over it are lost. The VM learns of the new version from
+  // the third VM's heartbeats and pulls it from there.
   it("repairs a lost push through the heartbeats", async (t) => {
     const { vms } = await openFleet(t);
     const regionVms = vms.filter((vm) => vm.region === "agadir");
@@ -288,7 +288,7 @@
     t.is(weightOf(unreached, "agadir"), 5);
   });
 
-  it("refuses an edit that breaks a reference, and says how", async (t) => {
+  it("refuses an edit with a dangling reference, and names it", async (t) => {
     const { vms } = await openFleet(t);
     const edit = await vms[0].put({
       kind: "workspace",
@@ -306,7 +306,7 @@
     t.is(vms[0].version, 1);
   });
 
-  it("applies a file with a dry run first, and finds nothing to do after it", async (t) => {
+  it("applies a file after a dry run, and then finds nothing to change", async (t) => {
     const { vms } = await openFleet(t);
     const rows = [
       regionRowOf("agadir", 2),
--- a/src/services/table_store.ts
+++ b/src/services/table_store.ts
@@ -1,5 +1,5 @@
 /**
- * The table in the platform's store: reading head, log and snapshots, writing edits and snapshots.
+ * The table in the platform's store: reads the head, the log and snapshots, and writes edits and snapshots.
  *
  * @module
  */
@@ -27,18 +27,18 @@
   type WriteAnswer,
 } from "../agreement/mod.ts";
 
-/** Edits kept in the log behind a snapshot, for VMs that are a little behind. */
+/** Edits before a snapshot that stay in the log, for VMs that are only a little behind. */
 export const RETAINED_EDITS = 256;
 const EDITS_PER_READ = 64;
 const DELETES_PER_TRANSACTION = 100;
 const MAX_SNAPSHOT_ATTEMPTS = 5;
 
-/** What was read of the head, with the store's revision at that moment: watch from `storeRev + 1`. */
+/** The head as read, with the store's revision at that moment. A watch starts from `storeRev + 1`. */
 export interface StoreHead extends SeenHead {
   readonly storeRev: number;
 }
 
-/** Reads and writes the table's keys; holds no state but its connection. */
+/** Reads and writes the table's keys. Has no state besides its connection to the store. */
 export class TableStore {
   readonly #store: KeyValue;
 
@@ -46,14 +46,15 @@
     this.#store = store;
   }
 
-  /** Calls made for the table so far. */
+  /** The number of store calls made for the table. */
   get callCount(): number {
     return this.#store.counts().table;
   }
 
-  /** The head as it stands; `readAtVersion` is the version in force here now. */
+  /** Reads the head. `readAtVersion` is the version in force here now. */
   async head(readAtVersion: number): Promise<Result<StoreHead, StoreError>> {
-    // A listing tells the store's revision too; a watch from the head's own, perhaps old, revision could be compacted.
+    // A listing also returns the store's revision. The head's own revision may be old and compacted, so that a watch
+    // could not start from it.
     const listing = await this.#store.list(HEAD_KEY, { limit: 1 }, "table");
     return listing.andThen(({ entries, rev }) => {
       const [entry] = entries;
@@ -67,7 +68,7 @@
     });
   }
 
-  /** Brings `log` up to the head, by a snapshot where it is far behind; answers with the edits applied one by one. */
+  /** Brings `log` up to the head, with a snapshot if it is far behind. Returns the edits that were applied singly. */
   async catchUp(
     log: TableLog,
     { head }: SeenHead,
@@ -94,7 +95,7 @@
     }
   }
 
-  /** Edits from `version` on, as the log holds them. */
+  /** Reads up to `limit` edits of the log, starting at `version`. */
   async edits(
     version: number,
     limit: number,
@@ -118,7 +119,7 @@
     );
   }
 
-  /** Writes an edit and the head as one transaction; answers also with the head's new revision. */
+  /** Writes an edit and the head in one transaction. Returns the answer and the head's new revision. */
   async write(
     step: Extract<EditStep, { type: "write" }>,
   ): Promise<{ readonly answer: WriteAnswer; readonly rev: number }> {
@@ -144,10 +145,10 @@
   }
 
   /**
-   * Writes an image as a snapshot and points the head at it, then deletes what it replaces. The pages stand under a
-   * name of their own until the head names them, so a writer that dies half-way leaves the old snapshot in place.
-   * Only with `mayAdvance` may the image be newer than the head: when an operator publishes the table in force to a
-   * restored store.
+   * Writes an image as a snapshot, points the head at it, then deletes what it replaces. The pages have a name of their
+   * own that the head does not refer to until all are written, so the old snapshot stays in place if the writer dies
+   * before that. Only with `mayAdvance` may the image be newer than the head; this is for an operator who republishes
+   * the table in force to a restored store.
    */
   async writeSnapshot(
     image: TableImage,
@@ -170,7 +171,7 @@
       : await this.#deleteReplaced(ref);
   }
 
-  /** Reports each new edit from store revision `fromRev` on; `onLost` ends the watch. */
+  /** Reports each new edit from store revision `fromRev` on. The watch ends when it calls `onLost`. */
   watch(
     fromRev: number,
     onEdit: (edit: LoggedEdit) => void,
@@ -193,7 +194,7 @@
     for (let page = 0; page < ref.pages; page++) {
       const entry = await this.#store.get(pageKey(ref.name, page), "table");
       if (entry.isErr()) return err(entry.error);
-      // A newer snapshot has replaced this one meanwhile; the next look at the head finds it.
+      // A newer snapshot has replaced this one in the meantime. The next read of the head finds the newer one.
       if (!entry.value) return err(missingError(`page ${page} of ${ref.name}`));
       const { value } = entry.value;
       const read = tryParse(() => parsePage(JSON.parse(value)));
@@ -250,7 +251,7 @@
     return ok(undefined);
   }
 
-  /** Pages of older snapshots, those of writers that died half-way among them; reads one page of each. */
+  /** Lists the pages of older snapshots, including unfinished ones, by reading one page of each snapshot. */
   async #oldPages(ref: SnapshotRef): Promise<Result<string[], StoreError>> {
     const keys: string[] = [];
     let fromKey = SNAPSHOT_PREFIX;
--- a/src/services/table_store_test.ts
+++ b/src/services/table_store_test.ts
@@ -19,7 +19,7 @@
   row: tableRow.parse({ kind: "region", id, weight }),
 });
 
-/** A VM alone over a store in memory, and a way to edit. */
+/** Starts a single VM with a store in memory, and returns a function to edit its table. */
 async function openVm(t: ExecutionContext) {
   const store = new MemoryKeyValue();
   const kernel = new Kernel(clock, openLog("silent"));
@@ -37,7 +37,7 @@
   return { service, editor, edit, store };
 }
 
-/** A second reader, as a VM that starts has. */
+/** Reads the table from the store as a starting VM does. */
 async function coldStart(store: MemoryKeyValue) {
   const log = new TableLog();
   const own = new MemoryKeyValue({ store: store.store });
@@ -52,7 +52,7 @@
     .map((entry) => entry.key);
 
 describe("table snapshots", () => {
-  it("bound the log and what a cold start reads", async (t) => {
+  it("limit the length of the log and the reads of a cold start", async (t) => {
     const { edit, service, store } = await openVm(t);
     for (let i = 1; i <= 1300; i++) {
       t.true((await edit([put(`r${i % 40}`, i)])).isOk());
@@ -70,9 +70,9 @@
     t.true(cold.calls < 20, String(cold.calls));
   });
 
-  // A writer dies after its pages, before the head names them: the old snapshot stays in force for readers, and the
-  // next writer removes the orphaned pages.
-  it("outlive a writer that dies half-way", async (t) => {
+  // A writer dies after it has written its pages and before the head refers to them. Readers keep using the old
+  // snapshot, and the next writer deletes the orphaned pages.
+  it("stay in place if the writer of the next one dies", async (t) => {
     const { edit, service, store } = await openVm(t);
     for (let i = 1; i <= 10; i++) await edit([put(`r${i}`, i)]);
     const writer = new TableStore(store);
@@ -90,9 +90,9 @@
     t.deepEqual(more, []);
   });
 
-  // A reader learns of a snapshot, which is replaced before its pages are read. The reading fails whole and its next
-  // try finds the new one; a table of half the rows never comes in force.
-  it("that are replaced while they are read are read again", async (t) => {
+  // A snapshot is replaced after a reader has read the head and before it has read the pages. The whole read fails, and
+  // the next attempt finds the new snapshot. A table with only a part of the rows never comes in force.
+  it("that are replaced during a read are never loaded in part", async (t) => {
     const { edit, service, store } = await openVm(t);
     for (let i = 1; i <= RETAINED_EDITS + 50; i++) await edit([put("r1", i)]);
     const writer = new TableStore(store);
@@ -109,7 +109,7 @@
 });
 
 describe("table edits", () => {
-  it("that change nothing make no version", async (t) => {
+  it("that change nothing make no new version", async (t) => {
     const { edit, service } = await openVm(t);
     await edit([put("r1", 1)]);
     const again = (await edit([put("r1", 1)]))._unsafeUnwrap();
@@ -117,7 +117,7 @@
     t.is(service.log.table.version, 1);
   });
 
-  it("beyond the size of a record are refused, and applied in parts", async (t) => {
+  it("larger than a record are refused, but an apply splits them", async (t) => {
     const { edit, editor, service } = await openVm(t);
     const rows = Array.from(
       { length: 4000 },
@@ -134,7 +134,7 @@
     t.is(service.log.table.size, 4000);
   });
 
-  it("are accepted once under one id, which no other edit may use", async (t) => {
+  it("are accepted once per id, and another edit cannot reuse the id", async (t) => {
     const { editor, service } = await openVm(t);
     const submit = (weight: number) => {
       const changes = [put("r1", weight)];
@@ -148,7 +148,7 @@
     t.is(service.log.table.version, 1);
   });
 
-  it("cost one store write each when no one else edits", async (t) => {
+  it("cost one store call each if no other VM edits", async (t) => {
     const { edit, store } = await openVm(t);
     await edit([put("r1", 1)]);
     const before = store.counts().table;
--- a/src/services/table_sync.ts
+++ b/src/services/table_sync.ts
@@ -1,6 +1,6 @@
 /**
- * The store's side of the table service: reading what is missing, watching, backing off, and the alarm when the store
- * shows an older or another log.
+ * Keeps the table's log up to date with the store: reads missing edits, watches for new ones, backs off after failures,
+ * and reports a store that shows an older or a different log.
  *
  * @module
  */
@@ -13,32 +13,32 @@
 import type { MetricsMessages } from "./metrics.ts";
 import type { StoreHead, TableStore } from "./table_store.ts";
 
-/** After an outage the watchers of all regions come back with jitter; see {@link backoffMs}. */
+/** After an outage, the watchers of all regions reconnect with jitter; see {@link backoffMs}. */
 const STORE_BACKOFF = { firstMs: 250, maxMs: 1500 };
 /**
- * A VM without a table that is not a watcher reads the store at this period only: a fleet that starts at once gets its
- * table from the watchers, and does not bring the store down by reading it whole from every VM.
+ * A VM without a table that is not a watcher reads the store only at this period. When a whole fleet starts at once,
+ * its VMs get the table from the watchers; a full read of the store by every VM would overload it.
  */
 const NON_WATCHER_PERIOD_MS = 10_000;
 
-/** What a {@link TableSync} works with. */
+/** Options of {@link TableSync}. */
 export interface TableSyncOptions {
   readonly kernel: Kernel;
   readonly log: TableLog;
   readonly store: TableStore;
   readonly random: Random;
-  /** Between looks at the head: finds a silent watch and a store that was restored. */
+  /** Between reads of the head, which detect a watch that has stopped reporting and a store that was restored. */
   readonly headCheckMs: number;
-  /** Takes edits that the watch reports. */
+  /** Receives the edits that the watch reports. */
   readonly onEdits: (edits: readonly LoggedEdit[]) => void;
-  /** The log was brought up by these edits, after an image if `imageLoaded`. */
+  /** Called after these edits were applied to the log, following an image if `imageLoaded`. */
   readonly onCaughtUp: (
     edits: readonly LoggedEdit[],
     imageLoaded: boolean,
   ) => Promise<void>;
 }
 
-/** Keeps a log up with the store. */
+/** Keeps a log up to date with the store. */
 export class TableSync {
   readonly #options: TableSyncOptions;
   #watch: Watch | undefined;
@@ -59,7 +59,7 @@
     this.#options = options;
   }
 
-  /** Whether the last look at the store succeeded. */
+  /** Whether the last read of the store succeeded. */
   get isStoreReachable(): boolean {
     return this.#isStoreReachable;
   }
@@ -81,8 +81,9 @@
   }
 
   /**
-   * Reads the head and what is missing here. The reading begins after the call: one already on its way may be older
-   * than what the caller knows from a heartbeat, and would make a sound store look restored. Calls share the next one.
+   * Reads the head and the edits that are missing here. The read starts after the call: the result of a read in
+   * progress may be older than what the caller knows from a heartbeat, and a healthy store would then look restored.
+   * All calls during a read share the next one.
    */
   sync(): Promise<Result<StoreHead, StoreError>> {
     if (!this.#currentRead) return this.#startRead();
@@ -94,12 +95,12 @@
     return this.#nextRead;
   }
 
-  /** Looks at the head at the next {@link TableSync.checkStore}, whatever its period. */
+  /** Makes the next {@link TableSync.checkStore} read the head even if its period has not passed. */
   checkHeadSoon(): void {
     this.#nextHeadCheckAtMs = 0;
   }
 
-  /** Holds a watch and looks at the head now and then, if `watcher`; otherwise looks only if `wanted`. */
+  /** On a watcher, keeps a watch open and reads the head periodically. On other VMs, reads only if `needsTable`. */
   async checkStore(isWatcher: boolean, needsTable: boolean): Promise<void> {
     const nowMs = this.#options.kernel.clock.monoMs();
     if (!isWatcher) this.#closeWatch();
@@ -113,15 +114,15 @@
   }
 
   /**
-   * A store that shows an older or another log than is in force was restored from an old copy. Following it would take
-   * back accepted edits without anyone's will, so it is told once, in the log, the dump and a counter.
+   * Reports a regression of the store once, in the log, the dump and a counter. A store whose log is older than or
+   * different from the one in force was restored from an old backup. Following it would silently revert accepted edits.
    */
   reportRegression(): void {
     const { kernel, log } = this.#options;
     const { regression } = log;
     if (this.#reportedRegression === regression?.type) return;
     this.#reportedRegression = regression?.type;
-    if (!regression) return void kernel.log.info("table store agrees again");
+    if (!regression) return void kernel.log.info("table store recovered");
     const { type, storeVersion, version } = regression;
     const { code } = codes.storeRegressed;
     this.#regressionCount++;
@@ -136,7 +137,10 @@
     void kernel.get<MetricsMessages>("metrics").ask("count", { name });
   }
 
-  /** The first turn comes a second or two after the first look, when the watchers should have the table. */
+  /**
+   * Whether a read is due; if so, the next one is due a period later. The first is due a second or two after the first
+   * call, when the watchers should have the table.
+   */
   #takeReadTurn(nowMs: number): boolean {
     const jitter = 0.75 + this.#options.random.next() / 2;
     const isFirst = this.#nextTurnAtMs === 0;
@@ -206,7 +210,7 @@
       (message) => {
         if (this.#watch === watch) this.#watch = undefined;
         kernel.log.warn("table watch lost", { message });
-        // What was missed is read before the next watch, after a wait that keeps all watchers from one instant.
+        // Missed edits are read before the next watch. The jittered delay keeps all watchers from reading at once.
         this.#retryAtMs = kernel.clock.monoMs() +
           backoffMs(0, STORE_BACKOFF, random);
       },
--- a/src/services/table_versions.ts
+++ b/src/services/table_versions.ts
@@ -1,5 +1,5 @@
 /**
- * Which VMs have which version of the table in force, region by region.
+ * Collects which VMs have which version of the table in force, by region.
  *
  * @module
  */
@@ -9,18 +9,18 @@
 import type { VmInfo } from "./messages.ts";
 import type { TableFleet } from "./table_fleet.ts";
 
-/** A VM with the newest version it is known to have in force; 0 for none. */
+/** A VM and the newest version that it is known to have in force, or 0 for none. */
 export interface VmTableVersion {
   readonly id: string;
   readonly state: "live" | "leaving";
   readonly version: number;
 }
 
-/** A region with its VMs. */
+/** The versions in force in a region. */
 export interface RegionTableVersions {
   readonly region: string;
   readonly vms: readonly VmTableVersion[];
-  /** `whole`: a VM of the region named all of its VMs. `part`: none answered; only some are known, from a while ago. */
+  /** `whole`: a VM of the region listed all its VMs. `part`: no VM answered; only some VMs are known, maybe stale. */
   readonly view: "whole" | "part";
 }
 
@@ -32,7 +32,7 @@
 
 const ASK_TIMEOUT_MS = 1000;
 
-/** What a {@link TableVersions} works with. */
+/** Options of {@link TableVersions}. */
 export interface TableVersionsOptions {
   readonly vm: { readonly id: string; readonly region: string };
   readonly fleet: TableFleet;
@@ -42,7 +42,7 @@
   readonly version: () => number;
 }
 
-/** Gathers versions: this region's from membership, another's from one of its VMs. */
+/** Collects this region's versions from the membership service, and those of a remote region from one of its VMs. */
 export class TableVersions {
   readonly #options: TableVersionsOptions;
 
@@ -51,7 +51,7 @@
     options.transport?.handle("table.region", () => this.#ownRegion());
   }
 
-  /** All regions that this VM knows of, its own first. */
+  /** Returns the versions of all regions that this VM knows, its own region first. */
   async collect(): Promise<RegionTableVersions[]> {
     const { vm, fleet } = this.#options;
     const own: RegionTableVersions = {
--- a/src/services/table_waiters.ts
+++ b/src/services/table_waiters.ts
@@ -1,5 +1,5 @@
 /**
- * Those who wait for a version of the table to be in force.
+ * Callers that wait until a version of the table is in force.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   readonly resolve: (table: Table | undefined) => void;
 }
 
-/** Waiters, each with a deadline. */
+/** Holds the waiting callers, each with the version it waits for and a deadline. */
 export class TableWaiters {
   readonly #waiters = new Set<Waiter>();
   #closed = false;
@@ -39,14 +39,14 @@
     });
   }
 
-  /** A table has come in force. */
+  /** Resolves the waiters whose version is reached by this table, which has come in force. */
   resolve(table: Table): void {
     for (const waiter of this.#waiters) {
       if (waiter.version <= table.version) waiter.resolve(table);
     }
   }
 
-  /** Ends all waiting. */
+  /** Resolves all waiters with `undefined`. */
   close(): void {
     this.#closed = true;
     for (const waiter of this.#waiters) waiter.resolve(undefined);
