--- a/src/services/directory.ts
+++ b/src/services/directory.ts
@@ -1,5 +1,5 @@
 /**
- * The directory service: answers which entry VMs a caller should use, and publishes the region on the platform.
+ * The directory service: tells callers which entry VMs to use, and publishes the region on the platform.
  *
  * @module
  */
@@ -34,7 +34,7 @@
   weightsOf,
 } from "./publications.ts";
 
-/** Which VM this is, and the platform's services where the settings name them. */
+/** The identity of this VM, and the platform's services if the settings name them. */
 export interface DirectoryOptions {
   readonly vmId: string;
   readonly region: string;
@@ -43,17 +43,17 @@
 }
 
 /**
- * A caller asks again after this, less a random part. Long enough that 4,500 workspaces of callers cost little, short
- * enough that a VM which leaves has few callers left when its requests have ended.
+ * The time after which a caller looks up its VMs again, less a random part. It is long enough that the callers of 4,500
+ * workspaces cost little, and short enough that a leaving VM has few callers left when its requests have ended.
  */
 const LOOKUP_INTERVAL_MS = 10_000;
 const LOOKUP_JITTER = 0.3;
 
-/** At most one publication in this time, by one VM of the region: the platform's stores limit the rate of all. */
+/** One VM of the region sends at most one publication per period, as the platform's stores limit the total rate. */
 const PUBLISH_PERIOD_MS = 1000;
 const PUBLISH_BACKOFF = { firstMs: 2000, maxMs: 60_000 };
 
-/** Its name is `directory`; needs `members` and `table`. */
+/** The `directory` task. It needs the tasks `members` and `table`. */
 export class DirectoryService extends Task<DirectoryMessages> {
   readonly name = "directory";
   protected readonly handlers: Handlers<DirectoryMessages> = {
@@ -125,7 +125,10 @@
     };
   }
 
-  /** VMs of another region are those that its digest named. Where none is known, this region's: they say where to go. */
+  /**
+   * The VMs of a region. Those of another region are the ones named in its digests; if none is known, this region's VMs
+   * are returned, as they tell callers where to go.
+   */
   async #vmsOfRegion(region: string): Promise<readonly VmInfo[]> {
     if (region !== this.#options.region) {
       const others = await this.#members.ask("others", undefined);
@@ -199,5 +202,5 @@
   }
 }
 
-/** The directory's name among publications; no service has it, as ids start with a letter or digit. */
+/** The name of the directory's publication. No service has this name, as ids start with a letter or digit. */
 const DIRECTORY_PUBLICATION = "/directory";
--- a/src/services/directory_test.ts
+++ b/src/services/directory_test.ts
@@ -47,7 +47,7 @@
   }
 }
 
-/** Takes one call in `periodMs` and counts what it refuses. */
+/** Accepts one call per `periodMs` and counts the calls that it refuses. */
 class RateLimitedStore extends WeightStore {
   readonly published: [service: string, weights: Weights][] = [];
   refused = 0;
@@ -135,7 +135,7 @@
 }
 
 describe("directory", () => {
-  it("ranks this region's VMs without the leaving ones", async (t) => {
+  it("ranks this region's VMs without leaving ones", async (t) => {
     const clock = new ManualClock();
     const { members, directory } = await startDirectories(t, clock);
     members.vms[1] = vm("b", { state: "leaving" });
@@ -145,7 +145,7 @@
     t.true(waitMs >= 7000 && waitMs <= 10_000);
   });
 
-  it("sends a bound workspace's callers to its home", async (t) => {
+  it("sends the callers of a bound workspace to its home region", async (t) => {
     const clock = new ManualClock();
     const { members, directory } = await startDirectories(t, clock);
     members.others.set("muscat", [vm("m", { region: "muscat" })]);
@@ -155,9 +155,9 @@
     t.is(free.vms.length, 3);
   });
 
-  // The platform's store takes one call in 3 s. The region must settle on what it holds without a storm of refused
-  // calls, by one VM, and another VM must go on when that one goes.
-  it("publishes by one VM within the platform's rate", async (t) => {
+  // The platform's store accepts one call per 3 s. One VM must publish what the region holds without a burst of refused
+  // calls, and another VM must take over when it is gone.
+  it("publishes from one VM within the platform's rate limit", async (t) => {
     const clock = new ManualClock();
     const { members, store, directories } = await startDirectories(t, clock);
     await clock.advance(60_000);
@@ -174,7 +174,7 @@
     t.deepEqual(last.map(({ vmId }) => vmId), members.vms.map(({ id }) => id));
   });
 
-  it("backs off when the platform refuses, and gets there", async (t) => {
+  it("backs off when the platform refuses, and publishes in the end", async (t) => {
     const clock = new ManualClock();
     const { store } = await startDirectories(t, clock);
     await store.publish("other", "agadir", {});
--- a/src/services/lead_client.ts
+++ b/src/services/lead_client.ts
@@ -1,5 +1,6 @@
 /**
- * An entry VM's side: finds the lead of a pool, waits for its decision, keeps what it holds, renews it.
+ * The entry VM's side of slot leasing: asks the lead of a pool for a slot, waits for the decision, keeps the granted
+ * slots and renews them.
  *
  * @module
  */
@@ -18,13 +19,13 @@
 import type { LeadView } from "./lead_view.ts";
 
 /**
- * How long a request waits through a change of leads before it is refused: longer than it takes to find a dead VM, so
- * that a crash of the lead costs its callers a pause and not an error.
+ * The longest time that a request is retried while no VM leads its pool, before it is refused. This is longer than it
+ * takes to detect a dead VM, so that a crash of the lead delays its callers' requests but does not fail them.
  */
 export const MAX_LEAD_WAIT_MS = 6000;
 const RETRY_DELAY_MS = 100;
 
-/** How often all held slots are renewed; a third of their time, so that one lost renewal does no harm. */
+/** The interval between renewals of held slots: a third of a slot's TTL, so that a slot survives one lost renewal. */
 export const RENEW_INTERVAL_MS = 2000;
 
 interface PoolSlot {
@@ -32,7 +33,7 @@
   readonly slot: HeldSlot;
 }
 
-/** What a {@link LeadClient} needs of its task. */
+/** The dependencies of a {@link LeadClient}. */
 export interface LeadClientContext {
   readonly clock: Clock;
   readonly log: Log;
@@ -41,7 +42,7 @@
   readonly router: LeadRouter;
 }
 
-/** See the module's comment. */
+/** Acquires, renews, reports and cancels the slots of this VM's requests. */
 export class LeadClient {
   readonly #context: LeadClientContext;
   readonly #held = new Map<string, PoolSlot>();
@@ -55,7 +56,7 @@
     this.#context = context;
   }
 
-  /** Asks the lead for a slot; through a change of leads it asks again for a while. */
+  /** Asks the lead for a slot, and retries for up to {@link MAX_LEAD_WAIT_MS} while the lead changes. */
   async acquire(request: SlotRequest): Promise<SlotAnswer> {
     const { clock, view } = this.#context;
     let waitUntilMs = request.deadlineMs;
@@ -75,7 +76,7 @@
     }
   }
 
-  /** An attempt started or ended: tells its lead, and forgets it at its end. */
+  /** Reports to the lead that an attempt started or ended, and removes the slot of one that ended. */
   report(report: SlotReport): void {
     const held = this.#held.get(report.attemptId);
     if (!held) return;
@@ -83,7 +84,7 @@
     this.#context.router.report(held.pool, report);
   }
 
-  /** The caller has gone: whatever the attempt waits for or holds is given up. */
+  /** Cancels an attempt whose caller disconnected: its queued request is withdrawn and its slot is released. */
   cancel(attemptId: string): void {
     const pool = this.#pending.get(attemptId)?.pool ??
       this.#held.get(attemptId)?.pool;
@@ -93,7 +94,7 @@
     this.#context.router.cancel(pool, attemptId);
   }
 
-  /** What this VM holds of a pool. */
+  /** The slots of a pool that this VM holds. */
   heldOf(poolKey: string): HeldSlot[] {
     const slots: HeldSlot[] = [];
     for (const { pool, slot } of this.#held.values()) {
@@ -102,7 +103,7 @@
     return slots;
   }
 
-  /** Renews every pool's slots, one small message to each lead. */
+  /** Renews the slots of every pool, with one small message per pool to its lead. */
   renewAll(): void {
     const pools = new Set([...this.#held.values()].map((held) => held.pool));
     for (const pool of pools) {
@@ -150,7 +151,10 @@
     return answer;
   }
 
-  /** Nothing was handed to an upstream: a slot that a lost lead may have granted was never used. */
+  /**
+   * Refuses a request that was retried for too long. No upstream has received it: a slot that a lost lead may have
+   * granted was never used.
+   */
   #refuseTimedOut(request: SlotRequest): SlotAnswer {
     const nowMs = this.#context.clock.nowMs();
     this.#context.log.warn("no lead", { service: request.service });
--- a/src/services/lead_pool.ts
+++ b/src/services/lead_pool.ts
@@ -1,6 +1,6 @@
 /**
- * A pool that this VM leads: the decisions of {@link Pool}, with the book of who holds what, the start of a new lead and
- * the end of an old one. Free of I/O.
+ * A pool that this VM leads. It wraps the decisions of {@link Pool} and adds a record of which entry VM holds which
+ * slot, the collection of held slots when this VM starts to lead, and the handover when it stops. Free of I/O.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   type SlotRequest,
 } from "../decisions/mod.ts";
 
-/** What the task must do after a step. */
+/** An action for the caller to carry out after a call. */
 export type LeadOutput =
   | {
     readonly type: "decided";
@@ -34,7 +34,7 @@
   | { readonly type: "moved"; readonly attemptId: string }
   | Extract<PoolOutput, { type: "order" }>;
 
-/** A granted slot as the lead must be able to hand it over. */
+/** A granted slot, with what the next lead needs at a handover. */
 interface GrantedSlot {
   readonly held: HeldSlot;
   readonly entry: string;
@@ -43,13 +43,13 @@
 }
 
 /**
- * A new lead asks the VMs of its region what they hold. It decides nothing before all have answered or this much time
- * has passed: placing at once would fill slots that are taken. VMs that answer in time are counted exactly; for the
- * others the upstreams' own load reports are the floor.
+ * A new lead asks the VMs of its region which slots they hold. It decides nothing before all have answered or this time
+ * has passed: placing at once would fill slots that are taken. The slots of VMs that answer in time are counted
+ * exactly; for the others, the upstreams' load reports give a lower bound.
  */
 export const COLLECT_TIMEOUT_MS = 400;
 
-/** See the module's comment. */
+/** Decides the requests of one pool and records the grants of its slots. */
 export class LeadPool {
   readonly key: string;
   readonly pool: Pool;
@@ -87,13 +87,13 @@
     );
   }
 
-  /** A VM of the region says what it holds. */
+  /** Takes over the slots that a VM of the region reports as held. */
   adoptHeld(
     entry: string,
     held: readonly HeldSlot[],
     nowMs: number,
   ): LeadOutput[] {
-    // The entry VM and the lead before this one may both name a slot; it is taken once.
+    // The entry VM and the previous lead may both report a slot; it is counted once.
     const outputs = this.#adopt(entry, this.#notYetGranted(held), nowMs, nowMs);
     this.#unansweredVms.delete(entry);
     if (this.#unansweredVms.size === 0) {
@@ -102,7 +102,7 @@
     return outputs;
   }
 
-  /** The lead before this one says what it granted. The entry VM may not have its answer yet. */
+  /** Takes over the slots that the previous lead granted. The entry VM may not have received the grant yet. */
   adoptHandover(
     entry: string,
     held: readonly HeldSlot[],
@@ -119,7 +119,7 @@
   ): LeadOutput[] {
     const { attemptId } = request;
     if (this.#isStopped) return [{ type: "moved", attemptId }];
-    // The answer was lost and the entry VM asks again: a second slot for the same attempt would never be used.
+    // The reply was lost and the entry VM retries. A second slot for the same attempt would never be used.
     const grant = this.#granted.get(attemptId)?.grant;
     if (grant) return [{ type: "decided", attemptId, answer: grant }];
     if (this.#waiting.has(attemptId)) return [];
@@ -139,7 +139,7 @@
     return this.#applyOutputs(this.pool.cancel(attemptId, nowMs), nowMs);
   }
 
-  /** Gives up what waits for VMs that are gone: a slot granted to one would come back only when its time has passed. */
+  /** Cancels the queued requests of VMs that are gone: a slot granted to one would stay taken until it expires. */
   cancelForMissing(
     isPresent: (entry: string) => boolean,
     nowMs: number,
@@ -151,16 +151,19 @@
     return outputs;
   }
 
-  /** Holds all slots of `entry` for another {@link SLOT_TTL_MS}, if the digest shows that both sides mean the same. */
+  /**
+   * Renews all slots of `entry` for another {@link SLOT_TTL_MS} if the digest shows that `entry` holds what is recorded
+   * here. Returns false if it must list its slots instead.
+   */
   renew(entry: string, digest: AttemptsDigest, nowMs: number): boolean {
     if (!this.#holders.matches(entry, digest)) return false;
     const unknown = this.#renewGranted(this.#holders.heldBy(entry), nowMs);
-    // The pool gave these up before the renewal came: the entry VM must list them.
+    // The pool released these slots before the renewal arrived, so the entry VM must list what it holds.
     for (const id of unknown) this.#removeGrant(id);
     return unknown.length === 0;
   }
 
-  /** Takes the entry VM's own list for the truth about its slots. */
+  /** Replaces the record of the slots of `entry` with its own list, but keeps grants that may be in transit to it. */
   reconcile(
     entry: string,
     held: readonly HeldSlot[],
@@ -195,7 +198,7 @@
     return outputs;
   }
 
-  /** Another VM leads from now on: what waits here is sent there, and nothing more is granted. */
+  /** Stops granting because another VM leads the pool now. Queued requests are answered `moved` and go there. */
   stop(): LeadOutput[] {
     this.#isStopped = true;
     const outputs: LeadOutput[] = [];
@@ -206,7 +209,7 @@
     return outputs;
   }
 
-  /** What is granted, by entry VM, for the next lead. */
+  /** Lists the granted slots by entry VM, for the next lead. */
   heldByEntry(): [string, HeldSlot[]][] {
     const byEntry = new Map<string, HeldSlot[]>();
     for (const { held, entry, expiresAtMs } of this.#granted.values()) {
@@ -238,7 +241,10 @@
     return outputs;
   }
 
-  /** The pool knows nothing yet of what waits while collecting, so that its deadlines are kept here. */
+  /**
+   * Answers `moved` to expired requests. While slots are collected, the pool has not seen the queued requests yet, so
+   * their deadlines are enforced here.
+   */
   #returnExpired(nowMs: number): LeadOutput[] {
     if (!this.#isCollecting) return [];
     const outputs: LeadOutput[] = [];
@@ -260,7 +266,7 @@
     settledAtMs: number,
     nowMs: number,
   ): LeadOutput[] {
-    // Held now, so held for its whole time from now: what the slot says of its end is as old as its first grant.
+    // The slot is held now, so its full TTL starts now. The slot's own expiry dates from its first grant.
     const expiresAtMs = nowMs + SLOT_TTL_MS;
     const renewed = held.map((slot) => ({ ...slot, expiresAtMs }));
     for (const slot of renewed) {
@@ -318,7 +324,7 @@
   }
 }
 
-/** What a lead must know of a grant that another made. */
+/** Describes a grant for another lead. */
 export function heldSlot(request: SlotRequest, grant: SlotGrant): HeldSlot {
   return {
     attemptId: grant.attemptId,
--- a/src/services/lead_router.ts
+++ b/src/services/lead_router.ts
@@ -1,6 +1,6 @@
 /**
- * Carries a message to the lead of a pool: here, on the VM that leads by this one's view, or through one other VM where
- * the way there is cut or the views differ.
+ * Delivers a message to the lead of a pool. The lead is this VM or the one that leads according to this VM's view; if
+ * the link to it is cut or the views differ, one other VM relays the message.
  *
  * @module
  */
@@ -23,23 +23,23 @@
 import type { LeadView } from "./lead_view.ts";
 import type { VmInfo } from "./messages.ts";
 
-/** A lead answers at the request's deadline at the latest; the answer needs this much more to arrive. */
+/** A lead answers at the request's deadline at the latest. This is the extra time for the answer to arrive. */
 const ANSWER_GRACE_MS = 1000;
 const RENEW_TIMEOUT_MS = 1000;
 /**
- * A VM that could not be reached directly is tried last for this long. Behind a cut each try costs a handshake's
- * timeout, which every request would wait out before it is relayed.
+ * The time for which a VM that could not be reached directly is tried last. If the link to it is cut, each attempt
+ * costs a handshake timeout, which every request would wait for before it is relayed.
  */
 const AVOID_DURATION_MS = 5000;
 
-/** What a {@link LeadRouter} needs of its task. */
+/** The dependencies of a {@link LeadRouter}. */
 export interface LeadRouterContext {
   readonly clock: Clock;
   readonly view: LeadView;
   readonly server: LeadServer;
-  /** Absent where the VM runs alone. */
+  /** Absent if the VM runs alone. */
   readonly transport: Transport | undefined;
-  /** A call to this VM failed. */
+  /** Called when a VM could not be reached. */
   readonly onCallFailed: (vmId: string) => void;
 }
 
@@ -48,19 +48,19 @@
   readonly abort: () => void;
 }
 
-/** See the module's comment. */
+/** Delivers messages to the leads of pools, and handles those that other VMs send. */
 export class LeadRouter {
   readonly #context: LeadRouterContext;
   readonly #pendingCalls = new Set<PendingCall>();
   readonly #avoidUntilMs = new Map<string, number>();
-  /** The VM that a pending attempt is asked at. */
+  /** The VM to which the pending request of each attempt was sent last. */
   readonly #askedVms = new Map<string, VmInfo>();
 
   constructor(context: LeadRouterContext) {
     this.#context = context;
   }
 
-  /** Registers the messages that other VMs send. */
+  /** Registers the handlers of the messages that other VMs send. */
   listen(heldOf: (message: HeldMessage) => HeldSlot[]): void {
     const { transport, server } = this.#context;
     if (!transport) return;
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Gives up calls to VMs that are gone. A frozen lead, or one behind a cut, keeps its connection and never answers; a
-   * queued request would wait out its whole deadline for it.
+   * Aborts calls to VMs that are gone. The connection to a lead that is frozen or behind a cut link stays open without
+   * an answer, so a queued request would wait for it until its deadline.
    */
   abortCallsToMissingVms(): void {
     for (const call of this.#pendingCalls) {
@@ -144,8 +144,8 @@
   }
 
   /**
-   * Calls the lead; where that fails, the next VM in order, which relays. A message that was relayed already goes no
-   * further: two VMs with different views would hand it to each other for ever.
+   * Calls the lead and, if that fails, the next candidate, which relays the message. A relayed message is not forwarded
+   * again: two VMs with different views would send it back and forth forever.
    */
   async #forward(
     method: string,
@@ -212,9 +212,10 @@
   }
 
   /**
-   * A frozen lead finds the requests in its sockets when it wakes, long after their callers were served elsewhere, and
-   * grants them slots that nobody uses; its own callers then wait for each of those to run out. The withdrawal lies in
-   * the same connection right behind the request, so that whoever reads the one reads the other.
+   * Cancels a request at a VM that did not answer. A frozen lead reads the requests buffered in its sockets when it
+   * resumes, long after their callers were served elsewhere. It would grant them slots that nobody uses, and its own
+   * callers would wait until these expire. The cancellation follows the request on the same connection, so that a VM
+   * that reads the request also reads the cancellation.
    */
   #withdraw(vm: VmInfo, message: LeadMessage): void {
     if (!("request" in message)) return;
@@ -225,8 +226,8 @@
   }
 
   /**
-   * Goes to the lead, and to the VM that was asked: while the lead changes these differ, and a request that stays queued
-   * for a caller who has gone takes a slot when its turn comes.
+   * Sends the cancellation to the lead and to the VM that was asked. These differ while the lead changes, and a request
+   * that stays queued after its caller disconnected would take a slot at its turn.
    */
   #cancel(message: CancelMessage): void {
     const { server, view, transport } = this.#context;
@@ -249,7 +250,7 @@
     transport?.notify(lead.peerAddress, method, message);
   }
 
-  /** Sends on what is meant for another lead; answers whether it did. */
+  /** Relays a message to the lead if that is another VM. Returns whether it was relayed. */
   #relay(method: string, message: LeadMessage): boolean {
     const { server, view, transport } = this.#context;
     if (server.isLeadOf(message.pool) || message.relayed) return false;
--- a/src/services/lead_server.ts
+++ b/src/services/lead_server.ts
@@ -1,5 +1,5 @@
 /**
- * The pools that this VM leads, and the requests that wait for their decisions.
+ * Runs the pools that this VM leads, and answers requests when their pool has decided them.
  *
  * @module
  */
@@ -26,35 +26,35 @@
 import { type LeadOutput, LeadPool } from "./lead_pool.ts";
 import type { LeadView } from "./lead_view.ts";
 
-/** Where the orders of led pools go: fencing numbers and the upstreams' contracts are theirs. */
+/** Receives the orders of led pools. It is responsible for fencing numbers and for each upstream's protocol. */
 export type OrderSink = (
   pool: PoolInfo,
   order: Extract<LeadOutput, { type: "order" }>,
 ) => void;
 
-/** What a {@link LeadServer} needs of its task. */
+/** The dependencies of a {@link LeadServer}. */
 export interface LeadServerContext {
   readonly clock: Clock;
   readonly log: Log;
   readonly view: LeadView;
   readonly onOrder: OrderSink;
-  /** Resolves when the table that a request was accepted on is in force here, or soon after anyway. */
+  /** Waits for the table version that a request was accepted on. Resolves after a short timeout in any case. */
   readonly catchUp: (request: SlotRequest) => Promise<void>;
-  /** Asks every other VM of the region what it holds of a pool; `heard` is called for each that answers. */
+  /** Asks every VM of the region which slots of a pool it holds; `onHeld` is called for each one that answers. */
   readonly collect: (
     poolKey: string,
     onHeld: (entry: string, held: readonly HeldSlot[]) => void,
   ) => void;
-  /** Tells the next lead what was granted here. */
+  /** Sends the slots that were granted here to the next lead. */
   readonly handOver: (message: HandoverMessage) => void;
 }
 
-/** See the module's comment. */
+/** Starts, runs and stops the pools that this VM leads. */
 export class LeadServer {
   readonly #context: LeadServerContext;
   readonly #ledPools = new Map<string, LeadPool>();
   readonly #resolvers = new Map<string, ((reply: AcquireReply) => void)[]>();
-  /** Attempts that wait for the table they were accepted on. */
+  /** Attempts that wait for the table version that they were accepted on. */
   readonly #awaitingTable = new Set<string>();
   #isClosed = false;
 
@@ -66,7 +66,7 @@
     return this.#ledPools.has(poolKey);
   }
 
-  /** Starts and stops pools after the table or the VMs changed. */
+  /** Starts, stops and updates pools after the table or the VMs of the region changed. */
   update(tableChanged: boolean): void {
     const { view, clock } = this.#context;
     for (const key of [...this.#ledPools.keys()]) {
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Resolves once the request is decided, which may take until its deadline. */
+  /** Resolves when the request is decided, which may take until its deadline. */
   acquire(message: AcquireMessage): Promise<AcquireReply> {
     const version = this.#context.view.table?.version ?? 0;
     const isBehind = message.request.tableVersion > version;
@@ -186,7 +186,7 @@
     }
   }
 
-  /** The led pools that have started, with their digests. */
+  /** The led pools that have finished collecting held slots, with their digests. */
   digests(): [PoolInfo, PoolDigest][] {
     const nowMs = this.#context.clock.nowMs();
     return this.#listPools()
@@ -194,21 +194,22 @@
       .map(([info, led]) => [info, led.pool.digest(nowMs)]);
   }
 
-  /** The led pools. */
+  /** The pools that this VM leads. */
   ledPoolInfos(): PoolInfo[] {
     return this.#listPools().map(([info]) => info);
   }
 
   /**
-   * After a pause: the book tells of slots that were given back elsewhere, and upstreams seem to have been silent for as
-   * long as this VM slept. The pools start anew and learn from the entry VMs what is held.
+   * Restarts all pools after a pause of this process. Their records still contain slots that were released elsewhere
+   * meanwhile, and upstreams seem to have been silent as long as this VM paused. The new pools learn from the entry VMs
+   * what is held.
    */
   restart(): void {
     for (const key of [...this.#ledPools.keys()]) this.#drop(key);
     this.update(false);
   }
 
-  /** Steps down from all pools. */
+  /** Stops leading all pools and hands them over. */
   close(): void {
     this.#isClosed = true;
     for (const key of [...this.#ledPools.keys()]) this.#stop(key);
@@ -248,7 +249,7 @@
     this.#context.handOver({ pool: key, held });
   }
 
-  /** Stops leading; what waits here is asked anew elsewhere. */
+  /** Stops leading a pool. The entry VMs send the requests that wait here to the next lead. */
   #drop(key: string): LeadPool {
     const led = this.#ledPools.get(key)!;
     this.#ledPools.delete(key);
--- a/src/services/lead_sim_test.ts
+++ b/src/services/lead_sim_test.ts
@@ -12,17 +12,17 @@
 const INFO = [...poolsOfRegion(TABLE, "r").values()][0];
 const STEP_MS = 50;
 const RENEW_MS = 2000;
-/** Answers come later than this only where the link is broken. */
+/** The delay of a late answer. Answers are delayed for longer only if the link is broken. */
 const ANSWER_DELAY_MS = 1500;
 
-/** One step of a schedule. `vm` names an entry VM by number, `lead` a VM that starts to lead. */
+/** One step of a schedule. `vm` is the number of an entry VM, `lead` that of a VM that starts to lead. */
 type Step =
   | { readonly type: "pass"; readonly ms: number }
-  | { readonly type: "acquire"; readonly vm: number; readonly fate: Delivery }
+  | { readonly type: "acquire"; readonly vm: number; readonly reply: Delivery }
   | { readonly type: "end"; readonly vm: number; readonly lost: boolean }
-  /** The lead changes: by a planned stop of the old one, or by its crash. */
+  /** The lead changes by a planned stop of the old one or by its crash. */
   | { readonly type: "move"; readonly lead: number; readonly crash: boolean }
-  /** Another VM starts to lead beside those that do, and cannot hear some of the entry VMs. */
+  /** Another VM starts to lead besides the present leads, and cannot reach one of the entry VMs. */
   | {
     readonly type: "split";
     readonly lead: number;
@@ -34,7 +34,7 @@
 
 interface EntryVm {
   readonly held: Map<string, HeldSlot>;
-  /** The VM it takes for the lead. */
+  /** The number of the VM that it sees as the lead. */
   lead: number;
 }
 
@@ -44,7 +44,7 @@
   readonly deliver: () => void;
 }
 
-/** Entry VMs and leads of one pool; the rule is about what the entry VMs really hold. */
+/** The entry VMs and leads of one pool. Its checks compare what the entry VMs hold with the pool's slots. */
 class RegionModel {
   readonly violations: string[] = [];
   readonly #make: (nowMs: number) => LeadPool;
@@ -55,7 +55,7 @@
   #nowMs = 1_000_000;
   #nextRenewMs = 0;
   #attempts = 0;
-  /** How many leads granted since the last time there was only one. */
+  /** The largest number of leads at a time. */
   maxLeads = 1;
 
   constructor(make: (nowMs: number) => LeadPool) {
@@ -74,7 +74,7 @@
     }
   }
 
-  /** One VM leads from now on; after some renewals its book must be what the entry VMs hold. */
+  /** Leaves VM 0 as the only lead. After some renewals its record must match what the entry VMs hold. */
   settle(): void {
     for (const lead of [...this.#leads.keys()]) {
       if (lead !== 0) this.#leads.delete(lead);
@@ -88,7 +88,9 @@
       [...entry.held.keys()].map((id) => `${n}/${id}`)
     );
     if (recorded.sort().join() === held.sort().join()) return;
-    this.violations.push(`the book says ${recorded}, entry VMs hold ${held}`);
+    this.violations.push(
+      `the lead records ${recorded}, entry VMs hold ${held}`,
+    );
   }
 
   #step(step: Step): void {
@@ -96,7 +98,7 @@
       case "pass":
         return this.#advance(step.ms);
       case "acquire":
-        return this.#acquire(step.vm, step.fate);
+        return this.#acquire(step.vm, step.reply);
       case "end":
         return this.#end(step.vm, step.lost);
       case "move":
@@ -127,14 +129,14 @@
     for (const { deliver } of due) deliver();
   }
 
-  #acquire(vm: number, fate: Delivery): void {
+  #acquire(vm: number, reply: Delivery): void {
     const attemptId = `x${this.#attempts++}`;
     const request = planRequest(attemptId, {
       arrivedAtMs: this.#nowMs,
       deadlineMs: this.#nowMs + 10_000,
     });
     const lead = this.#entries[vm].lead;
-    this.#requests.set(attemptId, { vm, fate, request });
+    this.#requests.set(attemptId, { vm, reply, request });
     const pool = this.#leads.get(lead);
     if (pool) {
       this.#handle(lead, pool.request(request, String(vm), this.#nowMs));
@@ -207,12 +209,12 @@
       if (output.type !== "decided") continue;
       const { answer } = output;
       const asked = this.#requests.get(output.attemptId);
-      if (answer.type !== "grant" || !asked || asked.fate === "lost") continue;
+      if (answer.type !== "grant" || !asked || asked.reply === "lost") continue;
       const deliver = () => {
         const slot = heldSlot(asked.request, answer);
         this.#entries[asked.vm].held.set(slot.attemptId, slot);
       };
-      if (asked.fate === "arrives") deliver();
+      if (asked.reply === "arrives") deliver();
       else {
         const arriveAtMs = this.#nowMs + ANSWER_DELAY_MS;
         this.#late.push({ from, arriveAtMs, deliver });
@@ -231,12 +233,12 @@
 
 interface PendingRequest {
   readonly vm: number;
-  readonly fate: Delivery;
+  readonly reply: Delivery;
   readonly request: SlotRequest;
 }
 
 const vm = fc.nat({ max: VMS - 1 });
-const fate = fc.constantFrom<Delivery>("arrives", "arrives", "late", "lost");
+const reply = fc.constantFrom<Delivery>("arrives", "arrives", "late", "lost");
 
 function steps(splits: boolean): fc.Arbitrary<Step[]> {
   const usual: fc.WeightedArbitrary<Step>[] = [
@@ -252,7 +254,7 @@
       arbitrary: fc.record({
         type: fc.constant("acquire" as const),
         vm,
-        fate,
+        reply,
       }),
     },
     {
@@ -292,7 +294,7 @@
   readonly make?: (nowMs: number) => LeadPool;
 }
 
-/** Runs schedules; a violated rule is thrown with a schedule, its seed and its path, which replay it. */
+/** Runs random schedules. A violation is thrown with the schedule, its seed and its path, which replay it. */
 function search({ runs, seed, splits, shrink, make }: Options): void {
   fc.assert(
     fc.property(steps(splits), (schedule) => {
@@ -329,21 +331,21 @@
 
 describe("leads > schedules", () => {
   // The lead changes by planned stops and by crashes, while its answers are late or lost and reports are lost. The VMs
-  // agree on who leads. The upstream never gets more than its slots, and the book is right in the end.
-  it("never overfills while the VMs agree", (t) => {
+  // agree on the lead. The upstream never gets more requests than slots, and the lead's record is right in the end.
+  it("never overfills the upstream while the VMs agree on the lead", (t) => {
     const options = { runs: RUNS, seed: 20262, splits: false, shrink: true };
     t.notThrows(() => search(options));
   });
 
-  // VMs disagree: several lead at once, and a new lead cannot hear one of the entry VMs. The upstream never gets more
-  // than its slots times the leads, and the book is right once one leads.
-  it("overfills by no more than its slots for each further lead", (t) => {
+  // The VMs disagree: several lead at once, and a new lead cannot reach one of the entry VMs. The upstream never gets
+  // more requests than its slots times the leads, and the record is right once there is one lead.
+  it("overfills the upstream by no more than its slots for each further lead", (t) => {
     const options = { runs: RUNS, seed: 20263, splits: true, shrink: true };
     t.notThrows(() => search(options));
   });
 
-  describe("a broken lead is caught", () => {
-    it("that starts without asking what is held", (t) => {
+  describe("the checks fail for a lead", () => {
+    it("that ignores the slots that entry VMs hold", (t) => {
       class IgnoresHeldSlots extends LeadPool {
         override adoptHeld(
           entry: string,
@@ -358,7 +360,7 @@
       assertCaught(t, make, /requests in/);
     });
 
-    it("that drops what the lead before it hands over", (t) => {
+    it("that ignores the handover of the previous lead", (t) => {
       class IgnoresHandover extends LeadPool {
         override adoptHandover() {
           return [];
@@ -369,7 +371,7 @@
       assertCaught(t, make, /requests in/);
     });
 
-    it("that frees grants which are under way", (t) => {
+    it("that frees grants that are in transit", (t) => {
       class FreesUnsettledGrants extends LeadPool {
         override reconcile(
           entry: string,
@@ -384,7 +386,7 @@
       assertCaught(t, make, /requests in/);
     });
 
-    it("that believes every renewal", (t) => {
+    it("that accepts every renewal", (t) => {
       class AcceptsEveryRenewal extends LeadPool {
         override renew(): boolean {
           return true;
@@ -392,7 +394,7 @@
       }
       const make = (nowMs: number) =>
         new AcceptsEveryRenewal(INFO, VM_IDS, 7, nowMs);
-      assertCaught(t, make, /requests in|the book/);
+      assertCaught(t, make, /requests in|the lead records/);
     });
   });
 });
--- a/src/services/lead_view.ts
+++ b/src/services/lead_view.ts
@@ -1,5 +1,6 @@
 /**
- * What a VM knows when it looks for a pool's lead: the table in force, the VMs of its region, the pools that follow.
+ * A VM's view of its region, which determines the lead of each pool: the table in force, the VMs of the region and the
+ * pools that the table defines.
  *
  * @module
  */
@@ -14,13 +15,13 @@
 import type { PoolDigest, SlotRequest } from "../decisions/mod.ts";
 import type { TopicValue, VmInfo } from "./messages.ts";
 
-/** Prefix of the topics under which leads publish the digests of their pools. */
+/** The prefix of the topics under which leads publish the digests of their pools. */
 export const LOAD_TOPIC_PREFIX = "load/";
 
-/** What is published of a pool: no more than others decide on, as every VM of the region passes it on. */
+/** The published part of a pool's digest: only what others base decisions on, as every VM of the region relays it. */
 export type PublishedLoad = Pick<PoolDigest, "predictedWaitMs" | "takesIn">;
 
-/** The digest as it is published: a wait to two digits, so that small changes are no news. */
+/** Reduces a digest to its published part. The wait has two digits, so that small changes are not published. */
 export function toPublishedLoad(
   { predictedWaitMs, takesIn }: PoolDigest,
 ): PublishedLoad {
@@ -28,12 +29,12 @@
 }
 
 /**
- * A workspace keeps to its pool, where its prompts are cached, until another would start it this much sooner. Less than
- * a cold prompt costs would only trade waiting for prefill.
+ * A workspace stays at its pool, where its prompts are cached, unless another pool would start the request this much
+ * sooner. A gain below the cost of an uncached prompt would only replace queueing time by prefill time.
  */
 const MIN_SWITCH_GAIN_MS = 500;
 
-/** See the module's comment. */
+/** The table, VMs and pools of a region as one VM knows them. */
 export class LeadView {
   readonly self: VmInfo;
   #table: Table | undefined;
@@ -58,7 +59,7 @@
     return this.#pools;
   }
 
-  /** Takes a newer table; answers whether it was one. */
+  /** Replaces the table if `table` is newer. Returns whether it is. */
   setTable(table: Table | undefined): boolean {
     if (!table || table.version <= (this.#table?.version ?? -1)) return false;
     this.#table = table;
@@ -72,7 +73,7 @@
     return true;
   }
 
-  /** Takes the VMs of the region; answers whether any came, went or started to leave. */
+  /** Replaces the VMs of the region. Returns whether any VM joined, left, restarted or changed its state. */
   setVms(vms: readonly VmInfo[]): boolean {
     const before = this.#vms.map(stateKey).sort().join();
     this.#vms = vms.length > 0 ? vms : [this.self];
@@ -80,7 +81,7 @@
     return before !== this.#vms.map(stateKey).sort().join();
   }
 
-  /** Takes the pools' digests as this region's leads published them. */
+  /** Replaces the pools' digests with those that the leads of this region published. */
   setDigests(topics: readonly TopicValue[]): void {
     this.#digests = new Map();
     for (const { topic, body } of topics) {
@@ -92,7 +93,7 @@
     }
   }
 
-  /** The VMs that may lead this pool, best first; never empty. */
+  /** The VMs that may lead this pool, best first. It is never empty. */
   leadCandidates(poolKey: string): readonly VmInfo[] {
     let candidates = this.#candidates.get(poolKey);
     if (!candidates) {
@@ -102,17 +103,17 @@
     return candidates;
   }
 
-  /** The VM that leads this pool, as seen from here. */
+  /** The VM that leads this pool according to this view. */
   leadOf(poolKey: string): VmInfo {
     return this.leadCandidates(poolKey)[0];
   }
 
-  /** Whether a VM of this id is still among those of the region. */
+  /** Whether the region has a VM with this id. */
   hasVm(vmId: string): boolean {
     return this.#vms.some((vm) => vm.id === vmId);
   }
 
-  /** The pool a request goes to: its workspace's own, unless another would start it much sooner. */
+  /** Chooses a request's pool: the preferred one of its workspace, unless the second would start it much sooner. */
   choosePool(request: SlotRequest): PoolInfo | undefined {
     const pools = this.#poolsByService.get(request.service) ?? [];
     if (pools.length < 2) return pools[0];
--- a/src/services/load_poller.ts
+++ b/src/services/load_poller.ts
@@ -1,5 +1,5 @@
 /**
- * Polling of upstreams' own load reports by the VM that leads them.
+ * The lead of a pool polls the load reports of its upstreams.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import type { Clock } from "../base/mod.ts";
 import type { LoadReport } from "../decisions/mod.ts";
 
-/** Reads what an upstream says of its load. */
+/** Reads the load report of an upstream. */
 export abstract class LoadSource {
-  /** The report, or `undefined` when none came until `deadlineMs`. */
+  /** Returns the report, or `undefined` if none arrived before `deadlineMs`. */
   abstract read(
     upstream: UpstreamRow,
     deadlineMs: number,
@@ -18,10 +18,10 @@
   abstract close(): Promise<void>;
 }
 
-/** Each led upstream is asked once in this time, and has as long to answer. */
+/** The interval between two polls of an upstream, and the timeout of each poll. */
 export const POLL_INTERVAL_MS = 1000;
 
-/** Asks each upstream at its own phase of the second, one question to each at a time. */
+/** Polls the upstreams of a pool evenly spread over the interval, with at most one poll in flight per upstream. */
 export class LoadPoller {
   readonly #clock: Clock;
   readonly #source: LoadSource;
@@ -39,7 +39,7 @@
     this.#onLoad = onLoad;
   }
 
-  /** Asks those whose time has come, of the pools that are led now. */
+  /** Polls the upstreams that are due. `pools` are the pools that this VM leads now. */
   poll(
     pools: Iterable<{ key: string; upstreams: readonly UpstreamRow[] }>,
   ): void {
--- a/src/services/member_digests.ts
+++ b/src/services/member_digests.ts
@@ -1,5 +1,6 @@
 /**
- * What VMs and regions tell each other beside who is alive: topics, digests between regions, contacts.
+ * What VMs and regions exchange besides liveness: topics within a region, and digests and contacts between regions. A
+ * region's contacts are the VMs that other regions send their digests to.
  *
  * @module
  */
@@ -17,28 +18,34 @@
 import type { RegionMessage } from "./member_messages.ts";
 import { RegionStore } from "./member_regions.ts";
 
-/** What {@link MemberDigests} needs of its task. */
+/** The dependencies of {@link MemberDigests}. */
 export interface DigestContext {
   readonly region: string;
   readonly clock: Clock;
   readonly random: Random;
   readonly transport: Transport;
   readonly machine: Membership;
-  /** Addresses of VMs by region, from the platform's lagging list. */
+  /** Addresses of VMs by region, from the platform's list, which lags. */
   readonly listedAddresses: ReadonlyMap<string, readonly string[]>;
   readonly seeds: readonly string[];
-  /** Asks the VM at this address for its region's contacts. */
+  /** Asks the VM at this address for the contacts that it knows. */
   readonly sync: (address: string) => Promise<unknown>;
 }
 
 const DIGEST_TIMEOUT_MS = 1500;
-/** How often another region is told; with more regions than this, less often, so that the cost stays flat. */
+/**
+ * The interval between digests to each other region. It is extended if there are more regions than
+ * {@link MAX_REGIONS_PER_PERIOD}, so that the cost stays constant.
+ */
 const DIGEST_PERIOD_MS = 1000;
 const MAX_REGIONS_PER_PERIOD = 6;
-/** A topic is told to this many speakers at once, to be in the next digest; the others hear it with the heartbeats. */
+/**
+ * The number of speakers (VMs that send digests) to which a topic is sent at once, so that it is in their next digests.
+ * The others get it with the heartbeats.
+ */
 const MAX_NOTIFIED_SPEAKERS = 4;
 
-/** See the module's comment. */
+/** Exchanges topics, digests and contacts with other VMs. */
 export class MemberDigests {
   readonly regions: RegionStore;
   readonly #context: DigestContext;
@@ -49,7 +56,7 @@
     this.regions = new RegionStore(context.region);
   }
 
-  /** Registers the messages that other VMs send. */
+  /** Registers the handlers of the messages that other VMs send. */
   listen(): void {
     const { transport, region } = this.#context;
     transport.handle("members.topic", (p) => this.receive(p as TopicNews));
@@ -60,7 +67,7 @@
     });
   }
 
-  /** Takes an item that came with a heartbeat; statements about VMs are not its business. */
+  /** Handles a news item that came with a heartbeat. Statements about VMs are handled elsewhere. */
   receive(item: NewsItem): void {
     const { clock, machine } = this.#context;
     if (item.type === "topic") {
@@ -86,7 +93,7 @@
     if (isNewer) this.#context.machine.queueNews(contacts);
   }
 
-  /** Tells a topic's value to the speakers at once, to all with the heartbeats. */
+  /** Publishes a topic's value: to the VMs that send digests at once, and to all with the heartbeats. */
   publish(topic: string, body: unknown): void {
     const { clock, machine, transport } = this.#context;
     const nowMs = clock.nowMs();
@@ -109,7 +116,7 @@
     }
   }
 
-  /** What this region tells `region`. */
+  /** The digest of this region for `region`. */
   digestFor(region: string): Required<RegionMessage> {
     const { clock, machine } = this.#context;
     const nowMs = clock.nowMs();
@@ -122,7 +129,7 @@
     return { news: this.regions.news(nowMs), contacts };
   }
 
-  /** Tells those regions that this VM speaks to, when they are due. */
+  /** Sends digests, if they are due, to the regions for which this VM is the speaker. */
   sendDigests(): void {
     const { clock, machine } = this.#context;
     const nowMs = clock.nowMs();
@@ -146,7 +153,10 @@
     return [...regions];
   }
 
-  /** Each pair of regions has one VM that speaks, chosen by hash, so that the digests are spread over the region. */
+  /**
+   * The speaker for a region: the VM of this region that sends it digests. It is chosen by hash, so that the work of
+   * sending is spread over the VMs.
+   */
   #speakerFor(region: string): MemberRecord {
     const candidates = this.#context.machine.present().map((record) => ({
       id: record.id,
@@ -181,15 +191,15 @@
     );
     if (result.isOk()) return;
     this.regions.forgetSentContacts(region);
-    // All VMs that the region named may have gone since; the platform's list and the seeds are asked for new ones.
+    // All contacts of that region may be gone by now. VMs of the platform's list and the seeds may know new ones.
     const fallbacks = [...listedAddresses.get(region) ?? [], ...seeds]
       .filter((other) => other !== address);
     if (fallbacks.length > 0) await sync(random.pick(fallbacks));
   }
 
   /**
-   * VMs that publish a topic are told what others publish at once, as they act on it: a lead does not send requests to a
-   * region that it has not heard of for some seconds. The rest hears with the heartbeats.
+   * Forwards another region's digest at once to the VMs that publish topics, as they act on it: a lead does not send
+   * requests to a region from which it has had no digest for some seconds. The other VMs get it with the heartbeats.
    */
   #forwardToPublishers({ news }: RegionMessage): void {
     const { clock, machine, transport } = this.#context;
--- a/src/services/member_messages.ts
+++ b/src/services/member_messages.ts
@@ -11,36 +11,39 @@
   RegionNews,
 } from "../agreement/mod.ts";
 
-/** `members.ping`, answered with the other's {@link Gossip}; `members.tell` carries the same without an answer. */
+/** `members.ping`: the reply is the receiver's {@link Gossip}. `members.tell` carries the same and has no reply. */
 export type PingMessage = Gossip;
 
-/** `members.pingVia`: ping this VM for the sender, whose own ping had no answer. */
+/** `members.pingVia`: asks the receiver to ping a VM that did not answer the sender's ping. */
 export interface PingViaMessage {
   readonly vmId: string;
   readonly peerAddress: string;
 }
 
-/** What came of it. */
+/** The reply to `members.pingVia`: whether the VM answered the ping. */
 export interface PingViaReply {
   readonly answered: boolean;
 }
 
-/** `members.sync`: all the sender knows of its region, answered with the same. */
+/** `members.sync`: all that the sender knows of its region. The reply is a {@link SyncReply}. */
 export interface SyncMessage {
   readonly region: string;
   readonly records: readonly MemberRecord[];
 }
 
-/** Across regions the records say nothing to the other; each answers with its region's news instead. */
+/**
+ * The reply to `members.sync`. Between regions the records are of no use to the sender, so `records` is empty and the
+ * digest of the receiver's region is what counts.
+ */
 export interface SyncReply extends SyncMessage {
   readonly digest: RegionMessage;
-  /** How to reach the regions that it knows of: a region needs to be told of one other only. */
+  /** The contacts of all regions that the receiver knows: a region needs an address in one other region only. */
   readonly regions: readonly ContactNews[];
 }
 
-/** `members.region`: one region tells another its news; answered so that the sender knows that the way is open. */
+/** `members.region`: the digest of one region for another. The reply shows the sender that the link works. */
 export interface RegionMessage {
   readonly news: RegionNews;
-  /** Only where they changed or were not told for a while. */
+  /** Present only if they changed or were not sent for a while. */
   readonly contacts?: ContactNews;
 }
--- a/src/services/member_regions.ts
+++ b/src/services/member_regions.ts
@@ -1,5 +1,5 @@
 /**
- * What this VM knows of topics in its own region and of other regions. Free of I/O.
+ * What this VM knows of the topics in its own region and of other regions. Free of I/O.
  *
  * @module
  */
@@ -14,21 +14,21 @@
 import { leadOrder } from "../agreement/mod.ts";
 import type { TopicValue, VmInfo } from "./messages.ts";
 
-/** VMs that a region names to another. */
+/** The number of VMs that a region names as contacts to another. */
 const MAX_CONTACTS = 3;
-/** A region's news is cut to this, in bytes of JSON of its topics. */
+/** The largest size of the topics in a region's digest, in bytes of JSON. Further topics are left out. */
 const MAX_TOPIC_BYTES = 1000;
-/** Unchanged contacts are told again this often: for VMs that came since, and for the table versions in them. */
+/** Unchanged contacts are sent again this often, for VMs that joined since and because they carry table versions. */
 const CONTACTS_REPEAT_MS = 10_000;
-/** A topic that nobody renewed for this long is dropped: its publisher is gone. */
+/** A topic that was not published for this long is dropped: its publisher is gone. */
 const TOPIC_TTL_MS = 15_000;
-/** Those who do not act on a region's topics hear them no more often: each copy costs every VM bytes. */
+/** The interval at which a region's news is gossiped to VMs that do not act on it. Each copy costs every VM bytes. */
 const SPREAD_INTERVAL_MS = 5000;
-/** A region that was not heard of for this long is out of reach; its VMs are not offered. */
+/** A region with no news for this long is considered unreachable, and its VMs are not offered. */
 const REGION_TTL_MS = 60_000;
 /**
- * News counts as newer by its publisher's wall clock. Should that have been ahead, nothing after it would count; so what
- * was not renewed for this long gives way to anything.
+ * News is ordered by its publisher's wall clock. If that clock was ahead, all later news would be ignored; so an item
+ * that was not updated for this long is replaced by any other.
  */
 const MAX_CLOCK_SKEW_MS = 5000;
 
@@ -37,28 +37,28 @@
   readonly seenAtMs: number;
 }
 
-/** See the module's comment. */
+/** Stores the topics of this region, and the news and contacts of other regions. */
 export class RegionStore {
   readonly #region: string;
   readonly #topics = new Map<string, Seen<TopicNews>>();
   readonly #regions = new Map<string, Seen<RegionNews>>();
   readonly #contacts = new Map<string, Seen<ContactNews>>();
   readonly #spreadAtMs = new Map<string, number>();
-  /** What each region was last told of this one's contacts. */
+  /** The contacts of this region that were last sent to each region. */
   readonly #sentContacts = new Map<string, { text: string; atMs: number }>();
 
   constructor(region: string) {
     this.#region = region;
   }
 
-  /** Takes a topic's value; answers whether it is newer than the one here. */
+  /** Stores a topic's value. Returns whether it is newer than the stored one. */
   mergeTopic(news: TopicNews, nowMs: number): boolean {
     if (!isNewer(news, this.#topics.get(news.topic), nowMs)) return false;
     this.#topics.set(news.topic, { news, seenAtMs: nowMs });
     return true;
   }
 
-  /** Takes another region's news; answers whether it is newer than what is here. */
+  /** Stores another region's news. Returns whether it is newer than what is stored. */
   mergeRegion(news: RegionNews, nowMs: number): boolean {
     if (news.region === this.#region) return false;
     if (!isNewer(news, this.#regions.get(news.region), nowMs)) return false;
@@ -66,7 +66,7 @@
     return true;
   }
 
-  /** Whether news of this region is due to be passed on to all; see {@link SPREAD_INTERVAL_MS}. */
+  /** Returns whether the region's news is due to be gossiped, see {@link SPREAD_INTERVAL_MS}, and records it if so. */
   recordSpreadIfDue(region: string, nowMs: number): boolean {
     if (nowMs - (this.#spreadAtMs.get(region) ?? 0) < SPREAD_INTERVAL_MS) {
       return false;
@@ -75,7 +75,7 @@
     return true;
   }
 
-  /** The VMs that published topics lately. */
+  /** The VMs that published topics within {@link TOPIC_TTL_MS}. */
   publishers(nowMs: number): Set<string> {
     const publishers = new Set<string>();
     for (const { news, seenAtMs } of this.#topics.values()) {
@@ -84,7 +84,7 @@
     return publishers;
   }
 
-  /** Takes another region's contacts; answers whether they are newer than those here. */
+  /** Stores another region's contacts. Returns whether they are newer than the stored ones. */
   mergeContacts(news: ContactNews, nowMs: number): boolean {
     if (news.region === this.#region) return false;
     if (!isNewer(news, this.#contacts.get(news.region), nowMs)) return false;
@@ -102,7 +102,7 @@
     };
   }
 
-  /** This region's contacts for the region `to`; each is named other VMs, so that no VM is every region's contact. */
+  /** This region's contacts for the region `to`. Each region gets other VMs, so that no VM is the contact of all. */
   contacts(
     to: string,
     present: readonly MemberRecord[],
@@ -120,7 +120,7 @@
     return { type: "contacts", region: this.#region, atMs: nowMs, contacts };
   }
 
-  /** Whether the region `to` is due these contacts. */
+  /** Returns whether the contacts are due to be sent to the region `to`, and records them as sent if so. */
   recordContactsIfDue(
     to: string,
     { contacts }: ContactNews,
@@ -136,7 +136,7 @@
     return true;
   }
 
-  /** A digest did not arrive: what it told must be told again. */
+  /** Forgets the contacts that were sent to `to`, since the digest did not arrive and they must be sent again. */
   forgetSentContacts(to: string): void {
     this.#sentContacts.delete(to);
   }
@@ -146,18 +146,18 @@
     return [...this.#contacts.values()].map(({ news }) => news);
   }
 
-  /** The regions known, out of reach or not. */
+  /** All known regions, reachable or not. */
   knownRegions(): string[] {
     return [...new Set([...this.#regions.keys(), ...this.#contacts.keys()])];
   }
 
-  /** Addresses of VMs of another region, as it last named them. */
+  /** The addresses of another region's contacts, as last received. */
   addresses(region: string): string[] {
     const contacts = this.#contacts.get(region)?.news.contacts ?? [];
     return contacts.map((contact) => contact.peerAddress);
   }
 
-  /** VMs of the regions that were heard of lately. */
+  /** The contacts of the other regions that sent news within {@link REGION_TTL_MS}. */
   others(nowMs: number): Map<string, VmInfo[]> {
     const others = new Map<string, VmInfo[]>();
     for (const [region, { news, seenAtMs }] of this.#contacts) {
@@ -168,7 +168,7 @@
     return others;
   }
 
-  /** The newest topics by region. */
+  /** The newest values of the topics, by region. */
   topics(nowMs: number): Map<string, TopicValue[]> {
     const topics = new Map<string, TopicValue[]>();
     topics.set(
--- a/src/services/members.ts
+++ b/src/services/members.ts
@@ -1,5 +1,5 @@
 /**
- * The membership service: heartbeats within the region, one digest per region between regions.
+ * The membership service: heartbeats within the region, and one digest per region to other regions.
  *
  * @module
  */
@@ -25,20 +25,20 @@
 import { MemberDigests } from "./member_digests.ts";
 import type { MembersMessages, TableMessages, VmInfo } from "./messages.ts";
 
-/** Who this VM is and whom it asks first. */
+/** The identity of this VM, and the VMs that it contacts first. */
 export interface MembersOptions {
   readonly vmId: string;
-  /** Grows with each start under this id; the time of the start unless given. */
+  /** Increases with each start under this id. The default is the time of the start. */
   readonly incarnation?: number;
   readonly region: string;
   readonly failureDomain: string;
-  /** `host:port` at which others reach its listener. */
+  /** `host:port` of this VM's listener for other VMs. */
   readonly peerAddress: string;
   readonly callerUrl: string;
   readonly transport: Transport;
-  /** `host:port` of VMs to ask first, of this region and others. */
+  /** `host:port` of the VMs to contact first, of this region and others. */
   readonly seeds: readonly string[];
-  /** The platform's lagging list, where there is one; it only seeds. */
+  /** The platform's list of VMs, if there is one. It lags, so it is used only for seeds. */
   readonly vmList?: VmList;
   readonly times?: MembershipTimes;
 }
@@ -48,12 +48,12 @@
 const PING_VIA_TIMEOUT_MS = 600;
 const SYNC_TIMEOUT_MS = 1000;
 const LIST_INTERVAL_MS = 30_000;
-/** How long a start waits for the first VM that knows the others; after that this VM goes on alone. */
+/** The longest time that a start waits for VMs that know the others. After that this VM continues alone. */
 const JOIN_TIMEOUT_MS = 1500;
-/** VMs asked at the start: one that answers is enough, and each answer is as long as the region. */
+/** The number of VMs asked at the start. One reply is enough, and each reply lists the whole region. */
 const MAX_JOIN_CALLS = 8;
 
-/** Its name is `members`. Start it before `slots`; it reads the version in force from `table` once that has started. */
+/** The `members` task. It starts before `slots`, and reads the version in force from `table` once that has started. */
 export class MembersService extends Task<MembersMessages> {
   readonly name = "members";
   protected readonly handlers: Handlers<MembersMessages> = {
@@ -69,7 +69,7 @@
   readonly #pinging = new Set<string>();
   /** Addresses by region, from the platform's list. */
   readonly #listedAddresses = new Map<string, string[]>();
-  /** Seeds that turned out to be VMs of other regions. */
+  /** Seeds that are VMs of other regions, as their replies showed. */
   readonly #remoteSeeds = new Set<string>();
   #machine!: Membership;
   #digests!: MemberDigests;
@@ -115,7 +115,7 @@
     this.#runEvery(LIST_INTERVAL_MS, () => void this.#readList());
   }
 
-  /** Tells the others that this VM is gone, so that none waits for it to be found dead. */
+  /** Tells the other VMs that this VM is gone, so that they need not detect it as dead. */
   async close(_deadlineMs: number): Promise<void> {
     for (const timer of this.#timers.splice(0)) timer.close();
     this.#applyOutputs(this.#machine.leave(true));
@@ -216,7 +216,7 @@
     );
   }
 
-  /** Whether this very VM answered: another at the same address does not count. */
+  /** Whether the VM with this id answered. The reply of another VM at the same address does not count. */
   async #ping(vmId: string, peerAddress: string): Promise<boolean> {
     const reply = await this.#options.transport.call(
       peerAddress,
--- a/src/services/members_test.ts
+++ b/src/services/members_test.ts
@@ -19,7 +19,7 @@
 
 const vmInfoAt = async (vm: Vm, id: string) => (await vm.sees()).get(id);
 
-/** Every VM of `vms` finds `id` gone. */
+/** Waits until no VM of `vms` lists `id`. */
 function untilGone(vms: readonly Vm[], id: string): Promise<void> {
   return until(`${id} is gone`, async () => {
     for (const vm of vms) if (await vmInfoAt(vm, id)) return false;
@@ -28,7 +28,7 @@
 }
 
 describe("members", () => {
-  it("joins through any VM that is known and spreads table versions", async (t) => {
+  it("joins through any known VM and spreads table versions", async (t) => {
     const vms = await startRegion(t, 5);
     vms[3].table.table = planTable(7, ["agadir"], 2, 8);
     await until("all know the version of agadir-3", async () => {
@@ -40,9 +40,9 @@
     t.pass();
   });
 
-  // A VM crashes: its connections break and nobody is told. Callers at the others see nothing, as long as the others
-  // find it dead and stop counting on it; nobody else may be taken for dead on the way.
-  it("finds a crashed VM and no other", async (t) => {
+  // A VM crashes: its connections break and no VM is told. Callers at the other VMs notice nothing as long as those
+  // detect that it is dead and stop using it. No other VM may be taken for dead meanwhile.
+  it("detects a crashed VM and takes no other for dead", async (t) => {
     const vms = await startRegion(t, 5);
     const [lost, ...rest] = vms;
     await lost.crash();
@@ -51,8 +51,8 @@
     t.pass();
   });
 
-  // Half of a region goes at once, the helpers that would confirm a death among them. The rest must find all of them.
-  it("finds half of a region gone", async (t) => {
+  // Half of a region crashes at once, including VMs that would confirm a death. The rest must detect all of them.
+  it("detects that half of a region is gone", async (t) => {
     const vms = await startRegion(t, 6);
     const rest = vms.slice(3);
     await Promise.all(vms.slice(0, 3).map((vm) => vm.crash()));
@@ -60,9 +60,9 @@
     t.pass();
   });
 
-  // A VM is told to stop. It must get nothing new at once, so the others hear `leaving` from it, not from a deadline;
-  // after its end it is gone without being suspected first.
-  it("tells at once that it is leaving and then that it is gone", async (t) => {
+  // A VM is told to stop. It must get nothing new at once, so the others learn of `leaving` from the VM itself and not
+  // from a timeout. After its end it is gone without being suspected first.
+  it("announces at once that it is leaving and then that it is gone", async (t) => {
     const vms = await startRegion(t, 4);
     const [leaving, ...rest] = vms;
     await leaving.members.ask("leave", undefined);
@@ -77,9 +77,9 @@
     t.pass();
   });
 
-  // A VM is killed and a new process with the same name starts at the same address before anyone noticed. The others
-  // must take the new one for a new one: what the old one held is gone with it.
-  it("tells a replacement under the same address from the VM before it", async (t) => {
+  // A VM is killed, and a new process with the same name starts at the same address before any VM noticed. The others
+  // must treat it as a new VM: what the old one held is lost.
+  it("distinguishes a replacement at the same address from the VM before it", async (t) => {
     const vms = await startRegion(t, 4);
     const [old, ...rest] = vms;
     const before = (await vmInfoAt(rest[0], old.id))!.incarnation;
@@ -95,8 +95,8 @@
   });
 
   // One direction of one link drops everything: A's pings to B are lost, while B and the others reach each other. B is
-  // healthy; the VM that cannot reach it asks two others to ping it, and nobody takes it for dead.
-  it("keeps a VM that only one other cannot reach", async (t) => {
+  // healthy. A asks two others to ping it, and no VM takes it for dead.
+  it("keeps a VM that only one other VM cannot reach", async (t) => {
     const vms = await startRegion(t, 4);
     const [a, b] = vms;
     a.transport.faults.set("deaf", {
@@ -111,9 +111,9 @@
     }
   });
 
-  // The region is cut into halves for longer than it takes to find a VM dead, then the cut heals. Each half goes on
-  // with the VMs it reaches; afterwards all must find each other again without any operator.
-  it("goes on in both halves of a cut and joins them again", async (t) => {
+  // The region is partitioned into halves for longer than it takes to detect a dead VM, then the partition heals. Each
+  // half continues with the VMs that it reaches. Afterwards all VMs must find each other again without an operator.
+  it("continues in both halves of a partition and joins them again", async (t) => {
     const vms = await startRegion(t, 6);
     const halves = [vms.slice(0, 3), vms.slice(3)];
     for (const [mine, theirs] of [halves, [...halves].reverse()]) {
@@ -133,9 +133,9 @@
     t.pass();
   });
 
-  // Two regions that know one address of each other. Each must learn of the other's VMs and topics by one digest, keep
-  // them through the death of the VM that spoke, and drop them when the other region is out of reach.
-  it("tells other regions its VMs and topics", async (t) => {
+  // Two regions know one address of each other. Each must learn of the other's VMs and topics from its digest, keep
+  // them through the death of the VM that sent it, and drop them when the other region is unreachable.
+  it("sends its VMs and topics to other regions", async (t) => {
     const agadir = await startRegion(t, 3);
     const casa = await openRegion("casablanca", 3, {
       table,
--- a/src/services/messages.ts
+++ b/src/services/messages.ts
@@ -1,5 +1,5 @@
 /**
- * The messages that services answer, by service name. See {@link Task}.
+ * The messages that each service handles, by service name. See {@link Task}.
  *
  * @module
  */
@@ -16,21 +16,21 @@
 import type { SuspectVerdict } from "../suspects/mod.ts";
 import type { SlotAnswer, SlotReport, SlotRequest } from "../decisions/mod.ts";
 
-/** What the table service answers; its name is `table`. */
+/** The messages of the table service, named `table`. */
 export type TableMessages = {
-  /** The newest version in force here; `undefined` before the first. */
+  /** The newest version in force here, or `undefined` before the first one. */
   current: { in: void; out: Table | undefined };
-  /** Resolves once `version` or a newer one is in force here, or with `undefined` at `deadlineMs`. */
+  /** Resolves when `version` or a newer one is in force here, or with `undefined` at `deadlineMs`. */
   waitFor: {
     in: { readonly version: number; readonly deadlineMs: number };
     out: Table | undefined;
   };
 };
 
-/** A VM as the others see it. */
+/** A VM as other VMs see it. */
 export interface VmInfo {
   readonly id: string;
-  /** Grows each time a VM is started under the same id. */
+  /** Increases with each start of a VM under the same id. */
   readonly incarnation: number;
   readonly region: string;
   readonly failureDomain: string;
@@ -42,80 +42,83 @@
   readonly tableVersion: number;
 }
 
-/** The newest value of a topic, as a VM of its region published it. */
+/** The newest value of a topic that a VM of its region published. */
 export interface TopicValue {
   readonly topic: string;
   readonly vmId: string;
   readonly body: unknown;
-  /** When it was heard here. */
+  /** When it arrived here. */
   readonly seenAtMs: number;
 }
 
-/** What the membership service answers; its name is `members`. */
+/** The messages of the membership service, named `members`. */
 export type MembersMessages = {
-  /** The live and leaving VMs of this region, this one among them. */
+  /** The live and leaving VMs of this region, including this one. */
   region: { in: void; out: readonly VmInfo[] };
-  /** A bounded number of VMs of each other region, as its digests named them. */
+  /** A bounded number of VMs of each other region, as named in its digests. */
   others: { in: void; out: ReadonlyMap<string, readonly VmInfo[]> };
-  /** Starts to leave: told to all, and gone from the directory. */
+  /** Starts to leave: all other VMs are told, and the directory no longer lists this VM. */
   leave: { in: void; out: void };
-  /** A call to this VM failed: it is probed now, not at its turn. */
+  /** Probes a VM at once instead of at its next turn, because a call to it failed. */
   check: { in: { readonly vmId: string }; out: void };
-  /** Tells this region, and by its digest the others, the newest value of a topic; small, every second at most. */
+  /**
+   * Publishes the newest value of a topic to this region and, in its digest, to the others. Values are small and
+   * published at most once a second.
+   */
   publish: {
     in: { readonly topic: string; readonly body: unknown };
     out: void;
   };
-  /** The newest values of the topics by region, this one among them. */
+  /** The newest values of the topics by region, including this region. */
   topics: { in: void; out: ReadonlyMap<string, readonly TopicValue[]> };
 };
 
-/** Which entry VMs a caller should use, best first, until `askAgainAtMs`. */
+/** The entry VMs that a caller should use until `askAgainAtMs`, best first. */
 export interface DirectoryAnswer {
   readonly vms: readonly {
     readonly id: string;
     /** Base URL for callers. */
     readonly url: string;
     readonly region: string;
-    /** Share of the caller's requests, 0 to 1. */
+    /** The share of the caller's requests, 0 to 1. */
     readonly weight: number;
   }[];
   readonly askAgainAtMs: number;
 }
 
-/** What the directory service answers; its name is `directory`. */
+/** The messages of the directory service, named `directory`. */
 export type DirectoryMessages = {
   lookup: { in: { readonly workspace: string }; out: DirectoryAnswer };
 };
 
-/** What the slots service answers; its name is `slots`. It finds the lead of the pool, here or on another VM. */
+/** The messages of the slots service, named `slots`. It finds the lead of the pool, here or on another VM. */
 export type SlotsMessages = {
   acquire: { in: SlotRequest; out: SlotAnswer };
   report: { in: SlotReport; out: void };
-  /** Gives up a queued or granted attempt whose caller has gone. */
+  /** Cancels a queued or granted attempt whose caller disconnected. */
   cancel: {
     in: { readonly attemptId: string; readonly service: string };
     out: void;
   };
 };
 
-/** What the claims service answers; its name is `claims`. */
+/** The messages of the claims service, named `claims`. */
 export type ClaimsMessages = {
-  /** Records the claim before a first byte goes to an upstream. `bodyDigest` tells a reused key from a repeat. */
+  /** Records a claim before the first byte goes to an upstream. `bodyDigest` tells a reused key from a repeat. */
   claim: {
     in: ClaimKey & { readonly bodyDigest: string; readonly deadlineMs: number };
     out: ClaimVerdict;
   };
-  /** The call ended: its answer is kept for repeats. */
+  /** Stores the answer of a call that ended, for repeats of it. */
   finish: {
     in: ClaimKey & { readonly claimId: string; readonly answer: ClaimAnswer };
     out: void;
   };
-  /** No byte went out: the key may be claimed again. */
+  /** Releases the claim of a call that sent no byte, so that the key can be claimed again. */
   release: { in: ClaimKey & { readonly claimId: string }; out: void };
-  /** The outcome cannot be known. */
+  /** Records that the outcome of a call is unknown. */
   abandon: { in: ClaimKey & { readonly claimId: string }; out: void };
-  /** What became of a key, for `GET /v1/requests/KEY`. */
+  /** Returns the outcome of the call with a key, for `GET /v1/requests/KEY`. */
   lookup: {
     in: ClaimKey;
     out: Result<
@@ -125,15 +128,15 @@
   };
 };
 
-/** An order to an engine. It states the wanted end, so that repeating it is harmless. */
+/** An order to an engine. It names the wanted state, so that repeating it is harmless. */
 export type EngineOrder =
   | { readonly want: "active" | "parked" | "stopped" }
   | { readonly load: string }
   | { readonly role: string };
 
-/** What the fencing service answers; its name is `fencing`. */
+/** The messages of the fencing service, named `fencing`. */
 export type FencingMessages = {
-  /** Sends an order under a fencing number; resolves once the engine has taken it, or by `deadlineMs`. */
+  /** Sends an order with a fencing number. Resolves when the engine has accepted it, or at `deadlineMs`. */
   order: {
     in: {
       readonly upstream: UpstreamRow;
@@ -144,14 +147,14 @@
   };
 };
 
-/** What the service of suspects answers; its name is `suspects`. Requests are named by their digests. */
+/** The messages of the suspects service, named `suspects`. Requests are identified by their digests. */
 export type SuspectsMessages = {
-  /** Whether a request may run now. `hasLeave` if it was given the leave for its trial already. */
+  /** Decides whether a request may run now. `hasLeave` is set if it already has permission for its trial. */
   judge: {
     in: { readonly digest: string; readonly hasLeave: boolean };
     out: SuspectVerdict;
   };
-  /** A connection broke under a request; answered when it is known whether the upstream has ended. */
+  /** A connection broke during a request. Resolves when it is known whether the upstream has ended. */
   lost: {
     in: {
       readonly digest: string;
@@ -159,11 +162,11 @@
       /** Base URL of the upstream. */
       readonly url: string;
       readonly sentAgoMs: number;
-      /** Time since the first bytes of the answer; absent if none came. */
+      /** The time since the first bytes of the answer, absent if none came. */
       readonly beganAgoMs?: number;
     };
     out: void;
   };
-  /** A request was answered by an upstream that is still there. */
+  /** A request was answered by an upstream that is still running. */
   served: { in: { readonly digest: string }; out: void };
 };
--- a/src/services/metrics.ts
+++ b/src/services/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics: counters by result, and `hdr-histogram-js` histograms of what callers waited, as a Prometheus text page.
+ * Metrics: counters by result code, and `hdr-histogram-js` histograms of callers' waits, as a Prometheus text page.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import { build, type BuildRequest, type Histogram } from "hdr-histogram-js";
 import { type Kernel, Task } from "../kernel/mod.ts";
 
-/** What became of one request. */
+/** The outcome of one request. */
 export interface RequestMetrics {
   readonly service: string;
   readonly region: string;
-  /** Result code; 0 for success. */
+  /** The result code, 0 for success. */
   readonly code: number;
   readonly queuedMs?: number;
   readonly firstTokenMs?: number;
-  /** Waits between the answer's events. */
+  /** The waits between the events of the answer. */
   readonly gapsMs?: readonly number[];
   readonly outputTokens?: number;
   readonly servedElsewhere?: boolean;
 }
 
-/** What the metrics service answers; its name is `metrics`. */
+/** The messages of the metrics service, named `metrics`. */
 export type MetricsMessages = {
   request: { in: RequestMetrics; out: void };
-  /** Adds to a counter of the daemon, for example a dropped late answer. */
+  /** Increments a counter of the daemon, for example of late answers that were dropped. */
   count: { in: { readonly name: string; readonly by?: number }; out: void };
   /** The Prometheus text page. */
   page: { in: void; out: string };
@@ -33,7 +33,7 @@
 const TIMINGS = ["first_token", "between_tokens", "queue_wait"] as const;
 type Timing = typeof TIMINGS[number];
 const QUANTILES = [0.5, 0.95, 0.99];
-/** Longest time told apart: an hour. Two digits keep one histogram below 20 KB. */
+/** The longest duration in a histogram, an hour; longer ones count as this. Two digits keep a histogram below 20 KB. */
 const MAX_DURATION_MS = 3_600_000;
 const HISTOGRAM_OPTIONS: BuildRequest = {
   lowestDiscernibleValue: 1,
@@ -41,7 +41,7 @@
   numberOfSignificantValueDigits: 2,
 };
 
-/** See {@link MetricsMessages}. */
+/** Counts and times requests. See {@link MetricsMessages}. */
 export class MetricsService extends Task<MetricsMessages> {
   readonly name = "metrics";
   readonly #counters = new Map<string, number>();
--- a/src/services/publications.ts
+++ b/src/services/publications.ts
@@ -1,6 +1,6 @@
 /**
- * What a region publishes on the platform, by one of its VMs: the weights of its upstreams, and its entry VMs in the
- * callers' directory. Only what changed is sent, and never faster than the platform allows.
+ * What one VM of a region publishes on the platform: the weights of the region's upstreams, and its entry VMs in the
+ * callers' directory. Only changes are sent, and never faster than the platform allows.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { Table } from "../agreement/mod.ts";
 import type { VmInfo } from "./messages.ts";
 
-/** The share of its region's most able upstream that each of a service's upstreams can take, 0 to 1. */
+/** The weight of each upstream of a service: its slots relative to the region's largest one, 0 if it is not active. */
 export function weightsOf(
   table: Table,
   service: string,
@@ -25,7 +25,7 @@
   return weights;
 }
 
-/** A region's entries in the callers' directory: its VMs that stay, alike. */
+/** A region's entries in the callers' directory: its VMs that are not leaving, all with the same weight. */
 export function directoryEntries(vms: readonly VmInfo[]): DirectoryEntry[] {
   return vms
     .filter((vm) => vm.state === "live")
@@ -33,20 +33,20 @@
     .sort((a, b) => (a.vmId < b.vmId ? -1 : 1));
 }
 
-/** Something to publish under a name. */
+/** Content to publish under a name. */
 export interface Publication {
   readonly name: string;
   readonly content: unknown;
 }
 
-/** Unchanged content is sent again this often: a store that lost it has it back. */
+/** Unchanged content is sent again this often, in case the store lost it. */
 const REPEAT_INTERVAL_MS = 300_000;
 
-/** Remembers what the platform has, and picks what to send next. Free of I/O. */
+/** Records what the platform has, and selects what to send next. Free of I/O. */
 export class PublicationQueue {
   readonly #sent = new Map<string, { text: string; atMs: number }>();
 
-  /** The publication that waits longest, if any differs from what was sent. */
+  /** The least recently sent publication among those that are due, or `undefined` if none is. */
   next(wanted: readonly Publication[], nowMs: number): Publication | undefined {
     let oldest: Publication | undefined;
     let oldestMs = Infinity;
@@ -63,12 +63,12 @@
     return oldest;
   }
 
-  /** The platform took it. */
+  /** Records that the platform accepted a publication. */
   markSent({ name, content }: Publication, nowMs: number): void {
     this.#sent.set(name, { text: JSON.stringify(content), atMs: nowMs });
   }
 
-  /** Another VM publishes now: what the platform has is not known any more. */
+  /** Forgets all records, since another VM publishes and what the platform has is unknown. */
   clear(): void {
     this.#sent.clear();
   }
--- a/src/services/remote_slots.ts
+++ b/src/services/remote_slots.ts
@@ -1,6 +1,6 @@
 /**
- * Requests sent to another region. A VM there, the host, acquires the slot from its own lead and holds it for the home
- * VM, which streams from the upstream directly. The home VM's renewals keep the slot; without them the host frees it.
+ * Slots in other regions. A VM there, the host, acquires the slot from its own lead and holds it for the home VM, which
+ * streams from the upstream directly. The home VM renews the slot; without renewals the host frees it.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 import type { TaskPort } from "../kernel/mod.ts";
 import type { MembersMessages, TableMessages, VmInfo } from "./messages.ts";
 
-/** The host frees a slot that was not renewed for this long: the home VM is gone, or the link is. */
+/** The host frees a slot that was not renewed for this long: the home VM is gone, or the link to it is cut. */
 export const HOST_LEASE_MS = 6000;
-/** VMs of the far region that are tried; a request must not spend its time on knocking at doors. */
+/** The number of hosts that are tried. It is small so that a request does not spend its time on failing calls. */
 const MAX_HOST_TRIES = 2;
-/** A host that is behind the home's table version waits this long to catch up, then refuses. */
+/** A host whose table is older than the home VM's waits this long to catch up, and then refuses. */
 const MAX_CATCH_UP_MS = 500;
-/** The far region's answer needs this much more than the deadline to come back. */
+/** The extra time after the deadline for the remote region's answer to arrive. */
 const ANSWER_GRACE_MS = 500;
 
 const HOST_METHODS = {
@@ -27,7 +27,7 @@
   cancel: "slots.hostCancel",
 } as const;
 
-/** What a VM asks of a host, and tells it afterwards. */
+/** The messages from a home VM to a host. */
 interface HostAcquireMessage {
   readonly request: SlotRequest;
 }
@@ -41,7 +41,7 @@
   readonly attemptId: string;
 }
 
-/** What both ends need of their task. */
+/** The dependencies of both sides. */
 export interface RemoteSlotsContext {
   readonly clock: Clock;
   readonly region: string;
@@ -50,10 +50,10 @@
   readonly table: TaskPort<TableMessages>;
 }
 
-/** The home VM's end. */
+/** The home VM's side: acquires, renews, reports and cancels slots at hosts. */
 export class RemoteSlotsClient {
   readonly #context: RemoteSlotsContext;
-  /** The host of each attempt that is asked for or held. */
+  /** The host of each attempt whose slot is requested or held. */
   readonly #hosts = new Map<string, VmInfo>();
 
   constructor(context: RemoteSlotsContext) {
@@ -64,7 +64,7 @@
     return this.#hosts.size;
   }
 
-  /** Asks for a slot in `region`; `undefined` if that region gives none, for whatever reason. */
+  /** Asks for a slot in `region`. Returns `undefined` if that region grants none, for whatever reason. */
   async acquire(
     region: string,
     request: SlotRequest,
@@ -79,7 +79,7 @@
     return undefined;
   }
 
-  /** Whether the attempt was sent away; tells its host. */
+  /** Sends the report to the attempt's host. Returns false if the attempt has no host. */
   report(report: SlotReport): boolean {
     const host = this.#hosts.get(report.attemptId);
     if (!host) return false;
@@ -92,7 +92,7 @@
     return true;
   }
 
-  /** Whether the attempt was sent away; gives it up. */
+  /** Cancels the attempt at its host. Returns false if the attempt has no host. */
   cancel(attemptId: string): boolean {
     const host = this.#hosts.get(attemptId);
     if (!host) return false;
@@ -105,7 +105,7 @@
     return true;
   }
 
-  /** Renews what hosts hold, one message to each. */
+  /** Renews the slots that hosts hold, with one message per host. */
   renewAll(): void {
     const byAddress = new Map<string, string[]>();
     for (const [attemptId, host] of this.#hosts) {
@@ -122,7 +122,7 @@
     }
   }
 
-  /** The host's answer; `undefined` if it did not come, so that another host may be asked. */
+  /** Returns the host's answer, or `undefined` if none arrived, so that another host may be asked. */
   async #requestSlot(
     vm: VmInfo,
     request: SlotRequest,
@@ -147,14 +147,14 @@
   }
 }
 
-/** What the host's end does with its own region's leads. */
+/** The calls from the host's side to the leads of its own region. */
 export interface LocalSlots {
   acquire(request: SlotRequest): Promise<SlotAnswer>;
   report(report: SlotReport): void;
   cancel(attemptId: string): void;
 }
 
-/** The host's end. */
+/** The host's side: holds slots of its own region for home VMs of other regions. */
 export class RemoteSlotsHost {
   readonly #context: RemoteSlotsContext;
   readonly #localSlots: LocalSlots;
@@ -169,7 +169,7 @@
     return this.#leaseUntilMs.size;
   }
 
-  /** Registers the messages of other regions' VMs. */
+  /** Registers the handlers of the messages from other regions' VMs. */
   listen(): void {
     const { transport } = this.#context;
     transport.handle(
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Frees what is not renewed. A home VM that died, or whose link was cut, cannot report: without this its slots would
-   * stay taken for ever, and the region would shrink by each partition.
+   * Frees slots that are not renewed. A home VM that died, or whose link is cut, cannot report the end of its attempts.
+   * Without this, its slots would stay taken forever and each partition would reduce the region's capacity.
    */
   sweep(): void {
     const nowMs = this.#context.clock.nowMs();
@@ -202,15 +202,15 @@
   }
 
   /**
-   * A request moves once and is decided on the newer of both tables: an edit that forbids the move may have reached only
-   * the home, or only the host.
+   * Acquires a slot for a home VM. A request moves once, and is decided on the newer of the two tables: an edit that
+   * forbids the move may have reached only the home VM or only the host.
    */
   async #acquire(request: SlotRequest): Promise<SlotAnswer> {
     const { clock, table } = this.#context;
     if (request.sentFrom === undefined) {
       return refuse(
         clock.nowMs(),
-        "the request names no region it comes from",
+        "the request does not name its home region",
       );
     }
     const deadlineMs = Math.min(
@@ -224,7 +224,7 @@
     if (!inForce) {
       return refuse(
         clock.nowMs(),
-        "this region does not have the table's version yet",
+        "the table version of the request is not in force in this region yet",
       );
     }
     this.#leaseUntilMs.set(
--- a/src/services/slots.ts
+++ b/src/services/slots.ts
@@ -1,6 +1,6 @@
 /**
- * The slots service: finds the lead of a pool, here or on another VM of the region, and leads those pools that fall to
- * this VM. Without other VMs it leads them all.
+ * The slots service. It finds the lead of a pool, here or on another VM of the region, and leads the pools that are
+ * assigned to this VM. Without other VMs it leads all pools.
  *
  * @module
  */
@@ -48,29 +48,29 @@
   VmInfo,
 } from "./messages.ts";
 
-/** What the slots service needs beside the kernel. Without `transport` this VM runs alone. */
+/** The options of the slots service. Without `transport` this VM runs alone. */
 export interface SlotsOptions {
   readonly vmId: string;
   readonly region: string;
   readonly transport?: Transport;
   readonly loadSource?: LoadSource;
-  /** Where a pool's orders to park or wake upstreams go; they are dropped if absent. */
+  /** Receives the pools' orders to park or wake upstreams; they are dropped if it is absent. */
   readonly onOrder?: OrderSink;
 }
 
 const TICK_INTERVAL_MS = 50;
-/** How often the VMs and the table are looked at: a small part of the time it takes to find a dead VM. */
+/** The interval at which the VMs and the table are read: a small part of the time it takes to detect a dead VM. */
 const REFRESH_INTERVAL_MS = 100;
 const DIGEST_INTERVAL_MS = 1000;
-/** How long a request waits for the table's version that it was accepted on. */
+/** The longest time that a request waits for the table version that it was accepted on. */
 const MAX_CATCH_UP_MS = 500;
-/** A digest that did not change is published again after this. */
+/** An unchanged digest is published again after this time. */
 const DIGEST_REPEAT_MS = 4000;
 const SWEEP_INTERVAL_MS = 1000;
-/** A digest that was not renewed for this long says nothing any more: its lead is gone or out of reach. */
+/** A digest older than this is ignored: its lead is gone or unreachable. */
 const MAX_DIGEST_AGE_MS = 10_000;
 
-/** Its name is `slots`; needs `table`, and uses `members` where there is one. */
+/** The `slots` task. It needs the `table` task, and uses the `members` task if there is one. */
 export class SlotsService extends Task<SlotsMessages> {
   readonly name = "slots";
   protected readonly handlers: Handlers<SlotsMessages> = {
@@ -96,7 +96,7 @@
   #poller: LoadPoller | undefined;
   #remoteClient: RemoteSlotsClient | undefined;
   #remoteHost: RemoteSlotsHost | undefined;
-  /** Attempts that wait for the table they were accepted on. */
+  /** Attempts that wait for the table version that they were accepted on. */
   readonly #awaitingTable = new Set<string>();
   #pauseDetector!: PauseDetector;
   #refreshing: Promise<void> | undefined;
@@ -128,7 +128,7 @@
     this.#runEvery(DIGEST_INTERVAL_MS, () => void this.#exchangeDigests());
   }
 
-  /** Hands its pools over. What other VMs wait for here is sent on to the next leads at once. */
+  /** Hands over its pools. Requests that other VMs have waiting here go to the next leads at once. */
   async close(_deadlineMs: number): Promise<void> {
     for (const timer of this.#timers.splice(0)) timer.close();
     this.#pauseDetector.close();
@@ -193,7 +193,10 @@
     this.#server.tick();
   }
 
-  /** Looks at the table and the VMs; one look at a time, and whoever asks meanwhile waits for one that starts after. */
+  /**
+   * Reads the table and the VMs. Refreshes run one at a time; a call during a refresh waits for another one that starts
+   * after it.
+   */
   #refresh(): Promise<void> {
     if (this.#refreshing) {
       this.#nextRefresh ??= this.#refreshing.then(() => {
@@ -215,9 +218,9 @@
     const vmsChanged = this.#view.setVms(vms ?? []);
     if (vmsChanged) this.#router.abortCallsToMissingVms();
     if (tableChanged || vmsChanged) this.#server.update(tableChanged);
-    // Reports that were sent to a lost lead are lost with it: a new one learns now what is no longer held.
+    // Reports that were sent to a lost lead are lost. The renewal tells the new lead what is no longer held.
     if (vmsChanged) this.#client.renewAll();
-    // A plain service has no load page: asking it would be a call that its owner did not make.
+    // A plain service has no load report. Polling it would send it requests that its owner did not make.
     this.#poller?.poll(
       this.#server.ledPoolInfos().filter((info) =>
         table?.service(info.service)?.type === "model"
@@ -272,7 +275,7 @@
     this.#remoteHost.listen();
   }
 
-  /** Where the lead sends the request away and that region gives no slot, the home lead decides again, for good. */
+  /** If the lead refers a request to another region that grants no slot, the home lead decides it for good. */
   async #acquire(request: SlotRequest): Promise<SlotAnswer> {
     if (this.#isBehind(request) && !await this.#awaitTable(request)) {
       return { type: "refuse", failure: failure("canceled", { ran: "no" }) };
@@ -291,7 +294,7 @@
     return (this.#view.table?.version ?? 0) < request.tableVersion;
   }
 
-  /** Catches up; answers whether the request is still wanted then. */
+  /** Waits for the request's table version. Returns whether the request is still wanted afterwards. */
   async #awaitTable(request: SlotRequest): Promise<boolean> {
     this.#awaitingTable.add(request.attemptId);
     await this.#catchUp(request);
@@ -299,8 +302,8 @@
   }
 
   /**
-   * The table is looked at now and then; a request that was accepted on a newer version would otherwise meet a lead that
-   * does not know its service, or still allows what an edit has just forbidden.
+   * Waits until the table version that a request was accepted on is in force here. The table is read only periodically,
+   * so otherwise the request could reach a lead that does not know its service or still allows what an edit forbids.
    */
   async #catchUp(request: SlotRequest): Promise<void> {
     const { tableVersion } = request;
@@ -356,7 +359,7 @@
   }
 }
 
-/** A region's pool that takes requests in and starts them soonest; one that takes none in if all are so. */
+/** The pool with the shortest wait among those that take requests in; if none does, the one with the shortest wait. */
 function bestPool(
   values: readonly TopicValue[],
 ): Pick<RemoteRegion, "predictedWaitMs" | "takesIn" | "seenAtMs"> | undefined {
--- a/src/services/slots_test.ts
+++ b/src/services/slots_test.ts
@@ -73,7 +73,7 @@
     t.like(answer, { type: "grant", upstreamId: "u1" });
   });
 
-  it("refuses truthfully without a table and for an unknown service", async (t) => {
+  it("refuses with the right code without a table and for an unknown service", async (t) => {
     const { clock, tables, slots } = await startAlone(t, undefined);
     const early = await slots.ask("acquire", request(clock.nowMs(), "x1"));
     t.like(early, {
--- a/src/services/slots_vms_test.ts
+++ b/src/services/slots_vms_test.ts
@@ -55,14 +55,14 @@
   });
 }
 
-/** Requests in the queue of the pool's lead; one that still collects has none. */
+/** The number of requests in the queue of the pool's lead. A lead that still collects held slots counts as empty. */
 function countWaiting(vms: readonly Vm[]): number {
   const leads = vms.map((vm) => vm.led(POOL));
   const deciding = leads.filter((pool) => pool && !pool.collecting);
   return deciding.reduce((sum, pool) => sum + pool!.waiting, 0);
 }
 
-/** Whether a request from `vm` finds no room: it is queued at the one lead among `vms`, and given up again. */
+/** Whether a request from `vm` is queued at the one lead among `vms` for lack of a slot. It is canceled again. */
 async function isFull(vm: Vm, vms: readonly Vm[]): Promise<boolean> {
   const attemptId = `probe-${vm.id}-${vms.length}`;
   const before = countWaiting(vms);
@@ -72,7 +72,7 @@
   await vm.slots.ask("cancel", { attemptId, service: "plan" });
   queued.catch(() => {});
   if (first === "answered") return false;
-  await until("it is given up", () => countWaiting(vms) === before);
+  await until("it is canceled", () => countWaiting(vms) === before);
   return true;
 }
 
@@ -97,9 +97,9 @@
     t.like(await queued, { type: "grant", attemptId: "queued" });
   });
 
-  // A caller closes its connection while its request waits in another VM's queue. Its slot must not be taken when its
-  // turn comes, and the entry VM is told at once.
-  it("gives up a queued request whose caller has gone", async (t) => {
+  // A caller closes its connection while its request waits in another VM's queue. The request must not take a slot at
+  // its turn, and the entry VM gets the refusal at once.
+  it("cancels a queued request whose caller disconnected", async (t) => {
     const { others: [a, b] } = await startRegion(t, 4);
     const first = await acquire(a, "first");
     await fill(a, CAPACITY - 1);
@@ -113,8 +113,8 @@
 
   describe("the lead crashes", () => {
     // All slots are held by another VM's running requests when the lead crashes. The next lead must learn of them from
-    // that VM: if it started from nothing it would send as much again to upstreams that are full.
-    it("is replaced by one that knows what entry VMs hold", async (t) => {
+    // that VM. If it started empty, it would send the same number of requests again to upstreams that are full.
+    it("is replaced by a lead that knows what the entry VMs hold", async (t) => {
       const { lead, others } = await startRegion(t, 4);
       const [a, b] = others;
       await fill(a, CAPACITY);
@@ -124,9 +124,9 @@
       t.true(await isFull(b, others));
     });
 
-    // A request waits in the lead's queue when the lead crashes. Its caller sees only that it waits longer: the entry
-    // VM asks the next lead, and the request is granted there when a slot is free.
-    it("costs a queued request time and no error", async (t) => {
+    // A request waits in the lead's queue when the lead crashes. Its caller only waits longer: the entry VM asks the
+    // next lead, which grants the request when a slot is free.
+    it("delays a queued request but does not fail it", async (t) => {
       const { lead, others } = await startRegion(t, 4);
       const [a, b] = others;
       const first = await acquire(a, "first");
@@ -139,9 +139,10 @@
     });
   });
 
-  // The lead freezes while a request waits in its queue: its connections stay open and nothing answers. The entry VM must
-  // not wait out the request's deadline for it; once the others find it dead the request is asked at the next lead.
-  it("does not wait for a lead that froze", async (t) => {
+  // The lead freezes while a request waits in its queue: its connections stay open and nothing answers. The entry VM
+  // must not wait for it until the request's deadline. When the others detect that it is dead, the request goes to the
+  // next lead.
+  it("does not wait for a frozen lead", async (t) => {
     const { vms, lead, others } = await startRegion(t, 4);
     const [a, b] = others;
     const first = await acquire(a, "first");
@@ -154,9 +155,9 @@
     t.like(await queued, { type: "grant", attemptId: "queued" });
   });
 
-  // An entry VM crashes while it holds all slots. Nobody reports their end; they come back when their time has passed
+  // An entry VM crashes while it holds all slots, and no VM reports their end. They are freed when their TTL has passed
   // without a renewal, and not before, since its requests may still run.
-  it("takes back the slots of a crashed entry VM", async (t) => {
+  it("frees the slots of a crashed entry VM", async (t) => {
     const { vms, others: [a, b] } = await startRegion(t, 4);
     await fill(a, CAPACITY);
     await a.crash();
@@ -164,7 +165,7 @@
     t.like(await acquire(b, "later"), { type: "grant" });
   });
 
-  // Held longer than a slot's time: renewals must keep it, or the lead would give it to a second request.
+  // Slots are held for longer than their TTL. Without renewals the lead would grant them to a second request.
   it("keeps slots that are renewed", async (t) => {
     const { vms, others: [a, b] } = await startRegion(t, 3);
     await fill(a, CAPACITY);
@@ -172,9 +173,9 @@
     t.true(await isFull(b, vms));
   });
 
-  // The lead is stopped as planned while requests run and wait. No caller may see an error: the one that waits goes to
-  // the next lead at once, and that lead knows the slots of the running ones.
-  it("hands over at a planned stop", async (t) => {
+  // The lead is stopped as planned while requests run and wait. No caller may see an error: the queued request goes to
+  // the next lead at once, and that lead knows the slots of the running requests.
+  it("hands over its pools at a planned stop", async (t) => {
     const { lead, others } = await startRegion(t, 4);
     const [a, b] = others;
     const first = await acquire(a, "first");
@@ -189,7 +190,7 @@
   });
 
   // A VM is told to leave while it leads. New requests must be decided elsewhere before it stops.
-  it("gives a leaving VM nothing to lead", async (t) => {
+  it("assigns no pools to a leaving VM", async (t) => {
     const { lead, others } = await startRegion(t, 4);
     await lead.members.ask("leave", undefined);
     await until(
@@ -201,9 +202,9 @@
     t.like(await acquire(lead, "late"), { type: "grant" });
   });
 
-  // One VM is cut off from all others. It must go on serving its own callers: it leads everything it can reach. The
-  // others go on with a lead of their own. After the cut there is one lead again.
-  it("lets an isolated VM lead alone and ends that afterwards", async (t) => {
+  // One VM is cut off from all others. It must continue to serve its own callers, so it leads all pools for itself. The
+  // others continue with a lead of their own. After the cut there is one lead again.
+  it("lets an isolated VM lead for itself until it is connected again", async (t) => {
     const { vms, others } = await startRegion(t, 4);
     const [cut, ...rest] = [others[0], ...vms.filter((v) => v !== others[0])];
     cut.transport.faults.set("isolated", { peer: {}, cut: true });
@@ -217,8 +218,8 @@
     t.like(await acquire(cut, "again"), { type: "grant" });
   });
 
-  // The way from one entry VM to the lead is cut, in this direction only. Its callers must see no error: another VM
-  // relays its requests to the same lead, whose count stays exact.
+  // The link from one entry VM to the lead is cut, in this direction only. Its callers must see no error: another VM
+  // relays its requests to the same lead, whose count of slots stays exact.
   it("relays around a link that is cut", async (t) => {
     const { vms, lead, others: [a, b] } = await startRegion(t, 4);
     a.transport.faults.set("one-way", {
@@ -235,9 +236,9 @@
     t.true(await isFull(b, vms));
   });
 
-  // A lead is replaced by a new process under the same name and address. It leads the same pools and knows nothing; it
-  // must collect what the entry VMs hold before it grants anything.
-  it("collects anew after a replacement under the same address", async (t) => {
+  // A lead is replaced by a new process with the same name and address. The new process leads the same pools but has no
+  // record of grants, so it must collect what the entry VMs hold before it grants anything.
+  it("collects held slots again after a replacement at the same address", async (t) => {
     const { lead, others } = await startRegion(t, 4);
     await fill(others[0], CAPACITY);
     const { id, port, region: name } = lead;
