--- a/src/services/remote_slots.ts
+++ b/src/services/remote_slots.ts
@@ -210,7 +210,7 @@
     if (request.sentFrom === undefined) {
       return refuse(
         clock.nowMs(),
-        "the request does not name its home region",
+        "the request names no region it comes from",
       );
     }
     const deadlineMs = Math.min(
@@ -224,7 +224,7 @@
     if (!inForce) {
       return refuse(
         clock.nowMs(),
-        "the table version of the request is not in force in this region yet",
+        "this region does not have the table's version yet",
       );
     }
     this.#leaseUntilMs.set(
