--- a/src/agreement/claim.ts
+++ b/src/agreement/claim.ts
@@ -1,12 +1,13 @@
 /**
- * Claims of calls that may not be repeated: their names, answers and verdicts.
+ * Types for claims of calls that must not be repeated: the key that identifies a call, its stored answer and the
+ * verdict on a claim.
  *
  * @module
  */
 
 import type { Failure } from "../base/mod.ts";
 
-/** Names a call that may not be repeated. */
+/** Identifies a call that must not be repeated. */
 export interface ClaimKey {
   readonly service: string;
   readonly workspace: string;
@@ -23,7 +24,7 @@
   readonly truncated: boolean;
 }
 
-/** What a claim service answers to a claim. Only `granted` allows a dispatch, and only until `dispatchBeforeMonoMs`. */
+/** The claim service's answer to a claim. Only `granted` allows a dispatch, and only until `dispatchBeforeMonoMs`. */
 export type ClaimVerdict =
   | {
     readonly type: "granted";
--- a/src/agreement/claim_batch.ts
+++ b/src/agreement/claim_batch.ts
@@ -1,5 +1,6 @@
 /**
- * One group commit: the writes that bring a run of events into the store, under compare-and-swap of the shard's head.
+ * Builds a group commit: the store writes that append a run of events, guarded by a compare-and-swap on the shard's
+ * head.
  *
  * @module
  */
@@ -8,40 +9,43 @@
 import type { ShardHead } from "./claim_head.ts";
 import { type ClaimEvent, eventBytes, type VmRef } from "./claim_record.ts";
 
-/** Where a shard's records stand in the store. */
+/** Store keys of a shard's records. */
 export interface ShardKeys {
   readonly head: string;
   readonly segments: string;
 }
 
-/** The keys of shard `shard` of `region`. */
+/** Returns the store keys of shard `shard` of `region`. */
 export function shardKeys(region: string, shard: number): ShardKeys {
   const base = `claims/${region}/${String(shard).padStart(4, "0")}`;
   return { head: `${base}/head`, segments: `${base}/segments/` };
 }
 
-/** The key of one segment; keys sort by number. */
+/** Returns the key of one segment. Keys sort by segment number. */
 export function segmentKey(keys: ShardKeys, segment: number): string {
   return `${keys.segments}${String(segment).padStart(12, "0")}`;
 }
 
-/** A head and the revision it was read or written at. */
+/** A head and the store revision at which it was read or written. */
 export interface StoredHead {
   readonly head: ShardHead;
   readonly rev: number;
 }
 
-/** A write of the head that is under way. Sent again unchanged until settled, so that the store's copy proves it. */
+/**
+ * A group commit in progress. It is resent unchanged until its outcome is known, so that finding its head in the store
+ * proves that it took effect.
+ */
 export interface CommitBatch {
   readonly head: ShardHead;
   readonly writes: readonly Write[];
-  /** The bytes of `head.open`. */
+  /** Size of `head.open` in the store. */
   readonly openBytes: number;
-  /** When it was first sent (monotonic); `head.touchedAtMs` states the same moment. */
+  /** When it was first sent, on the monotonic clock; `head.touchedAtMs` is the same moment on the wall clock. */
   readonly firstSentMonoMs: number;
 }
 
-/** What goes into a batch. */
+/** Input of {@link makeBatch}. */
 export interface CommitBatchInput {
   readonly keys: ShardKeys;
   readonly base: StoredHead;
@@ -51,13 +55,13 @@
   readonly witnesses: readonly VmRef[];
   readonly nowMs: number;
   readonly monoMs: number;
-  /** Segments whose newest event is past retention. */
+  /** Number of oldest segments to delete, because their newest event is past retention. */
   readonly expiredSegments: number;
-  /** Most bytes of `open` before it becomes a segment. */
+  /** Maximum size of `head.open`; beyond it the events become a segment. */
   readonly segmentBytes: number;
 }
 
-/** Builds the next write of an owner. */
+/** Builds an owner's next group commit. */
 export function makeBatch(input: CommitBatchInput): CommitBatch {
   const { keys, base, events } = input;
   const old = base.head;
@@ -91,7 +95,7 @@
   };
 }
 
-/** The write of a head, which fails if another was written since `rev`. */
+/** Builds the write of a head. It fails if another head was written since `rev`. */
 export function makeHeadWrite(
   keys: ShardKeys,
   head: ShardHead,
@@ -105,7 +109,9 @@
   };
 }
 
-/** The write of a segment; it goes with the head's, which guards it. */
+/**
+ * Builds the write of a segment. It belongs in one transaction with the write of the head, whose condition guards both.
+ */
 export function makeSegmentWrite(
   keys: ShardKeys,
   segment: number,
@@ -118,7 +124,7 @@
   };
 }
 
-/** The bytes that events take in the store. */
+/** Returns the size of the events in the store. */
 export function eventsBytes(events: readonly ClaimEvent[]): number {
   let bytes = 0;
   for (const event of events) bytes += eventBytes(event);
--- a/src/agreement/claim_commit.ts
+++ b/src/agreement/claim_commit.ts
@@ -1,6 +1,6 @@
 /**
- * An owner's writes: group commits under compare-and-swap, one at a time, at a bounded rate, each settled before the
- * next is made.
+ * Writes an owner's events to the store: group commits under compare-and-swap, one at a time and at a bounded rate. The
+ * outcome of each is known before the next one is built.
  *
  * @module
  */
@@ -20,13 +20,13 @@
 import { sameVm, type VmRef } from "./claim_record.ts";
 import type { OwnedShard } from "./claim_takeover.ts";
 
-/** Most segments deleted in one write. */
+/** Maximum number of segments deleted in one write. */
 const MAX_EXPIRED_SEGMENTS = 8;
 
-/** What a call to the store came to: the batch is in, another VM owns the shard, or neither is known yet. */
+/** Outcome of a store call: the batch is committed, another VM owns the shard, or neither is known yet. */
 export type CommitOutcome = "committed" | "replaced" | "open";
 
-/** See the module's comment. */
+/** Commits an owner's events, one batch at a time. */
 export class ClaimCommitter {
   readonly #me: VmRef;
   readonly #keys: ShardKeys;
@@ -42,7 +42,7 @@
   #failures = 0;
   #retryAtMonoMs = 0;
   #nextWriteMonoMs = 0;
-  /** Wall clock of the newest event of each stored segment. */
+  /** Wall-clock time of the newest event in each stored segment. */
   readonly #segmentNewestMs: number[];
 
   constructor(
@@ -67,22 +67,22 @@
     );
   }
 
-  /** The head as last written, or as found when another VM took over. */
+  /** The head as last written, or as found after another VM took over. */
   get storedHead(): StoredHead {
     return this.#storedHead;
   }
-  /** The newest head that this VM wrote. */
+  /** The newest head that this VM has written. */
   get newestHead(): ShardHead {
     return this.#newestHead;
   }
-  /** When the last write that took effect was sent (monotonic). */
+  /** When the last write that took effect was sent, on the monotonic clock. */
   get storeOkMonoMs(): number {
     return this.#storeOkMonoMs;
   }
   get failures(): number {
     return this.#failures;
   }
-  /** The witnesses of every head that may stand in the store. */
+  /** The witness lists of all heads that may be in the store. */
   get witnessLists(): (readonly VmRef[])[] {
     const lists = [this.#storedHead.head.witnesses];
     if (this.#batch) lists.push(this.#batch.head.witnesses);
@@ -100,25 +100,25 @@
   }
 
   /**
-   * Sends what is due. `urgent` asks for a write although the log is empty; `leaving` gives the shard up with the write
-   * that empties the log. Returns whether a new batch was made.
+   * Sends the next write if one is due. `isUrgent` requests a write even if the log is empty; `isReleasing` releases
+   * the shard with the write that empties the log. Returns whether a new batch was built.
    */
-  sendDue(
+  flush(
     now: Now,
     view: ShardView,
     log: UncommittedLog,
     isUrgent: boolean,
-    leaving: boolean,
+    isReleasing: boolean,
   ): boolean {
     if (this.#busySinceMonoMs !== undefined) return false;
     if (now.monoMs < this.#retryAtMonoMs) return false;
     const isNewBatch = !this.#batch;
     if (isNewBatch) {
-      const isDue = isUrgent || leaving || log.size > 0 ||
+      const isDue = isUrgent || isReleasing || log.size > 0 ||
         this.#isTouchDue(now) ||
         this.#haveWitnessesChanged(view);
       if (!isDue || now.monoMs < this.#nextWriteMonoMs) return false;
-      this.#batch = this.#makeBatch(now, view, log, leaving);
+      this.#batch = this.#makeBatch(now, view, log, isReleasing);
     }
     this.#nextWriteMonoMs = now.monoMs + 1000 / view.writesPerS;
     this.#busySinceMonoMs = now.monoMs;
@@ -127,8 +127,9 @@
   }
 
   /**
-   * The answer to a write. After a failure or a lost answer the batch is sent again unchanged: if the first one took
-   * effect, the second conflicts with a head of this batch's own commit number, and that settles it as done.
+   * Handles the answer to a write. After a failure or a lost answer the batch is resent unchanged. If the first attempt
+   * took effect, the second conflicts with a head that has the batch's own commit number, which proves that the batch
+   * is committed.
    */
   onWritten(now: Now, result: Result<number, StoreError>): CommitOutcome {
     this.#busySinceMonoMs = undefined;
@@ -142,7 +143,7 @@
     return "open";
   }
 
-  /** The answer to a read after a conflict that did not say what stands there. */
+  /** Handles the answer to the read that follows a conflict whose answer did not include the current head. */
   onRead(
     now: Now,
     result: Result<Entry | undefined, StoreError>,
@@ -152,7 +153,7 @@
     return this.#onConflictingHead(now, result.value);
   }
 
-  /** Forgets the write under way; only broken variants do. */
+  /** Discards the write in progress. Only the broken variants in tests call it. */
   protected dropBatch(): void {
     this.#batch = undefined;
   }
@@ -171,7 +172,7 @@
     now: Now,
     view: ShardView,
     log: UncommittedLog,
-    leaving: boolean,
+    isReleasing: boolean,
   ): CommitBatch {
     const events = log.events(0, this.#limits.batch);
     const emptiesLog = events.length === log.size;
@@ -180,7 +181,7 @@
       base: this.#storedHead,
       baseOpenBytes: this.#openBytes,
       events,
-      owner: leaving && emptiesLog ? undefined : this.#me,
+      owner: isReleasing && emptiesLog ? undefined : this.#me,
       witnesses: view.witnesses,
       nowMs: now.nowMs,
       monoMs: now.monoMs,
@@ -216,7 +217,9 @@
     return "committed";
   }
 
-  /** What stands in the store where another head was expected. */
+  /**
+   * Handles the head that is stored in place of the expected one: the batch's own if it took effect, else another VM's.
+   */
   #onConflictingHead(now: Now, entry: Entry | undefined): CommitOutcome {
     const head = entry && parseHead(entry.value).unwrapOr(undefined);
     const isSameWrite = (other: ShardHead | undefined) =>
--- a/src/agreement/claim_head.ts
+++ b/src/agreement/claim_head.ts
@@ -1,5 +1,5 @@
 /**
- * The record of a shard in the platform's store, and who may replace its owner and when.
+ * A shard's head record in the platform's store, and the rules by which a VM may take over from its owner.
  *
  * @module
  */
@@ -26,37 +26,39 @@
   }).optional(),
 });
 
-/** Events of a segment, or of a replica message. */
+/** Schema of the events in a segment or a replica message. */
 export const claimEvents = z.array(claimEvent);
 
 const shardHead = z.object({
   format: z.literal(1),
-  /** Shards of the region when this one was made; a VM with another number must not serve it. */
+  /**
+   * Number of shards in the region when this one was created. A VM configured with another number must not serve it.
+   */
   shardCount: z.number().int().positive(),
-  /** Counts owners. */
+  /** Incremented with each new owner. */
   epoch: z.number().int(),
-  /** Counts writes: with `epoch` and `owner` it tells one's own write from all others. */
+  /** Incremented with each write. Together with `epoch` and `owner` it tells a VM's own write from all others. */
   commit: z.number().int(),
-  /** Absent after a clean hand-over. */
+  /** Absent after the owner released the shard. */
   owner: vmRef.optional(),
-  /** The only VMs that may replace the owner while it may be granting without the store. */
+  /** The only VMs that may replace the owner while it may be granting claims without the store. */
   witnesses: z.array(vmRef),
-  /** Every event below this is in the store. */
+  /** All events with lower numbers are in the store. */
   nextN: z.number().int(),
   firstSegment: z.number().int(),
   nextSegment: z.number().int(),
-  /** Wall clock at which the owner sent this write. */
+  /** Wall-clock time at which the owner sent this write. */
   touchedAtMs: z.number(),
-  /** Until then keys that are not on record are answered "unknown": records of an outage may be lost. */
+  /** Until this time, keys without a record are answered "unknown", because records of an outage may be lost. */
   doubtUntilMs: z.number(),
   /** The newest events; older ones are in segments. */
   open: claimEvents,
 });
 
-/** The record that every write of a shard compares and swaps. */
+/** A shard's head. Every write of the shard is a compare-and-swap of it. */
 export type ShardHead = z.infer<typeof shardHead>;
 
-/** Reads a stored head. */
+/** Parses a stored head. */
 export function parseHead(value: string): Result<ShardHead, string> {
   try {
     return ok(shardHead.parse(JSON.parse(value)));
@@ -65,7 +67,7 @@
   }
 }
 
-/** Reads the events of a segment. */
+/** Parses the events of a stored segment. */
 export function parseSegment(value: string): Result<ClaimEvent[], string> {
   try {
     return ok(claimEvents.parse(JSON.parse(value)));
@@ -74,7 +76,7 @@
   }
 }
 
-/** What a VM knows when it weighs to take a shard over. */
+/** What a VM knows when it decides whether to take over a shard. */
 export interface TakeoverView {
   readonly me: VmRef;
   readonly live: readonly VmRef[];
@@ -86,17 +88,17 @@
   readonly unchangedSinceMonoMs: number;
 }
 
-/** Times that bound when an owner may grant without the store. */
+/** Times that bound how long an owner may grant claims without the store. */
 export interface TakeoverLimits {
   readonly outageAfterMs: number;
   readonly outageLimitMs: number;
   readonly clockSkewMs: number;
 }
 
-/** Whether a take-over is allowed now, and whether grants of the old owner may be missing afterwards. */
+/** Whether a takeover is allowed now. After a `lossy` one, grants of the old owner may be missing. */
 export type TakeoverDecision = "no" | "complete" | "lossy";
 
-/** Whether this run of the VM is certainly over: the id runs again under a higher incarnation. */
+/** Whether this run of the VM has certainly ended, because its id is live under a higher incarnation. */
 export function isReplaced(vm: VmRef, live: readonly VmRef[]): boolean {
   return live.some((other) =>
     other.id === vm.id && other.incarnation > vm.incarnation
@@ -104,9 +106,10 @@
 }
 
 /**
- * Who may take a shard over, and when. The failure: the old owner, cut off from the store, grants a key from memory
- * while a new owner grants it again; the call runs twice. An owner grants from memory only while all its witnesses
- * hold it a promise and hold its grants, so each rule below waits out a promise or has proof that the owner is over.
+ * Decides whether a VM may take over a shard now. The failure to prevent: the old owner, cut off from the store, grants
+ * a key from memory while a new owner grants it again, and the call runs twice. An owner grants from memory only while
+ * every witness holds its grants and has promised not to take over. So each rule below either waits until a promise has
+ * expired or has proof that the owner has ended.
  */
 export function decideTakeover(
   head: ShardHead | undefined,
@@ -114,16 +117,16 @@
   limits: TakeoverLimits,
 ): TakeoverDecision {
   if (!head?.owner) return "complete";
-  // This very run owned the shard and found the store gone back: what it granted since is not on record.
+  // This same run owned the shard, and the store was rolled back since: the grants made in between are not on record.
   if (sameVm(head.owner, view.me)) return "lossy";
-  // Without witnesses the owner never grants from memory: the swap of the head alone fences it.
+  // Without witnesses the owner never grants from memory, so replacing the head is enough to fence it.
   if (head.witnesses.length === 0) return "complete";
   if (head.witnesses.some((w) => sameVm(w, view.me))) {
     return view.monoMs > view.promisedUntilMonoMs ? "complete" : "no";
   }
   const live = [...view.live, view.me];
   if (isReplaced(head.owner, live)) {
-    // An owner that was in touch so recently has not yet granted without the store.
+    // An owner that wrote to the store this recently has not granted anything without the store yet.
     const untouchedMs = view.nowMs - head.touchedAtMs;
     if (untouchedMs < limits.outageAfterMs - limits.clockSkewMs) {
       return "complete";
--- a/src/agreement/claim_head_test.ts
+++ b/src/agreement/claim_head_test.ts
@@ -41,40 +41,44 @@
 }
 
 const cases: readonly Case[] = [
-  { what: "a witness, no promise given", view: {}, decision: "complete" },
   {
-    what: "a witness whose promise runs",
+    what: "a witness that has given no promise",
+    view: {},
+    decision: "complete",
+  },
+  {
+    what: "a witness whose promise has not expired",
     view: { promisedUntilMonoMs: 500_001 },
     decision: "no",
   },
   {
-    what: "a witness that was restarted since",
+    what: "a witness that has restarted since",
     view: { me: vm("b", 2) },
     decision: "no",
   },
-  { what: "a VM that is not listed", view: { me: vm("d") }, decision: "no" },
+  { what: "a VM that is not a witness", view: { me: vm("d") }, decision: "no" },
   {
-    what: "the owner restarted at once, before it could grant from memory",
+    what: "the owner, restarted before it could grant from memory",
     view: { me: vm("a", 2), live: [vm("b"), vm("c")], nowMs: 1_004_000 },
     decision: "complete",
   },
   {
-    what: "the owner restarted later, while a witness may hold its grants",
+    what: "the owner, restarted later, while a witness may hold its grants",
     view: { me: vm("a", 2), live: [vm("b"), vm("c", 2)] },
     decision: "no",
   },
   {
-    what: "owner and witnesses restarted",
+    what: "the owner, restarted after all witnesses have restarted too",
     view: { me: vm("a", 2), live: [vm("b", 2), vm("c", 2)] },
     decision: "lossy",
   },
   {
-    what: "all gone for good, before the owner's limit",
+    what: "a VM that sees neither owner nor witnesses, before the outage limit",
     view: { me: vm("d"), live: [], unchangedSinceMonoMs: -13_000_000 },
     decision: "no",
   },
   {
-    what: "all gone for good, after the owner's limit",
+    what: "a VM that sees neither owner nor witnesses, after the outage limit",
     view: { me: vm("d"), live: [], unchangedSinceMonoMs: -14_000_000 },
     decision: "lossy",
   },
@@ -85,19 +89,19 @@
     decision: "complete",
   },
   {
-    what: "a head that was handed over",
+    what: "a head whose owner released the shard",
     head: { ...head, owner: undefined },
     view: { me: vm("d") },
     decision: "complete",
   },
   {
-    what: "a head that names this very run",
+    what: "a head that names this same run as owner",
     view: { me: vm("a") },
     decision: "lossy",
   },
 ];
 
-describe("taking a shard over", () => {
+describe("claim shard takeover", () => {
   for (const { what, head: other, view: more, decision } of cases) {
     it(`${what}: ${decision}`, (t) => {
       const seen = { ...view, ...more };
--- a/src/agreement/claim_machine.ts
+++ b/src/agreement/claim_machine.ts
@@ -1,5 +1,5 @@
 /**
- * What the state machines of a claim shard share: limits, inputs and the effects they ask for.
+ * Types shared by the state machines of a claim shard: limits, inputs and the effects that they request.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import type { ClaimState, VmRef } from "./claim_record.ts";
 import type { ReplicaMessage } from "./claim_witness.ts";
 
-/** Both clocks, read together. */
+/** Wall clock and monotonic clock, read together. */
 export interface Now {
   readonly nowMs: number;
   readonly monoMs: number;
@@ -22,31 +22,31 @@
 /** Limits of a shard. */
 export interface ShardLimits extends TakeoverLimits, PromiseLimits {
   readonly shardCount: number;
-  /** How long a claim is remembered after its last step. */
+  /** How long a claim is kept after its last change. */
   readonly retentionMs: number;
-  /** The longest time after which a caller may repeat a key. */
+  /** Longest time after which a caller may still retry a key. */
   readonly callerRetryMs: number;
-  /** An idle owner writes this often, to show that it is in touch with the store. */
+  /** An idle owner writes this often, to show that it reaches the store. */
   readonly touchMs: number;
   /** A store call that takes longer counts as failing. */
   readonly slowMs: number;
-  /** Longest time between the grant and the first byte to an upstream. */
+  /** Longest time between the grant and the first byte sent to an upstream. */
   readonly dispatchMs: number;
-  /** After this a claim of a VM elsewhere, whose life is not seen here, counts as gone. */
+  /** After this time a claimer in another region counts as gone, because its liveness is not visible in this region. */
   readonly remoteRunMs: number;
-  /** A VM further down in rank waits this much longer, per place, before it takes a shard over. */
+  /** A VM waits this much longer for each rank below the first before it takes over a shard. */
   readonly rankDelayMs: number;
   readonly segmentBytes: number;
-  /** Most events and bytes in one write or message. */
+  /** Maximum number and size of the events in one write or message. */
   readonly batch: EventLimits;
-  /** Most callers that wait at one shard. */
+  /** Maximum number of callers that wait at one shard. */
   readonly queueLimit: number;
-  /** Most bytes of events that wait for the store in an outage: a take-over must carry them in one write. */
+  /** Maximum size of the events that wait for the store in an outage: a takeover must carry them in one write. */
   readonly logBytes: number;
   readonly backoff: BackoffLimits;
 }
 
-/** The defaults; docs/design/claims.md says why. */
+/** Default limits; docs/design/claims.md gives the reasons. */
 export const DEFAULT_SHARD_LIMITS: ShardLimits = {
   shardCount: 1,
   retentionMs: 7_200_000,
@@ -68,16 +68,16 @@
   backoff: { firstMs: 50, maxMs: 2000 },
 };
 
-/** What the machine's driver knows of the region. */
+/** What the driver of the state machine knows of the region. */
 export interface ShardView {
   readonly region: string;
   /** The other VMs of the region that are alive. */
   readonly live: readonly VmRef[];
-  /** Whom an owner should list as witnesses, best first. */
+  /** The VMs that an owner should list as witnesses, best first. */
   readonly witnesses: readonly VmRef[];
-  /** This VM's place among those who may take the shard over, 0 for the first. */
+  /** This VM's rank among those that may take over the shard; 0 is first. */
   readonly rank: number;
-  /** This VM's share of the store's writes, for this shard. */
+  /** This VM's share of the store's write rate, for this shard. */
   readonly writesPerS: number;
 }
 
@@ -89,15 +89,15 @@
     readonly dispatchBeforeMonoMs: number;
   }
   | { readonly type: "answered"; readonly answer: ClaimAnswer }
-  /** No claim stands on the key; only to a lookup. */
+  /** There is no claim on the key. Sent only in reply to a lookup. */
   | { readonly type: "none" }
   | { readonly type: "running" | "unknown" | "mismatch" | "spent" | "done" }
   | { readonly type: "unavailable"; readonly retryAtMs: number }
   | { readonly type: "notOwner"; readonly owner?: VmRef };
 
 /**
- * What the driver is to do. A shard has one call to the store under way at a time: `read`, `load` and `write` are each
- * answered by one `on…` call of the machine.
+ * An action for the driver to perform. A shard has one store call in progress at a time: `read`, `load` and `write` are
+ * each answered by one `on…` call of the state machine.
  */
 export type Effect =
   | { readonly type: "read" }
@@ -122,7 +122,7 @@
     readonly detail: string;
   };
 
-/** A step of a granted claim. */
+/** A state change of a granted claim. */
 export interface ClaimChange {
   readonly key: string;
   readonly claimId: string;
--- a/src/agreement/claim_owner.ts
+++ b/src/agreement/claim_owner.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of a shard: it answers claims from its index, commits them in groups, and grants from memory in an outage
- * of the store as long as its witnesses hold the grants and their promises.
+ * The owner of a shard. It answers claims from its index and commits them in groups. During a store outage it grants
+ * claims from memory as long as its witnesses hold the grants and their promises are valid.
  *
  * @module
  */
@@ -35,22 +35,22 @@
 import { makeChangeEvent, toReply, truncateAnswer } from "./claim_step.ts";
 import { isGone, type OwnedShard } from "./claim_takeover.ts";
 
-/** When a caller may come back that found the queue full. */
+/** Retry delay for a caller that finds the queue full. */
 const QUEUE_RETRY_MS = 1000;
-/** When a caller may come back that found the store and the promises away. */
+/** Retry delay for a caller that finds neither the store nor valid promises. */
 const OUTAGE_RETRY_MS = 2000;
 
-/** See the module's comment. */
+/** The state machine of a shard's owner. */
 export class ClaimOwner {
   protected readonly limits: ShardLimits;
   protected readonly index = new ClaimIndex();
   protected readonly log = new UncommittedLog();
   readonly #me: VmRef;
   readonly #outbox: Outbox;
-  readonly #witnesses: WitnessTracker;
+  readonly #tracker: WitnessTracker;
   readonly #committer: ClaimCommitter;
   #view: ShardView;
-  /** Lookups that wait for a write made after they came, and those that the batch under way will answer. */
+  /** Lookups that wait for a write made after they arrived, and those that the batch in progress will answer. */
   #lookups: Ticket[] = [];
   #batchLookups: Ticket[] = [];
   #nextN: number;
@@ -72,7 +72,7 @@
     this.#outbox = outbox;
     this.#view = view;
     this.#committer = committer;
-    this.#witnesses = new WitnessTracker(limits);
+    this.#tracker = new WitnessTracker(limits);
     for (const event of owned.segments.flat()) this.index.apply(event);
     for (const event of owned.storedHead.head.open) this.index.apply(event);
     this.#nextN = owned.storedHead.head.nextN;
@@ -85,14 +85,14 @@
   get newestHead(): ShardHead {
     return this.#committer.newestHead;
   }
-  /** Whether another VM owns the shard now, or the shard was handed over. */
+  /** Whether another VM owns the shard now, or this VM has released it. */
   get hasEnded(): boolean {
     return this.#hasEnded;
   }
   get isStopping(): boolean {
     return this.#isStopping;
   }
-  /** Bytes that one answer may take: the log must stay within one write. */
+  /** Maximum size of one answer, so that the log still fits into one write. */
   get #maxAnswerBytes(): number {
     return (this.limits.logBytes / 2 - this.log.bytes) / 8;
   }
@@ -101,27 +101,32 @@
     return {
       claims: this.index.size,
       notInStore: this.log.size,
-      waiting: this.log.unsettledCount,
+      waiting: this.log.waitingCount,
       failures: this.#committer.failures,
       storeOkMonoMs: this.#committer.storeOkMonoMs,
-      promisedUntilMonoMs: this.#witnesses.promisedUntilMonoMs,
+      promisedUntilMonoMs: this.#tracker.promisedUntilMonoMs,
     };
   }
 
-  /** A claim; replied to once it is settled. */
-  claim(now: Now, ask: ClaimRequest, ticket: Ticket): void {
-    const pending = this.log.pendingClaim(ask.key);
+  /** Handles a claim request. The reply follows once the claim is settled. */
+  claim(now: Now, request: ClaimRequest, ticket: Ticket): void {
+    const pending = this.log.pendingClaim(request.key);
     if (pending) {
-      pending.waiters.push({ request: ask, ticket });
+      pending.waiters.push({ request, ticket });
       return;
     }
-    const status = this.#keyStatus(now, ask);
-    if (status.type === "free") return this.#admitOrRefuse(now, ask, ticket);
-    if (status.type === "mine") return this.#grant(now, ask.claimId, ticket);
+    const status = this.#keyStatus(now, request);
+    if (status.type === "free") return this.#tryToAdmit(now, request, ticket);
+    if (status.type === "mine") {
+      return this.#grant(now, request.claimId, ticket);
+    }
     this.reply(ticket, toReply(status));
   }
 
-  /** A step of a granted claim; replied to once it is kept. A step of another claim id changes nothing. */
+  /**
+   * Handles a state change of a granted claim. The reply follows once it is durable. A change with another claim id has
+   * no effect.
+   */
   change(now: Now, change: ClaimChange, ticket: Ticket): void {
     const pending = this.log.pendingClaim(change.key)?.event;
     const known = pending ?? this.index.get(change.key);
@@ -129,14 +134,15 @@
     const event = makeChangeEvent(known, bounded, now.nowMs, this.#nextN);
     if (event) this.#nextN++;
     else return this.reply(ticket, { type: "done" });
-    // Believed before it is kept: if it is lost, the key stands "running" or "unknown" again, never free.
+    // Applied before it is durable: if it is lost, the key is "running" or "unknown" again, never free.
     if (!pending) this.index.apply(event);
     this.log.add(event, ticket, now.nowMs + this.limits.callerRetryMs);
   }
 
   /**
-   * How a key stands, without claiming it. "none" means that the call was not run, so it is said only after the next
-   * write: an owner that was replaced while it was paused would otherwise deny a claim that its successor granted.
+   * Looks up the status of a key without claiming it. "none" means that the call did not run. It is sent only after the
+   * next write, because an owner that was replaced while it was paused would otherwise deny a claim that its successor
+   * granted.
    */
   lookup(now: Now, key: string, ticket: Ticket): void {
     if (this.log.pendingClaim(key)) {
@@ -155,7 +161,7 @@
     this.#lookups.push(ticket);
   }
 
-  /** Time passes, or something has changed: sends what is due. */
+  /** Sends what is due. Called regularly and after each change. */
   advance(now: Now, view: ShardView): void {
     this.#view = view;
     if (this.#hasEnded) return;
@@ -163,14 +169,12 @@
     if (this.#committer.isInOutage(now)) this.#advanceOutage(now);
     this.#refuseExpired(now);
     const urgent = this.#lookups.length > 0;
-    if (
-      this.#committer.sendDue(now, view, this.log, urgent, this.#isStopping)
-    ) {
+    if (this.#committer.flush(now, view, this.log, urgent, this.#isStopping)) {
       this.#batchLookups = this.#lookups.splice(0);
     }
   }
 
-  /** Takes no more claims, and hands the shard over once everything is in the store. */
+  /** Accepts no more claims and releases the shard once all events are in the store. */
   stop(): void {
     this.#isStopping = true;
   }
@@ -188,7 +192,7 @@
     accepted: boolean,
     sent: { readonly uptoN: number; readonly sentMonoMs: number },
   ): void {
-    this.#witnesses.recordAnswer(from, accepted, sent.uptoN, sent.sentMonoMs);
+    this.#tracker.recordAnswer(from, accepted, sent.uptoN, sent.sentMonoMs);
   }
 
   /** Queues a claim until it may be granted. */
@@ -203,14 +207,14 @@
     );
   }
 
-  /** Whether grants may be made from memory at all, in this outage. */
+  /** Whether the witnesses' promises allow grants from memory now. */
   protected arePromisesValid(now: Now): boolean {
-    return this.#witnesses.promisedUntilMonoMs > now.monoMs;
+    return this.#tracker.promisedUntilMonoMs > now.monoMs;
   }
 
-  /** Every event up to this is held by all witnesses. */
+  /** All witnesses hold all events up to this number. */
   protected replicatedN(): number {
-    return this.#witnesses.replicatedN;
+    return this.#tracker.replicatedN;
   }
 
   /** Whether a lookup may be answered "none" without a write. */
@@ -233,7 +237,7 @@
       request,
       (event) => this.#isClaimerGone(now, event, live),
     );
-    // Also for a key that was released: the grant that is not on record may have come after the release.
+    // This includes a released key: a grant that is not on record may have followed the release.
     const doubted = now.nowMs < this.#committer.storedHead.head.doubtUntilMs;
     if (status.type === "free" && doubted) return { type: "unknown" };
     return status;
@@ -246,7 +250,7 @@
     return now.nowMs - event.atMs > this.limits.remoteRunMs;
   }
 
-  #admitOrRefuse(now: Now, request: ClaimRequest, ticket: Ticket): void {
+  #tryToAdmit(now: Now, request: ClaimRequest, ticket: Ticket): void {
     if (this.#isStopping) {
       return this.reply(ticket, { type: "notOwner" });
     }
@@ -255,12 +259,10 @@
     this.reply(ticket, { type: "unavailable", retryAtMs });
   }
 
-  /** When to come back, if a claim with this deadline can't be granted in time; refused at once rather than held. */
+  /** When to retry if a claim with this deadline can't be granted in time; it is then refused at once, not queued. */
   #findRetryAtMs(now: Now, deadlineMs: number): number | undefined {
     const { queueLimit, logBytes } = this.limits;
-    if (
-      this.log.unsettledCount >= queueLimit || this.log.bytes >= logBytes / 2
-    ) {
+    if (this.log.waitingCount >= queueLimit || this.log.bytes >= logBytes / 2) {
       return now.nowMs + QUEUE_RETRY_MS;
     }
     if (!this.#committer.isFailing(now)) return undefined;
@@ -271,29 +273,24 @@
     return grantsFromMs >= deadlineMs ? grantsFromMs + 100 : undefined;
   }
 
-  /** Whether grants from memory are possible while the store is away. */
+  /** Whether claims can be granted from memory while the store is unavailable. */
   #canGrantFromMemory(now: Now): boolean {
     const endMonoMs = this.#committer.storeOkMonoMs + this.limits.outageLimitMs;
-    const hasWitnesses = this.#witnesses.setLists(
+    const hasWitnesses = this.#tracker.setWitnessLists(
       this.#committer.witnessLists,
       this.#view.live,
       now.monoMs,
     );
     return hasWitnesses && now.monoMs < endMonoMs &&
-      !this.#witnesses.hasLapsedPromise(now.monoMs);
+      !this.#tracker.hasLapsedPromise(now.monoMs);
   }
 
   #advanceOutage(now: Now): void {
     const canGrant = this.#canGrantFromMemory(now);
     const { head, rev } = this.storedHead;
-    for (
-      const { vm, fromN } of this.#witnesses.dueMessages(
-        this.log.lastN,
-        now.monoMs,
-      )
-    ) {
+    for (const { vm, fromN } of this.#tracker.due(this.log.lastN, now.monoMs)) {
       const events = this.log.events(fromN, this.limits.batch);
-      this.#witnesses.recordSent(vm, now.monoMs);
+      this.#tracker.recordSent(vm, now.monoMs);
       this.#outbox.push({
         type: "replicate",
         to: vm,
@@ -316,7 +313,7 @@
   #onOutcome(now: Now, outcome: CommitOutcome): void {
     if (outcome === "open") return;
     if (outcome === "replaced") return this.#endOwnership();
-    this.#witnesses.reset();
+    this.#tracker.reset();
     for (const ticket of this.#batchLookups.splice(0)) {
       this.reply(ticket, { type: "none" });
     }
@@ -325,7 +322,7 @@
     if (!head.owner) this.#endOwnership();
   }
 
-  /** Who waits is sent to the next owner with the same claim id: a claim that is in the store already is theirs. */
+  /** Sends waiting callers to the next owner with the same claim id: a claim that is in the store already is theirs. */
   #endOwnership(): void {
     this.#hasEnded = true;
     const reply: ShardReply = { type: "notOwner" };
@@ -339,7 +336,7 @@
     for (const ticket of tickets) this.reply(ticket, reply);
   }
 
-  /** Believes events, and grants the claims among them. */
+  /** Applies events to the index and grants the claims among them. */
   #settle(now: Now, entries: readonly LogEntry[]): void {
     for (const entry of entries) {
       this.log.settle(entry);
@@ -349,8 +346,8 @@
         continue;
       }
       this.#grant(now, entry.event.claimId, entry.ticket);
-      for (const { request: ask, ticket } of entry.waiters) {
-        this.claim(now, ask, ticket);
+      for (const { request, ticket } of entry.waiters) {
+        this.claim(now, request, ticket);
       }
     }
   }
@@ -376,7 +373,7 @@
     }
   }
 
-  /** Refuses a claim that may be on its way into the store: a release follows it there, so that the key is free. */
+  /** Refuses a claim that may be on its way to the store. A release follows it there, so that the key becomes free. */
   #withdraw(now: Now, entry: LogEntry, retryAtMs: number): void {
     this.#refuse(entry, { type: "unavailable", retryAtMs });
     const { event } = entry;
--- a/src/agreement/claim_record.ts
+++ b/src/agreement/claim_record.ts
@@ -1,5 +1,5 @@
 /**
- * What is kept of a claim, as events of a shard's log, and the index of a shard's claims that its owner answers from.
+ * The events of a shard's log that record its claims, and the index of these claims that the owner answers from.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { hash32 } from "../base/mod.ts";
 import type { ClaimAnswer, ClaimKey } from "./claim.ts";
 
-/** One run of a VM's process: a VM restarted under its old id has a higher incarnation. */
+/** One run of a VM's process. A VM restarted under the same id has a higher incarnation. */
 export interface VmRef {
   readonly id: string;
   readonly incarnation: number;
 }
 
-/** The VM that a claim was granted to. Only VMs of the shard's own region are seen to die. */
+/** The VM that a claim was granted to. The owner sees only VMs of the shard's own region fail. */
 export interface Claimer extends VmRef {
   readonly region: string;
 }
@@ -24,16 +24,18 @@
   return a.id === b.id && a.incarnation === b.incarnation;
 }
 
-/** How far a claim has come; `released`: nothing was sent, the key may be claimed again. */
+/** State of a claim. `released` means that nothing was sent and the key may be claimed again. */
 export type ClaimState = "claimed" | "finished" | "released" | "abandoned";
 
-/** One step in the life of a claim. Events stand on their own: the one with the highest `n` says how a key stands. */
+/**
+ * One state change of a claim. Each event is complete in itself: the one with the highest `n` gives the key's status.
+ */
 export interface ClaimEvent {
-  /** Place in the shard's log; only grows, never used twice. */
+  /** Position in the shard's log. It only increases and is never reused. */
   readonly n: number;
   /** Digest of the {@link ClaimKey}. */
   readonly key: string;
-  /** Digest of the body the key was first used with. */
+  /** Digest of the body with which the key was first used. */
   readonly body: string;
   readonly claimId: string;
   /** The VM that was allowed to dispatch. */
@@ -43,59 +45,61 @@
   readonly answer?: ClaimAnswer;
 }
 
-/** The bytes that an event takes in the store. */
+/** Returns the size of an event in the store. */
 export function eventBytes(event: ClaimEvent): number {
   return JSON.stringify(event).length + 1;
 }
 
-/** The digest a key is kept under: 128 bits, so that two keys in use do not meet. */
+/** Returns the digest under which a key is stored: 128 bits, so that two keys in use do not collide. */
 export function keyDigest(key: ClaimKey): string {
   return digest(JSON.stringify([key.service, key.workspace, key.key]), 16);
 }
 
-/** The digest a body is kept under: it only has to tell a mistaken reuse of a key. */
+/** Returns the digest of a body. It only has to detect that a key is reused for another body by mistake. */
 export function bodyDigest(body: string): string {
   return digest(body, 8);
 }
 
-/** The string is made anew: a slice of a longer digest would keep all of it in memory, for each claim. */
+/**
+ * Creates the short string directly: a slice of a longer digest would keep the whole digest in memory for each claim.
+ */
 function digest(text: string, bytes: number): string {
   const hash = createHash("sha256").update(text).digest();
   return hash.toString("base64url", 0, bytes);
 }
 
-/** The shard of a key among `shardCount`. */
+/** Returns the shard of a key among `shardCount`. */
 export function shardOf(digest: string, shardCount: number): number {
   return hash32(digest) % shardCount;
 }
 
-/** What a VM asks of the owner. It makes `claimId` itself, so that asking again after a lost answer is harmless. */
+/** A VM's request to the owner. The VM generates `claimId` itself, so that a retry after a lost answer is harmless. */
 export interface ClaimRequest {
   readonly key: string;
   readonly body: string;
   readonly claimId: string;
   readonly claimer: Claimer;
-  /** Wall clock; after it the caller no longer waits. */
+  /** Wall-clock time after which the caller no longer waits. */
   readonly deadlineMs: number;
 }
 
-/** How a key stands for an ask; `free` is the only one that lets it run. */
+/** Status of a key with respect to a request. Only `free` lets the call run. */
 export type KeyStatus =
   | { readonly type: "free" }
-  /** Granted to this very claim id. */
+  /** Already granted to this claim id. */
   | { readonly type: "mine" }
-  /** The claim id was withdrawn. */
+  /** The claim with this id was withdrawn. */
   | { readonly type: "spent" }
   | { readonly type: "running" | "unknown" | "mismatch" }
   | { readonly type: "answered"; readonly answer: ClaimAnswer };
 
-/** Claimers remembered for sharing; VMs come and go. */
+/** Maximum number of claimer objects kept for sharing; it bounds the map while VMs come and go. */
 const MAX_INTERNED_CLAIMERS = 1000;
 
-/** The claims of one shard within retention, by key, oldest change first. */
+/** Index of a shard's claims within retention, by key, the least recently changed first. */
 export class ClaimIndex {
   readonly #byKey = new Map<string, ClaimEvent>();
-  /** One object for each claimer: there are few of them and many claims. */
+  /** One shared object per claimer, because there are few claimers and many claims. */
   readonly #claimers = new Map<string, Claimer>();
 
   get size(): number {
@@ -106,7 +110,7 @@
     return this.#byKey.get(key);
   }
 
-  /** Takes in an event; an older one than is known is ignored, so that replays in any order end the same. */
+  /** Applies an event, unless a newer one is known for its key, so that replays in any order give the same result. */
   apply(event: ClaimEvent): void {
     const known = this.#byKey.get(event.key);
     if (known && known.n >= event.n) return;
@@ -124,7 +128,7 @@
     return claimer;
   }
 
-  /** Forgets what last changed before `beforeMs`. */
+  /** Removes the claims that last changed before `beforeMs`. */
   expire(beforeMs: number): void {
     for (const [key, event] of this.#byKey) {
       if (event.atMs >= beforeMs) return;
@@ -133,8 +137,9 @@
   }
 
   /**
-   * How a key stands. A claimer that is gone leaves its call's outcome unknown: it may have died on either side of
-   * the dispatch. A released claim id stays spent, since a late duplicate of its ask would claim for nobody.
+   * Returns the status of a key. If the claimer is gone, the outcome of its call is unknown: it may have ended before
+   * or after the dispatch. A released claim id stays spent, because a late duplicate of its request would claim the key
+   * with no caller waiting.
    */
   keyStatus(
     request: Pick<ClaimRequest, "key" | "body" | "claimId">,
--- a/src/agreement/claim_shard.ts
+++ b/src/agreement/claim_shard.ts
@@ -1,9 +1,10 @@
 /**
- * One VM's part in one shard of claims, as a pure state machine: owner, witness or onlooker. Time, messages and the
- * store's answers come in as arguments; what is to be done goes out as {@link Effect}s.
+ * One VM's role in one claim shard (owner, witness or observer) as a pure state machine. Time, messages and the store's
+ * answers are passed in as arguments; the actions to perform are returned as {@link Effect}s.
  *
- * A claim is granted only once it is in the store under compare-and-swap, or, while the store cannot be reached, once
- * every witness holds it and has promised not to take the shard over. docs/design/claims.md gives the argument.
+ * A claim is granted only once it is in the store under compare-and-swap or, while the store cannot be reached, once
+ * every witness holds it and has promised not to take over the shard. docs/design/claims.md gives the argument for
+ * this.
  *
  * @module
  */
@@ -30,23 +31,23 @@
   type ReplicaMessage,
 } from "./claim_witness.ts";
 
-/** Makes an owner of what a take-over brought. */
+/** Creates an owner from the result of a takeover. */
 export type OwnerFactory = (
   ...args: ConstructorParameters<typeof ClaimOwner>
 ) => ClaimOwner;
 
-/** What a {@link ClaimShard} is made of. */
+/** Options of a {@link ClaimShard}. */
 export interface ShardOptions {
   readonly me: VmRef;
   readonly keys: ShardKeys;
   readonly limits: ShardLimits;
   readonly random: Random;
-  /** Tests put faulty ones here. */
+  /** Tests replace these two with faulty ones. */
   readonly witness?: ClaimWitness;
   readonly makeOwner?: OwnerFactory;
 }
 
-/** See the module's comment. */
+/** The state machine of one VM for one claim shard. */
 export class ClaimShard {
   readonly #options: ShardOptions;
   readonly #outbox = new Outbox();
@@ -76,7 +77,7 @@
     );
   }
 
-  /** Whether this VM owns the shard and takes claims. */
+  /** Whether this VM owns the shard and accepts claims. */
   get isOwner(): boolean {
     return this.#owner !== undefined && !this.#owner.isStopping;
   }
@@ -86,12 +87,12 @@
       ? this.#options.me
       : this.#takeover.storedHead?.head.owner;
   }
-  /** Whether this VM has nothing left to hand over. */
+  /** Whether this VM was stopped and has no shard left to release. */
   get isStopped(): boolean {
     return this.#isStopping && !this.#owner;
   }
 
-  /** For dumps. */
+  /** The state for dumps. */
   state(): Record<string, unknown> {
     const stored = this.#owner?.storedHead ?? this.#takeover.storedHead;
     return {
@@ -111,59 +112,59 @@
     this.#view = view;
   }
 
-  /** A claim. Replied to once it is settled. */
-  claim(now: Now, ask: ClaimRequest, ticket: Ticket): Effect[] {
-    if (this.#owner) this.#owner.claim(now, ask, ticket);
+  /** Handles a claim request. The reply follows once the claim is settled. */
+  claim(now: Now, request: ClaimRequest, ticket: Ticket): Effect[] {
+    if (this.#owner) this.#owner.claim(now, request, ticket);
     else this.#redirect(ticket);
     return this.#advance(now);
   }
 
-  /** A step of a granted claim; replied to with "done" once it is kept. */
+  /** Handles a state change of a granted claim. The reply "done" follows once it is durable. */
   change(now: Now, change: ClaimChange, ticket: Ticket): Effect[] {
     if (this.#owner) this.#owner.change(now, change, ticket);
     else this.#redirect(ticket);
     return this.#advance(now);
   }
 
-  /** How a key stands, without claiming it. */
+  /** Looks up the status of a key without claiming it. */
   lookup(now: Now, key: string, ticket: Ticket): Effect[] {
     if (this.#owner) this.#owner.lookup(now, key, ticket);
     else this.#redirect(ticket);
     return this.#advance(now);
   }
 
-  /** The VM that this one took for the owner said that it is not. */
+  /** Rereads the head soon, because the VM that this one took for the owner said that it is not. */
   recheck(): void {
     this.#takeover.recheck();
   }
 
-  /** Time passes. Call it every 100 ms or so. */
+  /** Performs what is due by now. Call it about every 100 ms. */
   tick(now: Now): Effect[] {
     return this.#advance(now);
   }
 
-  /** Hands the shard over once everything is in the store. */
+  /** Releases the shard once all events are in the store. */
   stop(now: Now): Effect[] {
     this.#isStopping = true;
     this.#owner?.stop();
     return this.#advance(now);
   }
 
-  /** The answer to a `read`. */
+  /** Handles the answer to a `read`. */
   onRead(now: Now, result: Result<Entry | undefined, StoreError>): Effect[] {
     if (this.#owner) this.#owner.onRead(now, result);
     else this.#takeover.onRead(now, this.#view, result);
     return this.#advance(now);
   }
 
-  /** The answer to a `write`. */
+  /** Handles the answer to a `write`. */
   onWritten(now: Now, result: Result<number, StoreError>): Effect[] {
     if (this.#owner) this.#owner.onWritten(now, result);
     else this.#takeover.onWritten(now, this.#view, result);
     return this.#advance(now);
   }
 
-  /** The answer to a `load`: the segments' events, oldest segment first. */
+  /** Handles the answer to a `load`: the segments' events, oldest segment first. */
   onLoaded(
     now: Now,
     result: Result<readonly (readonly ClaimEvent[])[], StoreError>,
@@ -173,13 +174,13 @@
     return this.#advance(now);
   }
 
-  /** An owner's grants and its wish for a promise, to this VM as a witness. */
+  /** Handles, as a witness, an owner's grants and its request for a promise. */
   onReplica(now: Now, message: ReplicaMessage): ReplicaAnswer {
     const { promiseMs } = this.#options.limits;
     return this.#witness.accept(message, now.monoMs, promiseMs);
   }
 
-  /** A witness's answer to a `replicate`; `accepted` is false also when none came. */
+  /** Handles a witness's answer to a `replicate`. `accepted` is also false if no answer came. */
   onReplicaAnswer(
     now: Now,
     from: VmRef,
--- a/src/agreement/claim_shard_test.ts
+++ b/src/agreement/claim_shard_test.ts
@@ -3,12 +3,13 @@
 import { brokenVariants } from "../../test/fuzz_claims_variants.ts";
 import type { Step } from "../../test/fuzz_claims_world.ts";
 
-/** Schedules that once broke a rule, with what was wrong then. */
+/** Schedules that broke a rule in earlier versions, with the fault behind it. */
 const regressions: readonly { readonly was: string; readonly steps: Step[] }[] =
   [
     {
-      // The region was restarted in an outage: a key on record as released was denied, its later grant being lost.
-      was: "a released key was not doubted after a lossy take-over",
+      // The region restarted during an outage. A key with a recorded release was denied, although it was granted again
+      // later and that grant was lost.
+      was: "a released key was not answered as unknown after a lossy takeover",
       steps: [
         [3, 0, 5],
         [21, 0, 0],
@@ -24,8 +25,9 @@
       ],
     },
     {
-      // A witness took over and was restarted; the frozen old owner took it for one that could not have taken over.
-      was: "a replaced witness was dropped though it had taken over",
+      // A witness took over and then restarted. The old owner, frozen meanwhile, assumed that it had ended without
+      // taking over.
+      was: "a replaced witness was dropped although it had taken over",
       steps: [
         [21, 0, 0],
         [19, 56, 0],
@@ -43,8 +45,9 @@
 describe("claim shard", () => {
   describe("random schedules of faults", () => {
     /*
-     * Callers claim, repeat and look up keys while VMs crash, pause and stop, links and the store fail, and answers and
-     * messages are lost, late or doubled. No key may run twice, none that ran be denied, no answer be another's.
+     * Callers claim, retry and look up keys while VMs crash, pause and stop, links and the store fail, and answers and
+     * messages are lost, delayed or duplicated. No key may run twice, no key that ran may be denied, and no key may get
+     * the answer of another.
      */
     for (const seed of [1, 2, 3, 4]) {
       it(`break no rule (seed ${seed})`, (t) => {
@@ -55,7 +58,7 @@
       });
     }
   });
-  describe("schedules that broke a rule once", () => {
+  describe("schedules that once broke a rule", () => {
     for (const { was, steps } of regressions) {
       it(was, (t) => {
         t.deepEqual(replay(steps).violations, []);
--- a/src/agreement/claim_step.ts
+++ b/src/agreement/claim_step.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of a claim, and what is told of a key that nothing may run for.
+ * State changes of a claim, and the replies for a key whose call must not run.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { ClaimChange, ShardReply } from "./claim_machine.ts";
 import type { ClaimEvent, KeyStatus } from "./claim_record.ts";
 
-/** The change, with its answer less the body where that exceeds `mostBytes` and would crowd out claims. */
+/** Returns the change without the body of its answer if that exceeds `maxBytes` and would leave no room for claims. */
 export function truncateAnswer(
   change: ClaimChange,
   maxBytes: number,
@@ -17,7 +17,7 @@
   return { ...change, answer: { ...answer, bodyBase64: "", truncated: true } };
 }
 
-/** The event with number `n` that a step makes of what is known of its key; `undefined` if it changes nothing. */
+/** Makes event `n` from a change and the known state of its key; `undefined` if the change has no effect. */
 export function makeChangeEvent(
   known: ClaimEvent | undefined,
   { key, claimId, state, answer }: ClaimChange,
@@ -28,7 +28,7 @@
   if (known?.claimId === claimId && known.state === "claimed") {
     return { ...known, ...step, n };
   }
-  // A release that overtakes its claim: the claim, when it comes, must not hold the key for nobody.
+  // This release arrived before its claim. The claim, when it arrives, must not hold the key with no caller waiting.
   if (state !== "released" || (known && known.state !== "released")) {
     return undefined;
   }
@@ -36,7 +36,7 @@
   return { ...step, n, key, body: "", claimId, claimer };
 }
 
-/** A standing that lets nothing run, as it is told to who asked. */
+/** Converts a key status that does not let the call run into the reply to the caller. */
 export function toReply(status: KeyStatus): ShardReply {
   if (status.type === "answered") return status;
   if (status.type === "free") return { type: "none" };
--- a/src/agreement/claim_takeover.ts
+++ b/src/agreement/claim_takeover.ts
@@ -1,6 +1,7 @@
 /**
- * How a VM comes to own a shard: it reads the head, weighs {@link decideTakeover}, swaps the head for one with its own name
- * and a higher epoch, and loads the claims. From the swap on, every write of the old owner fails.
+ * How a VM becomes the owner of a shard: it reads the head, checks {@link decideTakeover}, replaces the head with one
+ * that names itself and has a higher epoch, and loads the claims. Once the head is replaced, every write of the old
+ * owner fails.
  *
  * @module
  */
@@ -27,22 +28,22 @@
 import { type ClaimEvent, sameVm, type VmRef } from "./claim_record.ts";
 import type { ClaimWitness } from "./claim_witness.ts";
 
-/** What a VM starts to own a shard with. */
+/** The state with which a VM starts to own a shard. */
 export interface OwnedShard {
   readonly storedHead: StoredHead;
   readonly openBytes: number;
-  /** Monotonic time at which the write that made this VM the owner was sent. */
+  /** When the write that made this VM the owner was sent, on the monotonic clock. */
   readonly storeOkMonoMs: number;
   /** The segments' events, oldest first. */
   readonly segments: readonly (readonly ClaimEvent[])[];
 }
 
-/** Places after which VMs no longer wait longer. */
+/** Maximum rank that counts for the delay; VMs of lower priority wait no longer. */
 const MAX_RANK = 4;
 
 type Phase = "watching" | "taking" | "loading";
 
-/** A VM that does not own the shard. */
+/** The state machine of a VM that does not own the shard. */
 export class ClaimTakeover {
   readonly #me: VmRef;
   readonly #keys: ShardKeys;
@@ -53,7 +54,7 @@
   #phase: Phase = "watching";
   #isHeadKnown = false;
   #storedHead: StoredHead | undefined;
-  /** The newest head that this VM has seen; the store must not go back behind it. */
+  /** The newest head that this VM has seen. The store must not go back to an older one. */
   #newestHead: ShardHead | undefined;
   #unchangedSinceMonoMs = 0;
   #takeoverHead: ShardHead | undefined;
@@ -89,7 +90,7 @@
     return this.#phase;
   }
 
-  /** Starts over from a head, after this VM's ownership has ended. */
+  /** Starts over from the given head after this VM's ownership has ended. */
   reset(stored: StoredHead, newest: ShardHead, now: Now): void {
     this.#newestHead = newest;
     this.#phase = "watching";
@@ -98,7 +99,7 @@
     this.#updateHead(stored, now);
   }
 
-  /** Reads the head again soon: the VM that it names said that it is not the owner. */
+  /** Rereads the head soon, because the VM that it names said that it is not the owner. */
   recheck(): void {
     this.#isHeadKnown = false;
   }
@@ -116,7 +117,7 @@
     }
   }
 
-  /** The answer to a `read`. */
+  /** Handles the answer to a `read`. */
   onRead(
     now: Now,
     view: ShardView,
@@ -130,7 +131,7 @@
     this.#handleHead(now, view, result.value);
   }
 
-  /** The answer to the write of a take-over. */
+  /** Handles the answer to the write of a takeover. */
   onWritten(
     now: Now,
     view: ShardView,
@@ -149,7 +150,7 @@
     else this.#read(now);
   }
 
-  /** The answer to a `load`; the shard is owned once it succeeds. */
+  /** Handles the answer to a `load`. Once that succeeds, the shard is owned. */
   onLoaded(
     now: Now,
     result: Result<readonly (readonly ClaimEvent[])[], StoreError>,
@@ -187,7 +188,7 @@
     if (decision !== "no") this.#startTakeover(now, view, decision);
   }
 
-  /** Whether the stored head is the one of this VM's own take-over, whose answer was lost. */
+  /** Whether the stored head is that of this VM's own takeover, whose answer was lost. */
   #isOwnTakeover(head: ShardHead): boolean {
     return head.owner !== undefined && sameVm(head.owner, this.#me) &&
       head.epoch === this.#takeoverHead?.epoch;
@@ -206,8 +207,8 @@
   }
 
   /**
-   * Whether the store holds an older head than this VM has seen: it was restored from a copy, and the claims since then
-   * are gone. Taking the shard over is lossy then, and an alarm.
+   * Whether the store holds an older head than this VM has seen: it was restored from a backup, and the claims made
+   * since then are lost. This is logged as an error, and a takeover is then lossy.
    */
   #hasRegressed(): boolean {
     const newest = this.#newestHead;
@@ -217,7 +218,7 @@
       (head.epoch === newest.epoch && head.commit < newest.commit);
   }
 
-  /** Whether it is time to read the head with a view to taking over. */
+  /** Whether it is time to read the head in order to take over. */
   #isTimeToTry(now: Now, view: ShardView): boolean {
     const owner = this.#storedHead?.head.owner;
     const alive = owner !== undefined &&
@@ -231,7 +232,9 @@
     return now.monoMs >= this.#ownerGoneSinceMonoMs + waitMs;
   }
 
-  /** How many are to try before this VM does: their writes would only conflict with each other. */
+  /**
+   * Number of VMs that try before this one. They take turns because their writes would only conflict with each other.
+   */
   #takeoverRank(view: ShardView): number {
     const alive = (this.#storedHead?.head.witnesses ?? []).filter((vm) =>
       sameVm(vm, this.#me) || view.live.some((other) => sameVm(vm, other))
@@ -241,8 +244,8 @@
   }
 
   /**
-   * Whether the owner shows in the store that it is alive, though this VM does not see it. Two VMs that cannot see each
-   * other but both reach the store would otherwise take the shard from each other for ever.
+   * Whether the owner's recent writes show that it is alive, although this VM does not see it. Two VMs that cannot see
+   * each other but both reach the store would otherwise take the shard from each other forever.
    */
   #isOwnerActive(now: Now, view: ShardView, head: ShardHead): boolean {
     if (!head.owner || isReplaced(head.owner, [...view.live, this.#me])) {
@@ -306,8 +309,8 @@
       open: old?.open ?? [],
     };
     this.#takeoverHead = head;
-    // The old owner's grants go in with the same write: a VM that replaces this one before its first commit would
-    // find them nowhere, and grant their keys again.
+    // The old owner's grants are part of the same write. Otherwise a VM that replaces this one before its first commit
+    // would not find them and would grant their keys again.
     this.#takeoverWrites = [
       makeHeadWrite(this.#keys, head, this.#storedHead?.rev ?? 0),
       ...segments.map((events, i) =>
@@ -317,7 +320,7 @@
     const kind = isLossy ? "lossy" : "complete";
     this.#log("info", "claim shard take-over", kind);
     this.#phase = "taking";
-    // The first sending: the write may take effect from here on, and `touchedAtMs` states this moment.
+    // The time of the first attempt: the write may take effect from now on, and `touchedAtMs` is this moment.
     this.#firstSentMonoMs = now.monoMs;
     this.#sendTakeover(now);
   }
@@ -325,7 +328,7 @@
   #sendTakeover(now: Now): void {
     if (!this.#takeoverHead) return;
     const rev = this.#storedHead?.rev ?? 0;
-    // In the same step as the check of the promise: from here on this VM gives none for this head.
+    // In the same step as the check of the promise: from now on this VM gives no promise for this head.
     this.#witness.startTakeover(rev);
     this.#busySinceMonoMs = now.monoMs;
     this.#outbox.push({ type: "write", writes: this.#takeoverWrites });
@@ -367,7 +370,7 @@
   }
 }
 
-/** Whether a VM is known to be over, or is not seen alive. */
+/** Whether a VM has certainly ended, or is not seen alive. */
 export function isGone(vm: VmRef, live: readonly VmRef[]): boolean {
   return isReplaced(vm, live) || !live.some((other) => sameVm(other, vm));
 }
--- a/src/agreement/claim_witness.ts
+++ b/src/agreement/claim_witness.ts
@@ -1,27 +1,28 @@
 /**
- * A witness's side of an outage: it holds the owner's grants that are not in the store, and promises not to take over.
+ * A witness during a store outage: it holds the owner's grants that are not in the store, and promises not to take
+ * over.
  *
  * @module
  */
 
 import type { ClaimEvent } from "./claim_record.ts";
 
-/** Grants of an owner that cannot reach the store. An empty one renews the promise. */
+/** Grants of an owner that cannot reach the store. A message without events renews the promise. */
 export interface ReplicaMessage {
   readonly epoch: number;
-  /** The head's revision as the owner last knew it. */
+  /** The head's revision last known to the owner. */
   readonly headRev: number;
-  /** Every event below this is in the store and can be dropped. */
+  /** All events with lower numbers are in the store and can be dropped. */
   readonly nextN: number;
   readonly events: readonly ClaimEvent[];
 }
 
-/** What a witness answers: whether it holds the events and the promise. */
+/** A witness's answer: whether it holds the events and gives the promise. */
 export interface ReplicaAnswer {
   readonly accepted: boolean;
 }
 
-/** A witness's memory for one shard. */
+/** What a witness holds for one shard. */
 export class ClaimWitness {
   #epoch = 0;
   #promisedUntilMonoMs = -Infinity;
@@ -38,9 +39,9 @@
   }
 
   /**
-   * Holds the events and promises not to take the shard over for `promiseMs`. Refused once a take-over of this head
-   * was sent: its write may still take effect, however late, and the owner would grant beside the new one. A head
-   * that changed since defeats that write, so the promise can be given again.
+   * Stores the events and promises not to take over the shard for `promiseMs`. Refuses once a takeover from this head
+   * was sent: that write may still take effect, however late, and the old owner would grant claims alongside the new
+   * one. After a change of the head that write can only fail, so promises are possible again.
    */
   accept(
     message: ReplicaMessage,
@@ -63,12 +64,12 @@
     return { accepted: true };
   }
 
-  /** From here on no promise is given for the head of this revision; call it before the take-over is sent. */
+  /** Rules out promises for the head of this revision from now on. Call it before the takeover is sent. */
   startTakeover(headRev: number): void {
     this.#takeoverRev = Math.max(this.#takeoverRev, headRev);
   }
 
-  /** The events of an owner's `epoch` that are not in the store, in order. */
+  /** Returns the events of an owner's `epoch` that are not in the store, in order. */
   uncommittedEvents(epoch: number, nextN: number): ClaimEvent[] {
     if (epoch !== this.#epoch) return [];
     return [...this.#events.values()]
--- a/src/agreement/table_log.ts
+++ b/src/agreement/table_log.ts
@@ -14,7 +14,7 @@
 } from "./table_records.ts";
 
 /** Edits kept to serve VMs that are a little behind; others get a whole image. */
-export const MAX_TAIL_EDITS = 512;
+export const TAIL_EDITS = 512;
 /** Edits held back while one before them is missing. */
 const MAX_PENDING_EDITS = 1024;
 
@@ -70,7 +70,7 @@
 
   /** The table with its last edit's id, for a snapshot or another VM. */
   image(): TableImage {
-    const recent = this.#recentRefs.slice(-MAX_TAIL_EDITS);
+    const recent = this.#recentRefs.slice(-TAIL_EDITS);
     return { table: this.#table, lastId: this.#lastId, recent };
   }
 
@@ -139,7 +139,7 @@
     return this.#tail;
   }
 
-  /** The version that this edit made, if it is among the newest {@link MAX_TAIL_EDITS}. */
+  /** The version that this edit made, if it is among the newest {@link TAIL_EDITS}. */
   versionOf(editId: string): number | undefined {
     return this.#recentRefs.findLast((edit) => edit.id === editId)?.version;
   }
@@ -197,11 +197,11 @@
     this.#tail.push(edit);
     this.#recentRefs.push({ id: edit.id, version: edit.version });
     // Cut at twice the length, so that the copy is made once in many edits.
-    if (this.#tail.length > 2 * MAX_TAIL_EDITS) {
-      this.#tail = this.#tail.slice(-MAX_TAIL_EDITS);
+    if (this.#tail.length > 2 * TAIL_EDITS) {
+      this.#tail = this.#tail.slice(-TAIL_EDITS);
     }
-    if (this.#recentRefs.length > 2 * MAX_TAIL_EDITS) {
-      this.#recentRefs = this.#recentRefs.slice(-MAX_TAIL_EDITS);
+    if (this.#recentRefs.length > 2 * TAIL_EDITS) {
+      this.#recentRefs = this.#recentRefs.slice(-TAIL_EDITS);
     }
   }
 
--- a/src/agreement/table_test.ts
+++ b/src/agreement/table_test.ts
@@ -56,7 +56,7 @@
 });
 
 describe("table checks", () => {
-  const stands = tableOf(
+  const table = tableOf(
     region("agadir"),
     region("muscat"),
     service("plan", { models: ["atlas-1"] }),
@@ -109,7 +109,7 @@
         atMs: 0,
         changes: [change],
       };
-      const faults = checkChanges(stands.apply(edit), [change]);
+      const faults = checkChanges(table.apply(edit), [change]);
       t.deepEqual(faults.map(describeFault), wanted ? [wanted] : []);
     });
   }
--- a/src/agreement/uncommitted_log.ts
+++ b/src/agreement/uncommitted_log.ts
@@ -10,34 +10,34 @@
   eventBytes,
 } from "./claim_record.ts";
 
-/** Names who waits for a reply; the driver of the machine gives it out. */
+/** Identifies a caller that waits for a reply. Assigned by the driver of the state machine. */
 export type Ticket = number;
 
-/** An ask for a key whose first claim is not settled yet. */
+/** A request for a key that already has an unsettled claim. */
 export interface WaitingRequest {
   readonly request: ClaimRequest;
   readonly ticket: Ticket;
 }
 
-/** How much goes into one message or write. */
+/** Maximum number and size of the events in one message or write. */
 export interface EventLimits {
   readonly events: number;
   readonly bytes: number;
 }
 
-/** An event on its way. */
+/** An event that is not in the store yet. */
 export interface LogEntry {
   readonly event: ClaimEvent;
   readonly bytes: number;
   readonly ticket: Ticket | undefined;
   readonly deadlineMs: number;
-  /** Asks that wait to learn how this one ends. */
+  /** Requests for the same key that wait for the outcome of this claim. */
   readonly waiters: WaitingRequest[];
 }
 
 /**
- * The events from the first that is not in the store. In a long outage there are many, nearly all settled, so what is
- * asked at each claim goes by maps and not over all.
+ * Holds an owner's events from the first one that is not in the store. In a long outage there are many, nearly all of
+ * them settled, so the lookups made for each claim use maps instead of scanning the log.
  */
 export class UncommittedLog {
   #entries: LogEntry[] = [];
@@ -48,12 +48,12 @@
   get size(): number {
     return this.#entries.length;
   }
-  /** The bytes that the events take in the store. */
+  /** Size of the events in the store. */
   get bytes(): number {
     return this.#bytes;
   }
-  /** How many entries wait to be settled. */
-  get unsettledCount(): number {
+  /** Number of entries that wait to be settled. */
+  get waitingCount(): number {
     return this.#unsettled.size;
   }
   /** The highest `n` in the log, or -1. */
@@ -61,14 +61,14 @@
     return this.#entries.at(-1)?.event.n ?? -1;
   }
 
-  /** Adds an event that waits to be settled. */
+  /** Adds an event whose caller waits until it is settled. */
   add(event: ClaimEvent, ticket: Ticket, deadlineMs: number): void {
     const entry = this.#push(event, ticket, deadlineMs);
     this.#unsettled.set(event.n, entry);
     if (event.state === "claimed") this.#pendingClaims.set(event.key, entry);
   }
 
-  /** Adds an event that nobody waits for. */
+  /** Adds an event that no caller waits for. */
   addSettled(event: ClaimEvent): void {
     this.#push(event, undefined, 0);
   }
@@ -81,7 +81,7 @@
     return entry;
   }
 
-  /** Marks an entry as replied to. */
+  /** Marks an entry as answered. */
   settle(entry: LogEntry): void {
     this.#unsettled.delete(entry.event.n);
     if (this.#pendingClaims.get(entry.event.key) === entry) {
@@ -89,12 +89,12 @@
     }
   }
 
-  /** The unsettled claim on a key. */
+  /** Returns the unsettled claim on a key. */
   pendingClaim(key: string): LogEntry | undefined {
     return this.#pendingClaims.get(key);
   }
 
-  /** The entries to settle, up to `n`, in order. */
+  /** Returns the unsettled entries up to number `maxN`, in order. */
   unsettled(maxN = Infinity): LogEntry[] {
     const found: LogEntry[] = [];
     for (const entry of this.#unsettled.values()) {
@@ -104,7 +104,7 @@
     return found;
   }
 
-  /** The events from `fromN` on, as many as fit; one always does. */
+  /** Returns the events from `fromN` on, as many as `limits` allows, but at least one if there is any. */
   events(fromN: number, limits: EventLimits): ClaimEvent[] {
     const events: ClaimEvent[] = [];
     let bytes = 0;
@@ -118,7 +118,7 @@
     return events;
   }
 
-  /** Drops what the store now holds; unsettled entries among it are returned. */
+  /** Drops the events below `nextN`, which the store now holds. Returns the unsettled entries among them. */
   dropStored(nextN: number): LogEntry[] {
     const firstKept = this.#indexFrom(nextN);
     for (const { bytes } of this.#entries.slice(0, firstKept)) {
@@ -128,14 +128,14 @@
     return this.unsettled(nextN - 1);
   }
 
-  /** Empties the log; unsettled entries are returned. */
+  /** Empties the log. Returns its unsettled entries. */
   clear(): LogEntry[] {
     this.#entries = [];
     this.#bytes = 0;
     return this.unsettled();
   }
 
-  /** Where the first event with at least this `n` stands. */
+  /** Index of the first event whose number is at least `n`. */
   #indexFrom(n: number): number {
     let low = 0;
     let high = this.#entries.length;
--- a/src/agreement/witness_tracker.ts
+++ b/src/agreement/witness_tracker.ts
@@ -1,5 +1,6 @@
 /**
- * An owner's side of an outage: which witnesses hold its grants, and until when they promised not to take over.
+ * An owner's view of its witnesses during a store outage: which of them hold its grants, and until when they have
+ * promised not to take over.
  *
  * @module
  */
@@ -9,14 +10,14 @@
 
 interface WitnessState {
   readonly vm: VmRef;
-  /** The witness holds every event up to this. */
+  /** The witness holds all events up to this number. */
   ackedN: number;
   promisedUntilMonoMs: number;
   sentMonoMs: number;
   awaitsAnswer: boolean;
   /** Whether the last message failed or was refused. */
   hasFailed: boolean;
-  /** It ended while its promise ran. */
+  /** The witness ended while its promise was valid. */
   endedInPromise: boolean;
 }
 
@@ -32,14 +33,16 @@
   };
 }
 
-/** Times of the promise; the witness counts `promiseMs` in full, the owner stops `promiseMarginMs` earlier. */
+/**
+ * Times of a promise. The witness keeps it for `promiseMs`; the owner stops relying on it `promiseMarginMs` earlier.
+ */
 export interface PromiseLimits {
   readonly promiseMs: number;
-  /** Covers clocks that run at different speeds. */
+  /** Allows for clocks that run at different speeds. */
   readonly promiseMarginMs: number;
 }
 
-/** What an owner knows of its witnesses. */
+/** Tracks what an owner's witnesses have acknowledged and promised. */
 export class WitnessTracker {
   readonly #limits: PromiseLimits;
   #listedWitnesses: WitnessState[] = [];
@@ -49,14 +52,15 @@
   }
 
   /**
-   * Names the witnesses whose promises are needed: all that any record which may stand in the store lists. Returns
-   * `false` where such a record lists none: then a VM that replaces this one finds nobody who holds the grants, so
-   * none may be made.
+   * Sets the witnesses whose promises are required: all those listed in any head that may be in the store. Returns
+   * `false` if one of these heads lists none: a VM that takes over from that head finds no witness that holds the
+   * grants, so none may be made.
    *
-   * A witness that was replaced is dropped only if that is seen while its promise runs: it ended without taking over.
-   * One that ended later may have taken over first, and its successor may have taken over from it.
+   * A witness that was replaced by a newer run is dropped only if the replacement is seen while its promise is valid,
+   * because it then ended without taking over. One that ended later may have taken over first, and its successor may
+   * have taken over from it.
    */
-  setLists(
+  setWitnessLists(
     lists: readonly (readonly VmRef[])[],
     live: readonly VmRef[],
     monoMs: number,
@@ -80,7 +84,7 @@
     return this.#listedWitnesses.filter((state) => !state.endedInPromise);
   }
 
-  /** Until when no witness takes over; `Infinity` if all are certainly over. */
+  /** Until when no witness takes over; `Infinity` if all have certainly ended. */
   get promisedUntilMonoMs(): number {
     return Math.min(
       Infinity,
@@ -88,20 +92,20 @@
     );
   }
 
-  /** Every event up to this is held by all witnesses. */
+  /** All witnesses hold all events up to this number. */
   get replicatedN(): number {
     return Math.min(Infinity, ...this.#witnesses.map((state) => state.ackedN));
   }
 
-  /** Whether a needed promise has run out and was not renewed when asked. */
+  /** Whether a required promise has expired and the last request to renew it failed. */
   hasLapsedPromise(monoMs: number): boolean {
     return this.#witnesses.some((state) =>
       state.hasFailed && state.promisedUntilMonoMs < monoMs
     );
   }
 
-  /** The witnesses to send to now, and from which event on. */
-  dueMessages(lastN: number, monoMs: number): { vm: VmRef; fromN: number }[] {
+  /** Returns the witnesses to send to now, each with the first event to send. */
+  due(lastN: number, monoMs: number): { vm: VmRef; fromN: number }[] {
     const renewMs = this.#limits.promiseMs / 4;
     const retryMs = this.#limits.promiseMs / 8;
     return this.#witnesses
@@ -121,7 +125,7 @@
     hold.awaitsAnswer = true;
   }
 
-  /** Takes an answer to a message that was sent at `sentMonoMs` with events up to `uptoN`. */
+  /** Records the answer to a message that was sent at `sentMonoMs` with events up to `uptoN`. */
   recordAnswer(
     vm: VmRef,
     accepted: boolean,
@@ -135,14 +139,14 @@
     if (!accepted) return;
     hold.ackedN = Math.max(hold.ackedN, uptoN);
     const { promiseMs, promiseMarginMs } = this.#limits;
-    // Counted from the sending: the witness counts from its receipt, which is later.
+    // Counted from the time of sending. The witness counts from the receipt, which is later.
     hold.promisedUntilMonoMs = Math.max(
       hold.promisedUntilMonoMs,
       sentMonoMs + promiseMs - promiseMarginMs,
     );
   }
 
-  /** Forgets the promises: the store is back. */
+  /** Forgets all promises once the store can be reached again. */
   reset(): void {
     this.#listedWitnesses = [];
   }
