--- a/src/agreement/directory.ts
+++ b/src/agreement/directory.ts
@@ -1,12 +1,12 @@
 /**
- * Which entry VMs a caller should use: ranked and weighted for its workspace, without leaving VMs.
+ * Ranks and weights the entry VMs that a workspace's callers should use, without draining VMs.
  *
  * @module
  */
 
 import { rendezvous } from "../base/mod.ts";
 
-/** What an entry VM is ranked by. */
+/** The properties by which an entry VM is ranked. */
 export interface RankedCandidate {
   readonly id: string;
   readonly region: string;
@@ -14,23 +14,25 @@
   readonly state: "live" | "leaving";
 }
 
-/** An entry VM with its share of the caller's requests, 0 to 1; a share of 0 is for when all others fail. */
+/**
+ * An entry VM with its share of the caller's requests, 0 to 1. One with share 0 is to be used only if all others fail.
+ */
 export interface RankedVm<T> {
   readonly vm: T;
   readonly weight: number;
 }
 
 /**
- * More VMs than this do not help a caller: the chance that so many fail before it asks again is nil, and the answer
- * stays small at 67 VMs a region.
+ * Maximum number of VMs in an answer. More do not help a caller: the chance that all of these fail before it asks again
+ * is negligible, and the answer stays small in a region of 67 VMs.
  */
 const MAX_RANKED_VMS = 6;
 
 /**
  * Ranks the VMs of a region for a workspace. The order is by rendezvous hash, so that a workspace's callers agree on it
- * and a VM that goes moves only its own; but the second is in another failure domain than the first where there is one,
- * so that a caller who tries two survives a domain. Weights fall as 1/rank: the first gets the most, and no workspace
- * loads one VM alone.
+ * and the loss of a VM moves only the workspaces that used it. The second VM is in another failure domain than the
+ * first if there is one, so that a caller that tries two VMs survives the loss of a domain. Weights fall as 1/rank: the
+ * first VM gets the most requests, and no workspace puts all its load on one VM.
  */
 export function rankForWorkspace<T extends RankedCandidate>(
   workspace: string,
--- a/src/agreement/directory_test.ts
+++ b/src/agreement/directory_test.ts
@@ -11,7 +11,7 @@
 const workspaces = Array.from({ length: 200 }, (_, n) => `workspace${n}`);
 
 describe("directory > ranking", () => {
-  it("names no leaving VM and none twice, and its weights make 1", (t) => {
+  it("omits draining VMs, lists no VM twice, and its weights add up to 1", (t) => {
     const some = vms.map((vm, n) =>
       n === 3 ? { ...vm, state: "leaving" as const } : vm
     );
@@ -25,14 +25,14 @@
     }
   });
 
-  it("puts another failure domain second", (t) => {
+  it("puts a VM of another failure domain second", (t) => {
     for (const workspace of workspaces) {
       const [first, second] = rankForWorkspace(workspace, vms);
       t.not(first.vm.failureDomain, second.vm.failureDomain);
     }
   });
 
-  it("spreads workspaces and keeps those of the other VMs when one goes", (t) => {
+  it("spreads workspaces, and the loss of a VM moves only its own", (t) => {
     const rest = vms.filter((vm) => vm.id !== "vm2");
     const firsts = new Map<string, number>();
     for (const workspace of workspaces) {
--- a/src/agreement/fence.ts
+++ b/src/agreement/fence.ts
@@ -1,7 +1,8 @@
 /**
- * Fencing numbers of orders to engines. A number belongs to one holder, comes from the store by compare-and-swap, and
- * only grows. An engine that checks refuses what is older than it has seen. For one that does not check, the number is
- * a lease besides: its holder sends only while nobody else may have taken it.
+ * Fencing numbers for orders to engines. A number belongs to one holder, is taken from the store by compare-and-swap,
+ * and only increases. An engine that checks the number refuses an order whose number is lower than one it has seen. For
+ * an engine that does not check, the number is also a lease: its holder sends only while no other VM can have taken it
+ * over.
  *
  * @module
  */
@@ -13,21 +14,21 @@
 const fenceRecord = z.object({
   format: z.literal(1),
   number: z.number().int().positive(),
-  /** Absent once given back. */
+  /** Absent once released. */
   holder: z.object({ id: z.string(), incarnation: z.number() }).optional(),
   /** Counts renewals, so that each one changes the record. */
   beat: z.number().int(),
 });
 
-/** What the store holds for one upstream. */
+/** The stored fencing record of one upstream. */
 export type FenceRecord = z.infer<typeof fenceRecord>;
 
-/** Where an upstream's record stands. */
+/** Returns the store key of an upstream's record. */
 export function fenceKey(upstreamId: string): string {
   return `fencing/${upstreamId}`;
 }
 
-/** Reads a stored record. */
+/** Parses a stored record. */
 export function parseFence(value: string): Result<FenceRecord, string> {
   try {
     return ok(fenceRecord.parse(JSON.parse(value)));
@@ -36,17 +37,20 @@
   }
 }
 
-/** Times of the lease. */
+/** Durations of the lease and of an order. */
 export interface FenceLimits {
-  /** Others take a lease over once they have seen it unchanged for this long. */
+  /** Other VMs take over a lease once they have seen it unchanged for this long. */
   readonly leaseMs: number;
-  /** The holder stops this much earlier: clocks differ in speed, and an order may linger on the wire. */
+  /**
+   * The holder stops sending this much earlier, because clocks run at different speeds and an order may be delayed on
+   * the network.
+   */
   readonly marginMs: number;
-  /** An order is cut off after this. */
+  /** Timeout of an order. */
   readonly orderMs: number;
 }
 
-/** The defaults. */
+/** The default limits. */
 export const DEFAULT_FENCE_LIMITS: FenceLimits = {
   leaseMs: 15_000,
   marginMs: 3000,
@@ -57,19 +61,19 @@
 export interface SeenFence {
   readonly record: FenceRecord | undefined;
   readonly rev: number;
-  /** Since when this VM has seen this revision (monotonic). */
+  /** When this VM first saw this revision, on the monotonic clock. */
   readonly sinceMonoMs: number;
 }
 
-/** What a VM may do with a record to get a number: write one, or wait. */
+/** What a VM does next to get a number: write a record or wait. */
 export type FenceStep =
   | { readonly type: "write"; readonly record: FenceRecord }
   | { readonly type: "wait"; readonly untilMonoMs: number };
 
 /**
- * The next record of a VM that wants to send. An engine that checks needs no lease: the new number itself stops the old
- * holder. For the others the old holder's lease is waited out, also if the holder is known to have ended: its last
- * order may still be on the wire.
+ * Returns the next step of a VM that wants to send an order. An engine that checks needs no lease: the new number
+ * itself stops the old holder. For other engines the old holder's lease has to expire first, even if the holder is
+ * known to have ended, because its last order may still be on the network.
  */
 export function nextFenceStep(
   seen: SeenFence,
@@ -91,7 +95,7 @@
   return { type: "write", record: { format: 1, number, holder: me, beat: 0 } };
 }
 
-/** A number held, and until when (monotonic) an order may start. */
+/** A number that this VM holds, and until when (monotonic) an order may start. */
 export interface HeldFence {
   readonly number: number;
   readonly rev: number;
@@ -99,7 +103,7 @@
   readonly sendUntilMonoMs: number;
 }
 
-/** What a successful write that was sent at `sentMonoMs` gives. */
+/** Returns the number held after a successful write that was sent at `sentMonoMs`. */
 export function makeHeldFence(
   record: FenceRecord,
   rev: number,
@@ -111,7 +115,7 @@
   return { number: record.number, rev, record, sendUntilMonoMs };
 }
 
-/** Whether an order may start now: checked in the step that sends it. */
+/** Whether an order may start now. It must be checked in the same step that sends the order. */
 export function canSend(held: HeldFence, monoMs: number): boolean {
   return monoMs < held.sendUntilMonoMs;
 }
--- a/src/agreement/grant_index.ts
+++ b/src/agreement/grant_index.ts
@@ -1,6 +1,6 @@
 /**
- * A lead's book of the slots it granted, by the entry VM that holds them. Entry VMs renew all they hold with one small
- * digest; only where the book and the entry VM disagree are the slots listed.
+ * Index of the slots that a lead has granted, by the entry VM that holds them. Entry VMs renew all the slots they hold
+ * with one small digest; the slots are listed only if the lead and the entry VM disagree.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 import { type AttemptsDigest, digestAttempts } from "./lead.ts";
 
 /**
- * A grant younger than this may still be under way to its entry VM when that VM lists what it holds. Freeing it then
- * would put a second request into the same slot.
+ * A grant newer than this may still be in transit to its entry VM when that VM lists the slots it holds. Freeing the
+ * slot then would put a second request into it.
  */
 export const GRANT_SETTLE_MS = 2000;
 
-/** What a list of held slots changes. */
+/** The changes that follow from an entry VM's list of held slots. */
 export interface Reconciliation {
   readonly renew: readonly string[];
-  /** Held by the entry VM, unknown here: granted by an earlier lead, or expired here. */
+  /** Held by the entry VM but unknown here: granted by an earlier lead, or expired here. */
   readonly adopt: readonly string[];
-  /** Granted here, unknown to the entry VM: the answer was lost. */
+  /** Granted here but unknown to the entry VM: the answer was lost. */
   readonly free: readonly string[];
 }
 
@@ -28,8 +28,8 @@
   readonly #vmOf = new Map<string, string>();
 
   /**
-   * Notes that `vmId` holds this attempt. `settledAtMs` is when the VM knows of it at the latest: now where it said so
-   * itself, else {@link GRANT_SETTLE_MS} from now.
+   * Records that `vmId` holds this attempt. `settledAtMs` is when that VM knows of it at the latest: now if it reported
+   * the attempt itself, else {@link GRANT_SETTLE_MS} from now.
    */
   add(vmId: string, attemptId: string, settledAtMs: number): void {
     this.remove(attemptId);
@@ -39,7 +39,7 @@
     this.#vmOf.set(attemptId, vmId);
   }
 
-  /** Forgets an attempt that ended. */
+  /** Removes an attempt that has ended. */
   remove(attemptId: string): void {
     const vmId = this.#vmOf.get(attemptId);
     if (vmId === undefined) return;
@@ -57,18 +57,18 @@
     return this.#vmOf.size;
   }
 
-  /** The attempts that `vmId` holds. */
+  /** Returns the attempts that `vmId` holds. */
   heldBy(vmId: string): string[] {
     return [...this.#byVm.get(vmId)?.keys() ?? []];
   }
 
-  /** Whether `vmId` holds exactly what the book says. */
+  /** Whether `vmId` holds exactly the attempts in the index, by its digest. */
   matches(vmId: string, digest: AttemptsDigest): boolean {
     const own = digestAttempts(this.#byVm.get(vmId)?.keys() ?? []);
     return own.count === digest.count && own.xor === digest.xor;
   }
 
-  /** Makes the book say what `vmId` says it holds, but for grants that may still be under way to it. */
+  /** Replaces the attempts of `vmId` by those that it reports, except for grants that may still be in transit to it. */
   reconcile(
     vmId: string,
     heldIds: readonly string[],
--- a/src/agreement/lead.ts
+++ b/src/agreement/lead.ts
@@ -1,6 +1,7 @@
 /**
- * Who leads which pool: derived by every VM for itself from the table and the live VMs, never agreed on. Two VMs that
- * disagree for a short time both lead; that costs load, never safety (see `docs/design/leads.md`).
+ * Which VM leads which pool. Every VM derives this for itself from the table and the live VMs, without an agreement
+ * between VMs. Two VMs that disagree for a short time both lead; that costs load, never safety (see
+ * `docs/design/leads.md`).
  *
  * @module
  */
@@ -19,15 +20,16 @@
   readonly upstreams: readonly UpstreamRow[];
 }
 
-/** What leads are chosen by. */
+/** The properties of a VM by which leads are chosen. */
 export interface LeadCandidate {
   readonly id: string;
   readonly state: "live" | "leaving";
 }
 
 /**
- * Cuts the upstreams of a service in a region into pools of about the service's `poolSize`. An upstream's pool depends
- * on its own id, so that an added or removed one moves no other while the number of pools stays.
+ * Splits the upstreams of a service in a region into pools of about the service's `poolSize`. An upstream's pool
+ * depends on its own id, so that adding or removing an upstream moves no other as long as the number of pools stays the
+ * same.
  */
 export function poolsOfService(
   table: Table,
@@ -54,7 +56,7 @@
   }));
 }
 
-/** All pools of a region by key. */
+/** Returns all pools of a region by key. */
 export function poolsOfRegion(
   table: Table,
   region: string,
@@ -70,8 +72,8 @@
 }
 
 /**
- * The VMs that may lead a pool, best first. A leaving VM leads only where no live one is left, so that a planned stop
- * of the last VM of an isolated region still serves what arrives until it ends.
+ * Returns the VMs that may lead a pool, best first. A draining VM leads only if no live one is left, so that the last
+ * VM of an isolated region, while it drains, still serves the requests that arrive until it ends.
  */
 export function leadOrder<T extends LeadCandidate>(
   poolKey: string,
@@ -82,13 +84,13 @@
   return rendezvous(`lead/${poolKey}`, eligible, (vm) => vm.id);
 }
 
-/** A digest of a set of attempts that does not depend on their order. */
+/** A digest of a set of attempts, independent of their order. */
 export interface AttemptsDigest {
   readonly count: number;
   readonly xor: number;
 }
 
-/** The digest of these attempts; equal sets have equal digests. */
+/** Returns the digest of these attempts. Equal sets have equal digests. */
 export function digestAttempts(attemptIds: Iterable<string>): AttemptsDigest {
   let count = 0;
   let xor = 0;
--- a/src/agreement/member_list.ts
+++ b/src/agreement/member_list.ts
@@ -7,20 +7,23 @@
 import { hash32 } from "../base/mod.ts";
 import type { MemberRecord } from "./member_record.ts";
 
-/** Times of membership. */
+/** Times of the membership protocol. */
 export interface MembershipTimes {
-  /** One ping in this time. */
+  /** Interval between two pings. */
   readonly periodMs: number;
-  /** A suspect has this long to answer, and a part more for each doubling of the region. */
+  /** A suspect has this long to answer, plus `suspectPerDoublingMs` for each doubling of the region's size. */
   readonly suspectMs: number;
   readonly suspectPerDoublingMs: number;
-  /** How long a dead VM is remembered, so that old news does not bring it back and a healed link finds it. */
+  /**
+   * How long a dead VM is remembered, so that outdated news does not bring it back and it is found again once a
+   * partition heals.
+   */
   readonly rememberDeadMs: number;
-  /** How often a VM that is not live is tried: this heals partitions and joins strangers. */
+  /** How often a VM that is not live is contacted. This heals partitions and adds VMs that are not known yet. */
   readonly meetMs: number;
 }
 
-/** See {@link MembershipTimes}. */
+/** The default times. */
 export const DEFAULT_MEMBERSHIP_TIMES: MembershipTimes = {
   periodMs: 600,
   suspectMs: 1000,
@@ -29,23 +32,23 @@
   meetMs: 2000,
 };
 
-/** Bounds the memory that wrong records can take. */
+/** Maximum number of VMs in the list; it bounds the memory that invalid records can take. */
 const MAX_MEMBERS = 1024;
 
-/** How long a VM's table version is passed on: all have heard it by then, and an idle table costs nothing. */
+/** How long a VM's table version is passed on. By then all VMs know it, so an unchanged table costs nothing. */
 const VERSION_GOSSIP_MS = 10_000;
 
 /** One known VM. */
 export interface MemberEntry {
   record: MemberRecord;
-  /** While suspect: dead from then on. While dead: forgotten from then on. */
+  /** A suspect VM is dead from then on; a dead one is forgotten then. */
   deadlineMs: number;
   tableVersion: number;
-  /** When that version was first heard of. */
+  /** When this VM first learned of that version. */
   versionAtMs: number;
 }
 
-/** See the module's comment. */
+/** The records of the other VMs of a region. */
 export class MemberList {
   readonly #times: MembershipTimes;
   readonly #entries = new Map<string, MemberEntry>();
@@ -58,17 +61,17 @@
     return this.#entries.get(id);
   }
 
-  /** Every record, the dead ones too. */
+  /** Returns all records, including those of dead VMs. */
   all(): MemberRecord[] {
     return [...this.#entries.values()].map((entry) => entry.record);
   }
 
-  /** The VMs that answer or have time left to. */
+  /** Returns the live and the suspect VMs. */
   present(): MemberRecord[] {
     return this.all().filter((record) => record.status !== "dead");
   }
 
-  /** Sets the record of its VM; answers whether there was room. */
+  /** Stores a VM's record. Returns whether there was room for it. */
   put(record: MemberRecord, nowMs: number): boolean {
     const known = this.#entries.get(record.id);
     if (!known && this.#entries.size >= MAX_MEMBERS) return false;
@@ -82,7 +85,7 @@
     return true;
   }
 
-  /** Forgets the long dead; answers with the suspects whose time is up. */
+  /** Removes dead VMs that are past their deadline. Returns the suspects that are past theirs. */
   expire(nowMs: number): MemberRecord[] {
     const expired: MemberRecord[] = [];
     for (const [id, { record, deadlineMs }] of this.#entries) {
@@ -93,7 +96,7 @@
     return expired;
   }
 
-  /** Gives all suspects their whole time again. */
+  /** Restarts the deadlines of all suspects. */
   restartSuspicions(nowMs: number): void {
     for (const entry of this.#entries.values()) {
       if (entry.record.status !== "suspect") continue;
@@ -108,7 +111,7 @@
     entry.versionAtMs = nowMs;
   }
 
-  /** The table versions of VMs that are present, where they are news. */
+  /** Returns the table versions of present VMs that changed recently enough to be passed on. */
   recentVersions(nowMs: number): [vmId: string, version: number][] {
     const versions: [string, number][] = [];
     for (const entry of this.#entries.values()) {
@@ -128,7 +131,7 @@
   }
 }
 
-/** A digest of who is present, the same for equal sets. */
+/** Returns a digest of the present VMs; equal sets have equal digests. */
 export function viewDigest(present: readonly MemberRecord[]): number {
   let digest = 0;
   for (const { id, incarnation, beat } of present) {
--- a/src/agreement/member_news.ts
+++ b/src/agreement/member_news.ts
@@ -1,6 +1,6 @@
 /**
- * News that VMs pass on with their heartbeats. Each item is sent a bounded number of times, newest first, and all but
- * statements about VMs within a byte rate, so that the cost of a VM does not grow with the fleet.
+ * News that VMs pass on with their heartbeats. Each item is sent a bounded number of times, newest first. Items other
+ * than member records also share a byte rate, so that the cost of a VM does not grow with the number of VMs.
  *
  * @module
  */
@@ -12,12 +12,12 @@
   readonly type: "topic";
   readonly topic: string;
   readonly vmId: string;
-  /** The publisher's wall clock; the newer value of a topic wins. */
+  /** Wall-clock time at the publisher. The newer value of a topic replaces the older. */
   readonly atMs: number;
   readonly body: unknown;
 }
 
-/** What a region tells another of its topics. */
+/** A region's topics, as it sends them to another region. */
 export interface RegionNews {
   readonly type: "region";
   readonly region: string;
@@ -25,7 +25,7 @@
   readonly topics: readonly TopicNews[];
 }
 
-/** Some VMs to reach a region by. Apart from {@link RegionNews}, as it changes seldom and is larger. */
+/** Some VMs by which a region can be reached. Separate from {@link RegionNews}, as it changes rarely and is larger. */
 export interface ContactNews {
   readonly type: "contacts";
   readonly region: string;
@@ -43,7 +43,7 @@
   readonly tableVersion: number;
 }
 
-/** Anything that is passed on. */
+/** Any item that VMs pass on. */
 export type NewsItem =
   | { readonly type: "member"; readonly record: MemberRecord }
   | TopicNews
@@ -56,19 +56,22 @@
   sends: number;
 }
 
-/** Bytes per second for topics and regions together, and the burst they may make. */
+/** Token bucket shared by topics, regions and contacts: refill rate and burst. */
 const RATE_BYTES_PER_S = 300;
 const BURST_BYTES = 2000;
-/** Most statements about VMs in one message: a region that starts, or loses half, is told in a few messages. */
+/**
+ * Maximum number of member records in one message. A few messages are enough to announce a region that starts or loses
+ * half of its VMs.
+ */
 const MAX_MEMBER_ITEMS = 24;
 
-/** Items that wait to be passed on. */
+/** The items to pass on. */
 export class NewsQueue {
   readonly #queued = new Map<string, QueuedItem>();
   #availableBytes = BURST_BYTES;
   #refilledAtMs: number | undefined;
 
-  /** Passes this item on, in place of an older one about the same thing. */
+  /** Queues this item in place of an older one about the same subject. */
   add(item: NewsItem): void {
     const key = keyOf(item);
     this.#queued.delete(key);
@@ -76,7 +79,7 @@
     this.#queued.set(key, { item, bytes, sends: 0 });
   }
 
-  /** The items for the next message to one of `vms` VMs. */
+  /** Returns the items for the next message in a region of `vmCount` VMs. */
   take(vmCount: number, nowMs: number): NewsItem[] {
     this.#refill(nowMs);
     const rounds = Math.ceil(Math.log2(vmCount + 1));
@@ -98,7 +101,7 @@
     return items;
   }
 
-  /** How many items wait, and how many of them are statements about VMs. */
+  /** Returns the number of queued items, and how many of them are member records. */
   counts(): { readonly all: number; readonly members: number } {
     let members = 0;
     for (const { item } of this.#queued.values()) {
--- a/src/agreement/member_record.ts
+++ b/src/agreement/member_record.ts
@@ -1,21 +1,21 @@
 /**
- * What VMs tell each other about a VM, and which of two such statements is the newer.
+ * The records by which VMs tell each other about a VM, and which of two such records is newer.
  *
  * @module
  */
 
-/** Whether a VM answers: `suspect` did not and has time left to; `dead` had it. */
+/** Whether a VM answers. A `suspect` VM did not, but still has time to; a `dead` one has used up that time. */
 export type MemberStatus = "live" | "suspect" | "dead";
 
-/** A statement about a VM. */
+/** What one VM says about another or about itself. */
 export interface MemberRecord {
   readonly id: string;
-  /** Grows each time a VM is started under this id. */
+  /** Increases each time a VM is started under this id. */
   readonly incarnation: number;
-  /** Grows each time the VM contradicts others, or starts to leave; only the VM itself raises it. */
+  /** Increases each time the VM refutes what others say of it or starts to drain. Only the VM itself raises it. */
   readonly beat: number;
   readonly status: MemberStatus;
-  /** Fixed by incarnation and beat. */
+  /** Whether the VM is draining. Never changes for one incarnation and beat. */
   readonly leaving: boolean;
   readonly region: string;
   readonly failureDomain: string;
@@ -30,9 +30,9 @@
 };
 
 /**
- * Whether statement `a` replaces `b`. What a VM says of itself with a higher beat beats all that others say about an
- * earlier beat, so that a VM that was called dead while it was paused comes back; what others say wins at the same
- * beat, so that an old "live" that is still under way does not bring a dead VM back.
+ * Whether record `a` replaces `b`. A VM's own record with a higher beat replaces all that others say about an earlier
+ * beat, so that a VM that was declared dead while it was paused comes back. At the same beat the records of others win,
+ * so that an outdated "live" record still in transit does not bring a dead VM back.
  */
 export function replaces(a: MemberRecord, b: MemberRecord): boolean {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation;
--- a/src/agreement/members.ts
+++ b/src/agreement/members.ts
@@ -1,7 +1,7 @@
 /**
- * Membership of a region as a state machine, after SWIM: in each period a VM pings one other; where no answer comes it
- * asks two more to ping it, then calls it suspect, then dead. News rides on the pings and their answers. Each VM sends
- * and receives the same number of messages whatever the size of the region.
+ * Membership of a region as a state machine, after the SWIM protocol. In each period a VM pings one other VM. If no
+ * answer comes, it asks two more VMs to ping it, then marks it suspect, then dead. News is piggybacked on the pings and
+ * their answers. Each VM sends and receives the same number of messages whatever the size of the region.
  *
  * @module
  */
@@ -18,13 +18,13 @@
 import { type MemberRecord, replaces } from "./member_record.ts";
 import { SyncTrigger } from "./sync_trigger.ts";
 
-/** Rides on each ping and answer. */
+/** The payload of each ping and answer. */
 export interface Gossip {
   readonly vm: string;
   readonly incarnation: number;
   readonly beat: number;
   readonly table: number;
-  /** Digest of the sender's view: where it keeps differing, the two exchange all they know. */
+  /** Digest of the sender's view. If it keeps differing from the receiver's, the two VMs exchange all records. */
   readonly view: number;
   readonly versions: readonly TableVersion[];
   readonly news: readonly NewsItem[];
@@ -43,15 +43,15 @@
   }
   /** Exchange all records with this VM. */
   | { readonly type: "sync"; readonly address: string }
-  /** Send the news to these at once, ahead of their turn. */
+  /** Send the news to these VMs at once, without waiting for the next pings. */
   | { readonly type: "tell"; readonly targets: readonly MemberRecord[] };
 
-/** VMs told at once when something must not wait for its turn. */
+/** Number of VMs that are told at once when news is urgent. */
 const URGENT_FANOUT = 8;
 const PING_HELPERS = 2;
 const VERSIONS_PER_MESSAGE = 3;
 
-/** The machine of one VM. */
+/** The membership state machine of one VM. */
 export class Membership {
   #self: MemberRecord;
   readonly #times: MembershipTimes;
@@ -80,17 +80,17 @@
     return this.#self;
   }
 
-  /** The VMs that answer or have time left to, this one first. */
+  /** Returns the live and the suspect VMs, this one first. */
   present(): MemberRecord[] {
     return [this.#self, ...this.#list.present()];
   }
 
-  /** All records, the dead ones too, for an exchange. */
+  /** Returns all records for an exchange, including those of dead VMs. */
   all(): MemberRecord[] {
     return [this.#self, ...this.#list.all()];
   }
 
-  /** The newest table version that `vmId` was heard to have. */
+  /** Returns the newest table version that `vmId` is known to have. */
   tableVersionOf(vmId: string): number {
     if (vmId === this.#self.id) return this.#tableVersion;
     return this.#list.get(vmId)?.tableVersion ?? 0;
@@ -100,17 +100,23 @@
     this.#tableVersion = version;
   }
 
-  /** Addresses to try while their VMs are not known: from the settings and the platform's lagging list. */
+  /**
+   * Sets the addresses to contact while their VMs are not known: from the settings and from the platform's lagging
+   * list.
+   */
   setSeeds(addresses: readonly string[]): void {
     this.#seeds = addresses;
   }
 
-  /** Passes an item on with the next messages. */
+  /** Queues an item for the next messages. */
   queueNews(item: NewsItem): void {
     this.#news.add(item);
   }
 
-  /** This VM starts to leave, or is gone for good. Told at once: until it is known, others still send work here. */
+  /**
+   * Announces that this VM starts to drain or, with `gone`, that it has ended. The news is sent at once, because the
+   * others send work here until they know.
+   */
   leave(gone: boolean): MembershipOutput[] {
     if (this.#self.leaving && !gone) return [];
     this.#updateSelf({
@@ -120,7 +126,7 @@
     return [this.#tellUrgently()];
   }
 
-  /** Time passes; called several times in a period. */
+  /** Performs what is due by now. Call it several times in a period. */
   tick(nowMs: number): MembershipOutput[] {
     const outputs: MembershipOutput[] = [];
     this.#handlePause(nowMs);
@@ -140,14 +146,14 @@
     return outputs;
   }
 
-  /** A call to this VM failed: ping it now. */
+  /** Pings a VM now, after a call to it failed. */
   probe(vmId: string): MembershipOutput[] {
     const target = this.#list.get(vmId)?.record;
     if (target?.status !== "live") return [];
     return [{ type: "ping", target }];
   }
 
-  /** What rides on the next message. */
+  /** Returns the payload of the next message. */
   gossip(nowMs: number): Gossip {
     return {
       vm: this.#self.id,
@@ -163,7 +169,7 @@
     };
   }
 
-  /** Takes what rode on a ping or an answer. Items other than statements about VMs are the caller's. */
+  /** Handles the payload of a ping or an answer. Items other than member records are left to the caller. */
   receive(gossip: Gossip, nowMs: number): MembershipOutput[] {
     const outputs: MembershipOutput[] = [];
     for (const item of gossip.news) {
@@ -182,7 +188,7 @@
     return outputs;
   }
 
-  /** No answer came to a ping. */
+  /** Handles a ping that was not answered. */
   pingFailed(vmId: string): MembershipOutput[] {
     const target = this.#list.get(vmId)?.record;
     if (!target || target.status === "dead") return [];
@@ -193,7 +199,10 @@
     return [{ type: "pingVia", target, helpers }];
   }
 
-  /** No helper had an answer either: the VM of this record has until its deadline to contradict. */
+  /**
+   * Handles indirect pings that were not answered either. The VM of this record has until its deadline to refute the
+   * suspicion.
+   */
   indirectPingFailed(record: MemberRecord, nowMs: number): MembershipOutput[] {
     const known = this.#list.get(record.id)?.record;
     if (known?.status !== "live") return [];
@@ -201,7 +210,7 @@
     return this.learn({ ...known, status: "suspect" }, nowMs);
   }
 
-  /** Takes a statement about a VM, if it is news. */
+  /** Applies a record of a VM if it replaces the known one. */
   learn(record: MemberRecord, nowMs: number): MembershipOutput[] {
     if (record.region !== this.#self.region) return [];
     if (record.id === this.#self.id) return this.#refute(record);
@@ -224,14 +233,14 @@
     };
   }
 
-  /** See {@link replaces}. */
+  /** Calls {@link replaces}; tests override it. */
   protected replaces(a: MemberRecord, b: MemberRecord): boolean {
     return replaces(a, b);
   }
 
   /**
-   * Another VM says that this one is suspect or dead, or that an older process with its id had a higher incarnation (its
-   * clock was ahead). The only one who can contradict is this VM, with a statement that replaces theirs.
+   * Refutes a record that says that this VM is suspect or dead, or that an older process with its id had a higher
+   * incarnation (its clock was ahead). Only this VM can refute it, with a record that replaces the other.
    */
   #refute(record: MemberRecord): MembershipOutput[] {
     if (!this.replaces(record, this.#self)) return [];
@@ -258,7 +267,7 @@
     };
   }
 
-  /** This VM was paused, so the others had no chance to answer it: its suspicions start anew. */
+  /** Restarts all suspicions after a pause of this VM, because the others had no chance to answer it. */
   #handlePause(nowMs: number): void {
     const gapMs = nowMs - (this.#lastTickMs ?? nowMs);
     this.#lastTickMs = nowMs;
@@ -266,7 +275,10 @@
     this.#list.restartSuspicions(nowMs);
   }
 
-  /** Each VM once in a round of shuffled order: a dead one is found in a bounded time, not only on average. */
+  /**
+   * Returns the next VM to ping. Each VM is pinged once in a round of shuffled order, so that a dead one is found in a
+   * bounded time and not only on average.
+   */
   #nextTarget(): MemberRecord | undefined {
     for (let tries = 0; tries < 2; tries++) {
       while (this.#pingOrder.length > 0) {
@@ -279,7 +291,7 @@
     return undefined;
   }
 
-  /** An address whose VM is not known to be present. */
+  /** Picks an address whose VM is not known to be present. */
   #pickAbsentAddress(): string | undefined {
     const present = new Set(this.present().map((record) => record.peerAddress));
     const candidates = new Set(this.#seeds);
--- a/src/agreement/members_sim_test.ts
+++ b/src/agreement/members_sim_test.ts
@@ -10,7 +10,7 @@
   replaces,
 } from "./mod.ts";
 
-/** One step of a schedule; `a` and `b` name VMs by number. */
+/** One step of a schedule; `a` and `b` are the numbers of VMs. */
 type Step =
   | { readonly type: "pass"; readonly ms: number }
   | { readonly type: "cut" | "heal"; readonly a: number; readonly b: number }
@@ -23,14 +23,14 @@
 
 const VMS = 4;
 const TICK_MS = 100;
-/** Enough for a suspicion to pass, a stranger to be met and all news to be heard. */
+/** Long enough for suspicions to expire, unknown VMs to be contacted and all news to arrive. */
 const SETTLE_MS = 40_000;
 
 type MakeMembership = (
   self: ConstructorParameters<typeof Membership>[0],
 ) => Membership;
 
-/** VMs whose messages a schedule loses, doubles and delays. Time is a number; nothing here waits. */
+/** VMs whose messages a schedule loses, duplicates and delays. Time is simulated; nothing here waits. */
 class SimRegion {
   readonly machines: (Membership | undefined)[] = [];
   readonly violations: string[] = [];
@@ -40,7 +40,7 @@
   readonly #sent: Gossip[] = [];
   readonly #seen = new Map<string, MemberRecord>();
   #nowMs = 1000;
-  /** Until the first fault nobody may be suspected. */
+  /** Whether a fault has occurred. Before the first one no VM may be suspected. */
   #hadFault = false;
 
   constructor(make: MakeMembership) {
@@ -53,7 +53,7 @@
     for (const step of steps) this.#step(step);
   }
 
-  /** All faults end; after {@link SETTLE_MS} all that run must agree on who runs. */
+  /** Ends all faults. After {@link SETTLE_MS} all running VMs must agree on which VMs run. */
   settle(): void {
     this.#cuts.clear();
     this.#paused.clear();
@@ -194,7 +194,7 @@
     this.#check(machine);
   }
 
-  /** What one VM knows of another never goes back: neither to an older process nor from leaving to staying. */
+  /** What one VM knows of another never goes back: neither to an older process nor from draining to not draining. */
   #check(machine: Membership): void {
     for (const record of machine.all()) {
       const key = `${machine.self.id}/${machine.self.incarnation}/${record.id}`;
@@ -262,13 +262,13 @@
 interface Search {
   readonly runs: number;
   readonly seed: number;
-  /** Only violations of this kind count; all if absent. */
+  /** Only violations that match this count; all if absent. */
   readonly rule?: RegExp;
-  /** Looks for the shortest schedule. */
+  /** Whether to look for the shortest schedule. */
   readonly shrink?: boolean;
 }
 
-/** Runs schedules; a violated rule is thrown with a schedule, its seed and its path, which replay it. */
+/** Runs schedules. A violated rule is thrown with the schedule, its seed and its path, by which it can be replayed. */
 function search(
   make: MakeMembership,
   { runs, seed, rule, shrink }: Search,
@@ -302,10 +302,10 @@
   });
 }
 
-describe("members > schedules", () => {
-  // Any mix of cuts (one-way too), crashes, restarts, pauses, planned stops and old messages that arrive again. While it
-  // lasts no VM's knowledge goes back; after it all that run agree on who runs.
-  it("never goes back, and agrees once the faults end", (t) => {
+describe("membership > schedules", () => {
+  // Schedules mix link cuts (also one-way), crashes, restarts, pauses, planned stops and old messages that arrive
+  // again. Meanwhile no VM's knowledge goes back; afterwards all running VMs agree on which VMs run.
+  it("never goes back, and all VMs agree once the faults end", (t) => {
     t.notThrows(() =>
       search((self) => new Membership(self), {
         runs: RUNS,
@@ -315,8 +315,8 @@
     );
   });
 
-  describe("a broken machine is caught", () => {
-    it("that never contradicts what others say of it", (t) => {
+  describe("the checker finds a broken machine", () => {
+    it("that never refutes what others say of it", (t) => {
       class NeverRefutes extends Membership {
         override learn(
           record: MemberRecord,
@@ -330,7 +330,7 @@
       checkCaught(t, make, / sees /);
     });
 
-    it("that takes any statement for news", (t) => {
+    it("that accepts any record as newer", (t) => {
       class AcceptsAnyRecord extends Membership {
         protected override replaces(a: MemberRecord, b: MemberRecord): boolean {
           return a.id !== this.self.id || replaces(a, b);
@@ -340,7 +340,7 @@
       checkCaught(t, make, /older process|stopped leaving/);
     });
 
-    it("that lets the dead stay dead", (t) => {
+    it("that never revives a dead VM", (t) => {
       class NeverRevives extends Membership {
         protected override replaces(a: MemberRecord, b: MemberRecord): boolean {
           return b.status !== "dead" && replaces(a, b);
@@ -350,7 +350,7 @@
       checkCaught(t, make, / sees /);
     });
 
-    it("that forgets whom it once knew", (t) => {
+    it("that does not contact VMs it once knew", (t) => {
       const times = { ...DEFAULT_MEMBERSHIP_TIMES, meetMs: 1e9 };
       const make: MakeMembership = (self) => new Membership(self, times);
       checkCaught(t, make, / sees /);
--- a/src/agreement/rows.ts
+++ b/src/agreement/rows.ts
@@ -1,5 +1,6 @@
 /**
- * The rows of the operators' table, and the checks each must pass. The published JSON Schema is made from these.
+ * The rows of the operators' table, and the checks that each row must pass. The published JSON Schema is generated from
+ * them.
  *
  * Row keys are `KIND/ID` (`service/plan`, `traffic/plan/agadir`); an edit is accepted or refused row by row.
  *
@@ -44,7 +45,7 @@
   ),
 });
 
-/** A region, and what its traffic weighs against others'. */
+/** A region, and the weight of its traffic against that of other regions. */
 export const regionRow = z.strictObject({
   kind: z.literal("region"),
   id,
@@ -144,7 +145,7 @@
 /** Any row of the table. */
 export type TableRow = z.infer<typeof tableRow>;
 
-/** The key a row stands under. */
+/** Returns the key of a row. */
 export function rowKey(row: TableRow): string {
   return row.kind === "traffic"
     ? `traffic/${row.service}/${row.region}`
--- a/src/agreement/sync_trigger.ts
+++ b/src/agreement/sync_trigger.ts
@@ -1,32 +1,33 @@
 /**
- * Decides when two VMs whose views of the region differ must exchange all they know. Views differ while news is under
- * way, which mends itself; they go on differing where news was lost, which nothing else would mend.
+ * Decides when two VMs whose views of the region differ must exchange all their records. Views differ while news is in
+ * transit, which resolves itself. They keep differing if news was lost, which only an exchange repairs.
  *
  * @module
  */
 
-/** So many messages in a row that differ mean that something was lost. */
+/** This many consecutive messages with a different view mean that news was lost. */
 const DIFFERENCES_BEFORE_SYNC = 4;
 /**
- * An exchange costs as many bytes as the region has VMs. Where it does not help (a VM that only some can reach is seen
- * differently for as long as that lasts) the next one waits longer.
+ * Minimum and maximum interval between exchanges. The size of an exchange is proportional to the number of VMs in the
+ * region. If an exchange does not help, the interval doubles: a VM that only some others can reach is seen differently
+ * as long as that lasts.
  */
 const MIN_SYNC_INTERVAL_MS = 3000;
 const MAX_SYNC_INTERVAL_MS = 60_000;
 
-/** One VM's count of messages that differed. */
+/** Counts the consecutive messages whose sender has a different view. */
 export class SyncTrigger {
   #differences = 0;
   #intervalMs = MIN_SYNC_INTERVAL_MS;
   #nextSyncMs = 0;
 
-  /** A message came whose sender sees the same. */
+  /** Records a message whose sender has the same view. */
   recordSame(): void {
     this.#differences = 0;
     this.#intervalMs = MIN_SYNC_INTERVAL_MS;
   }
 
-  /** A message came whose sender sees something else; answers whether to exchange all with it now. */
+  /** Records a message whose sender has a different view. Returns whether to exchange all records with it now. */
   recordDifference(nowMs: number): boolean {
     this.#differences++;
     if (this.#differences < DIFFERENCES_BEFORE_SYNC) return false;
--- a/src/agreement/table_checks.ts
+++ b/src/agreement/table_checks.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of an edit against the whole table: references between rows, and names that only one row may hold.
+ * Checks of an edit against the whole table: references between rows, and names that only one row may have.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { rowKey, type TableRow } from "./rows.ts";
 import type { RowChange, Table } from "./table.ts";
 
-/** A fault of a row: which field, which value, and what is allowed. */
+/** A fault in a row: the field, its value, and what is allowed. */
 export interface RowFault {
   readonly key: string;
   readonly field: string;
@@ -15,12 +15,12 @@
   readonly allowed: string;
 }
 
-/** One sentence for people. */
+/** Describes a fault in one readable line. */
 export function describeFault(fault: RowFault): string {
   return `${fault.key}: ${fault.field} is "${fault.value}"; ${fault.allowed}`;
 }
 
-/** The faults that these changes would leave in `after`, the table with the changes applied. */
+/** Returns the faults that these changes would leave in `after`, the table with the changes applied. */
 export function checkChanges(
   after: Table,
   changes: readonly RowChange[],
@@ -77,7 +77,7 @@
   return faults;
 }
 
-/** A model name in two services would send a caller's prompt to either of them. */
+/** Finds model names that another service has too: a caller's prompt could go to either of the two. */
 function checkModels(
   table: Table,
   row: Extract<TableRow, { kind: "service" }>,
@@ -94,7 +94,7 @@
   return faults;
 }
 
-/** A key of two workspaces would let one spend and read in the other's name. */
+/** Finds keys that another workspace has too: one workspace could spend and read in the name of the other. */
 function checkKeyDigests(
   table: Table,
   row: Extract<TableRow, { kind: "workspace" }>,
@@ -124,7 +124,7 @@
   return [];
 }
 
-/** The field in which a row names this service or region. */
+/** Returns the field in which a row refers to this service or region. */
 function referenceTo(
   row: TableRow,
   kind: "service" | "region",
--- a/src/agreement/table_log.ts
+++ b/src/agreement/table_log.ts
@@ -1,6 +1,6 @@
 /**
  * A VM's copy of the table's log as a state machine: which edits it applies, which it holds back, and when the store
- * has gone back in time.
+ * was rolled back.
  *
  * @module
  */
@@ -13,36 +13,42 @@
   TableImage,
 } from "./table_records.ts";
 
-/** Edits kept to serve VMs that are a little behind; others get a whole image. */
+/** Number of edits kept for VMs that are a little behind. Others get a whole image. */
 export const TAIL_EDITS = 512;
-/** Edits held back while one before them is missing. */
+/** Maximum number of edits held back while one before them is missing. */
 const MAX_PENDING_EDITS = 1024;
 
-/** What is wrong with the store's log. */
+/** A contradiction between the store's log and what is in force here. */
 export interface Regression {
-  /** `older`: the store's head is below what is in force here. `forked`: same versions, other edits. */
+  /**
+   * `older`: the store's head is below the version in force here. `forked`: the versions are the same, but the edits
+   * differ.
+   */
   readonly type: "older" | "forked";
-  /** The version the store shows. */
+  /** The version in the store. */
   readonly storeVersion: number;
-  /** The version in force here when it was seen. */
+  /** The version in force here when the contradiction was seen. */
   readonly version: number;
 }
 
-/** What an offer of edits came to. */
+/** The result of offering edits. */
 export interface OfferOutcome {
   /** The edits applied, in order. */
   readonly applied: readonly LoggedEdit[];
-  /** Whether edits before some of the offered ones are missing. */
+  /** Whether edits are missing before some of those offered. */
   readonly gap: boolean;
 }
 
 /**
- * How the store's head stands to what is in force here. `stale`: the head was read before the newest edits came in
- * force here, and says nothing; read it again.
+ * How the store's head compares with what is in force here. `stale`: the head was read before the newest edits came
+ * into force here, so it says nothing and must be read again.
  */
 export type HeadRelation = "same" | "ahead" | "older" | "forked" | "stale";
 
-/** The log as one VM has it. It goes up one version at a time, or up to a whole image; never down. */
+/**
+ * One VM's copy of the log. Its version increases by one edit at a time or by loading a whole image, and never
+ * decreases.
+ */
 export class TableLog {
   #table = Table.empty;
   #lastId = "";
@@ -59,22 +65,22 @@
   get lastId(): string {
     return this.#lastId;
   }
-  /** What is wrong with the store's log, as long as it is. */
+  /** The contradiction with the store's log, as long as it lasts. */
   get regression(): Regression | undefined {
     return this.#regression;
   }
-  /** How many edits wait for one before them. */
+  /** Number of edits that wait for one before them. */
   get pendingCount(): number {
     return this.#pending.size;
   }
 
-  /** The table with its last edit's id, for a snapshot or another VM. */
+  /** Returns the table with its last edit's id, for a snapshot or another VM. */
   image(): TableImage {
     const recent = this.#recentRefs.slice(-TAIL_EDITS);
     return { table: this.#table, lastId: this.#lastId, recent };
   }
 
-  /** Takes edits in any order, repeated or not, and applies those that follow. */
+  /** Takes edits in any order, repeated or not, and applies those that follow the version in force. */
   offer(edits: readonly LoggedEdit[]): OfferOutcome {
     for (const edit of edits) this.#receive(edit);
     const applied: LoggedEdit[] = [];
@@ -93,7 +99,7 @@
     return { applied, gap: this.#pending.size > 0 };
   }
 
-  /** Takes a whole table if it is newer and of the same history; answers whether it did. */
+  /** Loads a whole table if it is newer and of the same history. Returns whether it did. */
   load(image: TableImage): boolean {
     if (!this.isNewer(image.table.version)) return false;
     if (!this.continues(image)) {
@@ -109,11 +115,12 @@
   }
 
   /**
-   * Compares the store's head, `undefined` for an empty store. A store restored from an old copy shows a head below
-   * what was accepted; following it would take back an accepted edit, so it raises an alarm and changes nothing.
+   * Compares the store's head, `undefined` for an empty store, with what is in force here. A store restored from an old
+   * backup has a head below what was accepted. Following it would take back an accepted edit, so this records a
+   * regression and changes nothing else.
    *
-   * `readAtVersion` is what was in force here when the reading began. Edits that came in force while the answer was on
-   * its way make a sound store look old; an alarm at each of them would hide the true one.
+   * `readAtVersion` is the version that was in force here when the read started. Edits that come into force while the
+   * answer is in transit make an intact store look old; a false regression for each of them would hide a real one.
    */
   compareHead(
     head: TableHead | undefined,
@@ -126,7 +133,7 @@
     return relation;
   }
 
-  /** The edits after `version`; `undefined` if some are no longer kept. */
+  /** Returns the edits after `version`; `undefined` if some are no longer kept. */
   editsSince(version: number): readonly LoggedEdit[] | undefined {
     if (version >= this.#table.version) return [];
     const first = this.#tail[0]?.version;
@@ -134,12 +141,12 @@
     return this.#tail.slice(version + 1 - first);
   }
 
-  /** The newest edits kept, oldest first. */
+  /** Returns the newest edits that are kept, oldest first. */
   recentEdits(): readonly LoggedEdit[] {
     return this.#tail;
   }
 
-  /** The version that this edit made, if it is among the newest {@link TAIL_EDITS}. */
+  /** Returns the version that this edit made, if it is among the newest {@link TAIL_EDITS}. */
   versionOf(editId: string): number | undefined {
     return this.#recentRefs.findLast((edit) => edit.id === editId)?.version;
   }
@@ -150,21 +157,24 @@
     return version >= first && version <= this.#table.version;
   }
 
-  /** The pending edit to apply next: only the one right after the version in force, else an edit would be lost. */
+  /**
+   * Returns the pending edit to apply next: only the one right after the version in force, because otherwise an edit
+   * would be lost.
+   */
   protected nextPending(
     pending: ReadonlyMap<number, LoggedEdit>,
   ): LoggedEdit | undefined {
     return pending.get(this.#table.version + 1);
   }
 
-  /** Whether an edit continues this history, and not that of a restored store which gave its version out again. */
+  /** Whether an edit continues this history, and not that of a restored store that assigned its version again. */
   protected follows(edit: LoggedEdit): boolean {
     return edit.prevId === this.#lastId;
   }
 
   /**
-   * Whether an image holds the edit last applied here. One made after a restore of the store may be newer and yet lack
-   * edits that were accepted; loading it would take them back. Known only within the image's recent edits.
+   * Whether an image contains the edit last applied here. An image made after a restore of the store may be newer and
+   * yet lack accepted edits; loading it would take them back. This can be told only within the image's recent edits.
    */
   protected continues(image: TableImage): boolean {
     const { version } = this.#table;
@@ -196,7 +206,7 @@
     this.#lastId = edit.id;
     this.#tail.push(edit);
     this.#recentRefs.push({ id: edit.id, version: edit.version });
-    // Cut at twice the length, so that the copy is made once in many edits.
+    // Truncated at twice the length, so that many edits share one copy.
     if (this.#tail.length > 2 * TAIL_EDITS) {
       this.#tail = this.#tail.slice(-TAIL_EDITS);
     }
--- a/src/agreement/table_log_property_test.ts
+++ b/src/agreement/table_log_property_test.ts
@@ -12,22 +12,24 @@
   type WriteAnswer,
 } from "./mod.ts";
 
-/** Schedules for each seed; more for a long run. */
+/** Schedules for each seed. Set FUZZ_RUNS for a longer run. */
 const runs = Number(process.env.FUZZ_RUNS ?? 3000);
 
 describe("table log", () => {
-  // Operators race from several VMs, answers are lost before and after the write lands, VMs crash, pushes are
-  // repeated and reordered, snapshots cut the log. Every accepted edit stands once, nobody goes back, all agree.
+  // Operators race from several VMs, answers are lost before and after the write takes effect, VMs crash, pushes are
+  // repeated and reordered, and snapshots truncate the log. Every accepted edit is in the log once, no VM goes back to
+  // an older version, and all VMs agree.
   for (const seed of [11, 12, 13]) {
-    it(`keeps its rules under faults, seed ${seed}`, (t) => {
+    it(`breaks no rule under faults, seed ${seed}`, (t) => {
       t.is(fuzzTable(whole, { types: calm, seed, runs }), undefined);
     });
   }
 
-  // The same, and the store is restored from an old copy at any moment: its head falls below what is in force.
-  // No VM follows it back, each that looks raises the alarm, and no version is given out twice with other rows.
+  // The same faults, and the store is restored from an old backup at any moment: its head falls below what is in force.
+  // No VM follows it back, each VM that reads the head reports the regression, and no version is assigned twice with
+  // different rows.
   for (const seed of [21, 22]) {
-    it(`keeps its rules when an old copy is restored, seed ${seed}`, (t) => {
+    it(`breaks no rule when an old backup is restored, seed ${seed}`, (t) => {
       for (const types of [moveTypes, forking]) {
         t.is(fuzzTable(whole, { types, seed, runs }), undefined);
       }
@@ -91,15 +93,15 @@
 const broken: Record<string, Machines> = {
   "a log that loads older tables": { ...whole, log: () => new RollsBack() },
   "a log that skips gaps": { ...whole, log: () => new SkipsGaps() },
-  "a lost answer taken for a failure": {
+  "an edit that takes a lost answer for a failure": {
     ...whole,
     attempt: (proposal) => new TakesLostForFailed(proposal),
   },
-  "a lost answer taken for a success": {
+  "an edit that takes a lost answer for a success": {
     ...whole,
     attempt: (proposal) => new TakesLostForDone(proposal),
   },
-  "a re-base that overwrites the winner": {
+  "an edit that overwrites a concurrent change": {
     ...whole,
     attempt: (proposal) => new IgnoresConflicts(proposal),
   },
@@ -107,7 +109,7 @@
     ...whole,
     log: () => new FollowsAnyHistory(),
   },
-  "a log that takes a stale head for an old store": {
+  "a log that reports a regression for a stale head": {
     ...whole,
     log: () => new AlarmsAtStaleHeads(),
   },
@@ -117,9 +119,9 @@
   },
 };
 
-describe("table log checker", () => {
+describe("table log > checker", () => {
   for (const [title, machines] of Object.entries(broken)) {
-    it(`catches ${title}`, (t) => {
+    it(`finds ${title}`, (t) => {
       const found = [moveTypes, forking].some((types) =>
         fuzzTable(machines, { types, seed: 31, runs: 10_000 }) !== undefined
       );
--- a/src/agreement/table_push.ts
+++ b/src/agreement/table_push.ts
@@ -1,29 +1,29 @@
 /**
- * Who watches the store, and how an edit goes from a watcher to all VMs of its region.
+ * Which VMs watch the store, and how an edit gets from a watcher to all VMs of its region.
  *
- * A waiting watch counts as a call, so only a few VMs hold one, whatever the size of the region. The others get the
- * edit through a tree whose inner nodes change with each version: a fixed tree would put the whole fan-out on the same
- * few VMs, and a push from one VM to all costs it more than its control budget in a region of 67.
+ * A waiting watch counts as a call, so only a few VMs have one, whatever the size of the region. The others get the
+ * edit through a push tree whose inner nodes change with each version. A fixed tree would put the whole fan-out on the
+ * same few VMs, and in a region of 67 a push from one VM to all would exceed that VM's budget for control traffic.
  *
  * @module
  */
 
 import { rendezvous } from "../base/mod.ts";
 
-/** Watches per region: one may be lost without a delay for the region. */
+/** Number of watchers per region. One may be lost without a delay for the region. */
 export const WATCHERS_PER_REGION = 2;
-/** Children of a node of the push tree. */
+/** Number of children of a node in the push tree. */
 export const PUSH_FANOUT = 4;
 
 const identity = (id: string) => id;
 
-/** The VMs that watch the store for their region. */
+/** Returns the VMs that watch the store for their region. */
 export function watchersOf(region: string, vmIds: readonly string[]): string[] {
   return rendezvous(`watch/${region}`, vmIds, identity)
     .slice(0, WATCHERS_PER_REGION);
 }
 
-/** The watcher that pushes this version. */
+/** Returns the watcher that pushes this version. */
 export function pushRoot(
   version: number,
   watchers: readonly string[],
@@ -31,7 +31,7 @@
   return rendezvous(`root/${version}`, watchers, identity)[0];
 }
 
-/** The VMs to which `self` passes this version on; empty for a VM outside the tree. */
+/** Returns the VMs to which `self` passes this version on; none for a VM outside the tree. */
 export function pushTargets(
   version: number,
   root: string,
--- a/src/agreement/table_records.ts
+++ b/src/agreement/table_records.ts
@@ -1,5 +1,6 @@
 /**
- * The records of the table in the platform's store and between VMs: edits of the log, the head, and images in pages.
+ * The records of the table in the platform's store and between VMs: edits of the log, the head, and images split into
+ * pages.
  *
  * Keys: `table/head` holds a {@link TableHead}; `table/log/VERSION` one {@link LoggedEdit}; `table/snap/NAME/PAGE` the
  * {@link ImagePage}s of a snapshot.
@@ -13,33 +14,36 @@
 
 /** The head's key. Each edit and each snapshot changes it by compare-and-swap. */
 export const HEAD_KEY = "table/head";
-/** All keys of the log start with this. */
+/** Prefix of all keys of the log. */
 export const LOG_PREFIX = "table/log/";
-/** All keys of snapshots start with this. */
+/** Prefix of all keys of snapshots. */
 export const SNAPSHOT_PREFIX = "table/snap/";
 
-/** Largest record of the log, in characters of JSON: well below the store's megabyte. */
+/** Maximum size of a log record in characters of JSON, well below the store's limit of one megabyte. */
 export const MAX_EDIT_CHARS = 256 * 1024;
-/** Largest page of an image, in characters of JSON. */
+/** Maximum size of an image's page in characters of JSON. */
 export const MAX_PAGE_CHARS = 256 * 1024;
 
-/** The log key of a version; keys sort as versions do. */
+/** Returns the log key of a version. Keys sort in the order of versions. */
 export function logKey(version: number): string {
   return LOG_PREFIX + String(version).padStart(12, "0");
 }
 
-/** The key of a snapshot's page. */
+/** Returns the key of a snapshot's page. */
 export function pageKey(name: string, page: number): string {
   return `${SNAPSHOT_PREFIX}${name}/${String(page).padStart(6, "0")}`;
 }
 
-/** An {@link Edit} as it stands in the log. */
+/** An {@link Edit} as it is stored in the log. */
 export interface LoggedEdit extends Edit {
-  /** The id of the edit before; empty for the first. Tells an edit of another history, such as a restored copy's. */
+  /**
+   * The id of the previous edit; empty for the first. It tells an edit of another history, such as that of a restored
+   * backup.
+   */
   readonly prevId: string;
 }
 
-/** Where a snapshot stands. */
+/** Identifies a stored snapshot. */
 export interface SnapshotRef {
   readonly version: number;
   readonly name: string;
@@ -64,7 +68,7 @@
 export interface TableImage {
   readonly table: Table;
   readonly lastId: string;
-  /** The newest edits, oldest first, so that a repeated or unsettled edit is known also after a snapshot. */
+  /** The newest edits, oldest first, so that a repeated or unsettled edit is recognized even after a snapshot. */
   readonly recent: readonly EditRef[];
 }
 
@@ -136,7 +140,7 @@
   return imagePage.parse(input);
 }
 
-/** Cuts an image into pages below {@link MAX_PAGE_CHARS}; there is always at least one. */
+/** Splits an image into pages below {@link MAX_PAGE_CHARS}; there is always at least one. */
 export function splitImage(
   image: TableImage,
   maxChars = MAX_PAGE_CHARS,
@@ -162,7 +166,7 @@
   }));
 }
 
-/** The image that these pages make; `undefined` if one is missing or they are of different versions. */
+/** Joins pages into an image; `undefined` if a page is missing or they are of different versions. */
 export function joinPages(pages: readonly ImagePage[]): TableImage | undefined {
   const [first] = pages;
   if (!first || pages.length !== first.pages) return undefined;
--- a/src/agreement/table_schema.ts
+++ b/src/agreement/table_schema.ts
@@ -7,7 +7,7 @@
 import { z } from "zod";
 import { tableRow } from "./rows.ts";
 
-/** The schema, as what an operator may write: fields with a default can be left out. */
+/** Returns the schema of what an operator may write: fields with a default can be omitted. */
 export function tableSchema(): unknown {
   const rows = z.array(tableRow).meta({
     title: "ibisgap table",
@@ -16,7 +16,7 @@
   return z.toJSONSchema(rows, { io: "input" });
 }
 
-/** The text of `table.schema.json`. */
+/** Returns the text of `table.schema.json`. */
 export function tableSchemaText(): string {
   return JSON.stringify(tableSchema(), null, 2) + "\n";
 }
@@ -37,7 +37,7 @@
   readonly required: readonly string[];
 }
 
-/** The fields of each kind as Markdown tables, for docs/TABLE.md. */
+/** Returns the fields of each kind as Markdown tables, for docs/TABLE.md. */
 export function tableFieldsText(): string {
   const schema = tableSchema() as { items: { oneOf: readonly RowSchema[] } };
   return schema.items.oneOf.map(formatKind).join("\n");
--- a/src/agreement/table_test.ts
+++ b/src/agreement/table_test.ts
@@ -40,12 +40,12 @@
 const digest = "a".repeat(64);
 
 describe("table schema", () => {
-  it("is committed as it stands", (t) => {
+  it("is the same as its committed copy", (t) => {
     const committed = readFileSync(new URL("table.schema.json", root), "utf8");
     t.deepEqual(JSON.parse(committed), tableSchema());
   });
 
-  it("has its fields in docs/TABLE.md", (t) => {
+  it("has its fields listed in docs/TABLE.md", (t) => {
     const page = readFileSync(new URL("docs/TABLE.md", root), "utf8");
     // The formatter pads the columns of tables.
     const plain = (text: string) =>
@@ -69,20 +69,23 @@
   const traffic = (more = {}) =>
     put({ kind: "traffic", service: "plan", region: "agadir", ...more });
   const cases: Record<string, [RowChange, string | undefined]> = {
-    "a traffic row that fits": [traffic({ mayGoTo: ["muscat"] }), undefined],
-    "an unknown region to go to": [
+    "accepts a valid traffic row": [
+      traffic({ mayGoTo: ["muscat"] }),
+      undefined,
+    ],
+    "refuses an unknown region to send requests to": [
       traffic({ mayGoTo: ["oz"] }),
       'traffic/plan/agadir: mayGoTo is "oz"; must be the id of a region row',
     ],
-    "its own region to go to": [
+    "refuses a row's own region to send requests to": [
       traffic({ mayGoTo: ["agadir"] }),
       'traffic/plan/agadir: mayGoTo is "agadir"; must be a region other than the row\'s own',
     ],
-    "a model of two services": [
+    "refuses a model of two services": [
       put(service("other", { models: ["atlas-1"] })),
       'service/other: models is "atlas-1"; must not be served by service/plan too',
     ],
-    "a key of two workspaces": [
+    "refuses a key of two workspaces": [
       put({
         kind: "workspace",
         id: "drivers",
@@ -91,11 +94,11 @@
       }),
       `workspace/drivers: keyDigests is "${digest}"; must not be a key of workspace/clerks too`,
     ],
-    "a home that a workspace needs": [
+    "refuses to delete the home region of a workspace": [
       { type: "delete", key: "region/agadir" },
       'region/agadir: workspace.home is "agadir"; delete or change workspace/clerks first',
     ],
-    "a region nobody needs": [
+    "allows deleting a region that no row refers to": [
       { type: "delete", key: "region/muscat" },
       undefined,
     ],
@@ -116,7 +119,7 @@
 });
 
 describe("table diff", () => {
-  it("puts references first, deletes them last, and skips what stands", (t) => {
+  it("puts references first, deletes them last, and skips unchanged rows", (t) => {
     const table = tableOf(region("agadir"), region("oz"), service("old"));
     const rows = [
       { kind: "traffic", service: "plan", region: "agadir" },
@@ -136,7 +139,7 @@
     ]);
   });
 
-  it("does not count the order of fields", (t) => {
+  it("ignores the order of fields", (t) => {
     const a = tableRow.parse(region("agadir", { linkMs: { x: 1, y: 2 } }));
     const b = tableRow.parse({
       linkMs: { y: 2, x: 1 },
@@ -146,7 +149,7 @@
     t.true(sameRow(a, b));
   });
 
-  it("splits changes into parts in order and within their size", (t) => {
+  it("splits changes into parts, in order and within the maximum size", (t) => {
     const changes = Array.from({ length: 50 }, (_, i): RowChange => ({
       type: "delete",
       key: `region/r${i}`,
@@ -162,7 +165,7 @@
   const recent = [{ id: "e1", version: 1 }];
   const image = { table: tableOf(...rows), lastId: "e1", recent };
 
-  it("are the same after being cut into pages", (t) => {
+  it("are the same after being split into pages and joined", (t) => {
     const pages = splitImage(image, 2000);
     t.true(pages.length > 5);
     const again = joinPages(JSON.parse(JSON.stringify(pages)))!;
@@ -171,7 +174,7 @@
     t.deepEqual([...again.table.rows()], [...image.table.rows()]);
   });
 
-  it("are refused with a page missing or of another version", (t) => {
+  it("are refused if a page is missing or of another version", (t) => {
     const pages = splitImage(image, 2000);
     t.is(joinPages(pages.slice(0, -1)), undefined);
     t.is(joinPages([]), undefined);
@@ -209,7 +212,7 @@
         sent.set(id, (sent.get(id) ?? 0) + length);
       }
     }
-    // A watcher is the root of every second tree; all others send about one message per edit.
+    // A watcher is the root of every second tree; all other VMs send about one message per edit.
     const loads = [...sent.values()].sort((a, b) => b - a);
     t.true(loads[0] <= 400 * PUSH_FANOUT * 0.7, String(loads[0]));
     t.true(loads[2] <= 400 * 1.7, String(loads[2]));
@@ -217,7 +220,7 @@
 });
 
 describe("table versions", () => {
-  it("are the same in layers as made anew from all rows", (t) => {
+  it("have the same rows in layers as in one map", (t) => {
     const random = new Random(5);
     let table = Table.empty;
     const plain = new Map<string, VersionedRow>();
@@ -240,7 +243,7 @@
     for (const [key, row] of plain) t.deepEqual(table.get(key), row);
   });
 
-  it("stay as they are when a later one is made", (t) => {
+  it("stay unchanged when a later one is made", (t) => {
     const first = tableOf(region("agadir"));
     const row = tableRow.parse(region("agadir", { weight: 9 }));
     const changes: RowChange[] = [{ type: "put", row }];
