--- a/bench/awake_meter.ts
+++ b/bench/awake_meter.ts
@@ -7,26 +7,28 @@
 import type { Engine } from "./engine.ts";
 import type { Sim } from "./sim.ts";
 
-const SAMPLE_MS = 100;
+const SAMPLE_INTERVAL_MS = 100;
 const HOUR_MS = 3_600_000;
 
 /** See the module. */
-export class AwakeMeter {
-  readonly #samples: { readonly atMs: number; readonly awake: number }[] = [];
+export class UpstreamHoursMeter {
+  readonly #samples: { readonly atMs: number; readonly active: number }[] = [];
 
   constructor(sim: Sim, engines: readonly Engine[]) {
-    sim.every(SAMPLE_MS, () => {
-      const awake = engines.filter(({ parked }) => !parked).length;
-      this.#samples.push({ atMs: sim.nowMs, awake });
+    sim.every(SAMPLE_INTERVAL_MS, () => {
+      const active = engines.filter(({ isParked }) => !isParked).length;
+      this.#samples.push({ atMs: sim.nowMs, active });
     });
   }
 
   /** Upstream-hours between these times. */
-  hours(fromMs: number, toMs: number): number {
-    let sum = 0;
-    for (const { atMs, awake } of this.#samples) {
-      if (atMs >= fromMs && atMs < toMs) sum += awake * SAMPLE_MS;
+  hoursBetween(fromMs: number, toMs: number): number {
+    let activeMs = 0;
+    for (const { atMs, active } of this.#samples) {
+      if (atMs >= fromMs && atMs < toMs) {
+        activeMs += active * SAMPLE_INTERVAL_MS;
+      }
     }
-    return sum / HOUR_MS;
+    return activeMs / HOUR_MS;
   }
 }
--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -6,7 +6,7 @@
 
 import type { Bench, Row } from "./row.ts";
 
-const NAMES = [
+const BENCH_NAMES = [
   "capacity",
   "control_claims",
   "control_claims_faults",
@@ -19,7 +19,7 @@
   "vm_cost",
 ];
 
-function print(rows: readonly Row[], json: boolean): void {
+function printRows(rows: readonly Row[], json: boolean): void {
   for (const row of rows) {
     if (json) {
       console.log(JSON.stringify(row));
@@ -31,10 +31,10 @@
 }
 
 const [name, ...args] = process.argv.slice(2);
-if (!NAMES.includes(name)) {
+if (!BENCH_NAMES.includes(name)) {
   console.error("usage: npm run bench -- NAME [--json]");
-  console.error(`NAME: ${NAMES.join(", ")}`);
+  console.error(`NAME: ${BENCH_NAMES.join(", ")}`);
   process.exit(2);
 }
 const { run } = await import(`./${name}.js`) as { run: Bench };
-print(await run(args), args.includes("--json"));
+printRows(await run(args), args.includes("--json"));
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -17,11 +17,11 @@
 /** The letter's target, and what follows from it for one region or VM. */
 const TARGET = { vms: 1400, runners: 10_000, regions: 21, tokensPerS: 14e6 };
 /** Regions of one to ten sizes, evenly spread: the largest has 10 / 5.5 times the average. */
-const LARGEST = 10 / 5.5;
-const VMS_A_REGION = TARGET.vms / TARGET.regions;
-const TOKENS_A_VM = TARGET.tokensPerS / TARGET.vms;
+const LARGEST_REGION_FACTOR = 10 / 5.5;
+const VMS_PER_REGION = TARGET.vms / TARGET.regions;
+const TOKENS_PER_S_PER_VM = TARGET.tokensPerS / TARGET.vms;
 /** 23 requests/s of 440 tokens at 60 ms each are open at once on a VM. */
-const STREAMS_A_VM = 600;
+const STREAMS_PER_VM = 600;
 /** 4,500 workspaces, 10,000 upstreams, 21 x 5 traffic rows, regions and services. */
 const TABLE_ROWS = 14_700;
 const POOL_SIZE = 64;
@@ -35,11 +35,11 @@
   readonly policy?: string;
   /** The size that a row was measured at; undefined: the row does not belong here. */
   readonly sizeOf: (row: Row, rows: readonly Row[]) => number | undefined;
-  readonly average: number;
-  readonly largest: number;
+  readonly averageSize: number;
+  readonly largestSize: number;
 }
 
-const fits: readonly Fit[] = [
+const FITS: readonly Fit[] = [
   {
     role: "caller's edge",
     growsWith: "tokens/s",
@@ -51,8 +51,8 @@
         other.case === row.case && other.policy === row.policy &&
         other.measure === "tokens"
       )?.value,
-    average: TOKENS_A_VM,
-    largest: TOKENS_A_VM,
+    averageSize: TOKENS_PER_S_PER_VM,
+    largestSize: TOKENS_PER_S_PER_VM,
   },
   {
     role: "caller's edge",
@@ -60,27 +60,27 @@
     bench: "path",
     measure: "memory above idle",
     policy: "ibisgap",
-    sizeOf: (row) => numberIn(row.case, /(\d+) streams/),
-    average: STREAMS_A_VM,
-    largest: STREAMS_A_VM,
+    sizeOf: (row) => parseNumber(row.case, /(\d+) streams/),
+    averageSize: STREAMS_PER_VM,
+    largestSize: STREAMS_PER_VM,
   },
   {
     role: "pool lead",
     growsWith: "upstreams",
     bench: "decision_cost",
     measure: "cpu_per_step",
-    sizeOf: (row) => numberIn(row.case, /^(\d+) upstreams, 1000 queued/),
-    average: POOL_SIZE,
-    largest: POOL_SIZE,
+    sizeOf: (row) => parseNumber(row.case, /^(\d+) upstreams, 1000 queued/),
+    averageSize: POOL_SIZE,
+    largestSize: POOL_SIZE,
   },
   {
     role: "pool lead",
     growsWith: "queued requests",
     bench: "decision_cost",
     measure: "cpu_per_step",
-    sizeOf: (row) => numberIn(row.case, /^8 upstreams, (\d+) queued/),
-    average: 1000,
-    largest: 1000,
+    sizeOf: (row) => parseNumber(row.case, /^8 upstreams, (\d+) queued/),
+    averageSize: 1000,
+    largestSize: 1000,
   },
   ...["memory per 1,000 rows", "processor time per edit", "image"].map(
     (measure): Fit => ({
@@ -88,9 +88,9 @@
       growsWith: "rows",
       bench: "control_table",
       measure,
-      sizeOf: (row) => numberIn(row.case, /^(\d+) rows/),
-      average: TABLE_ROWS,
-      largest: TABLE_ROWS,
+      sizeOf: (row) => parseNumber(row.case, /^(\d+) rows/),
+      averageSize: TABLE_ROWS,
+      largestSize: TABLE_ROWS,
     }),
   ),
   ...["bytes per edit and VM", "store calls idle", "edit to in force p99"].map(
@@ -99,9 +99,9 @@
       growsWith: "VMs of 3 regions",
       bench: "control_table",
       measure,
-      sizeOf: (row) => numberIn(row.case, /^(\d+) VMs/),
-      average: VMS_A_REGION * 3,
-      largest: VMS_A_REGION * 3 * LARGEST,
+      sizeOf: (row) => parseNumber(row.case, /^(\d+) VMs/),
+      averageSize: VMS_PER_REGION * 3,
+      largestSize: VMS_PER_REGION * 3 * LARGEST_REGION_FACTOR,
     }),
   ),
   ...[
@@ -115,9 +115,9 @@
     growsWith: "VMs a region",
     bench: "control_members",
     measure,
-    sizeOf: (row) => numberIn(row.case, /^3x(\d+)$/),
-    average: VMS_A_REGION,
-    largest: VMS_A_REGION * LARGEST,
+    sizeOf: (row) => parseNumber(row.case, /^3x(\d+)$/),
+    averageSize: VMS_PER_REGION,
+    largestSize: VMS_PER_REGION * LARGEST_REGION_FACTOR,
   })),
   ...["CPU", "store writes", "added latency p99"].map((measure): Fit => ({
     role: "claim owner",
@@ -125,9 +125,9 @@
     bench: "control_claims",
     policy: "group commit, 60 writes/s",
     measure,
-    sizeOf: (row) => numberIn(row.case, /^(\d+) claims/),
-    average: 300,
-    largest: 300,
+    sizeOf: (row) => parseNumber(row.case, /^(\d+) claims/),
+    averageSize: 300,
+    largestSize: 300,
   })),
 ];
 
@@ -138,34 +138,37 @@
     ? ["pool", "table", "members", "claims", "path"]
     : args[at + 1].split(",");
   const rows: Row[] = [];
-  const take = async (part: string, run: () => Promise<readonly Row[]>) => {
+  const runPart = async (part: string, run: () => Promise<readonly Row[]>) => {
     if (parts.includes(part)) rows.push(...await run());
   };
-  await take("pool", runDecisions);
-  await take("table", () => runTable(["--vms", "6,24,48", "--edits", "100"]));
-  await take("members", () => runMembers(["--cases", "3x2,3x8,3x32,21x4"]));
-  await take("claims", () => runClaims(["--seconds", "3"]));
-  await take("path", () => runPath(["--mode", "paced"]));
-  return [...rows, ...fits.flatMap((fit) => fitted(fit, rows))];
+  await runPart("pool", runDecisions);
+  await runPart(
+    "table",
+    () => runTable(["--vms", "6,24,48", "--edits", "100"]),
+  );
+  await runPart("members", () => runMembers(["--cases", "3x2,3x8,3x32,21x4"]));
+  await runPart("claims", () => runClaims(["--seconds", "3"]));
+  await runPart("path", () => runPath(["--mode", "paced"]));
+  return [...rows, ...FITS.flatMap((fit) => fitRows(fit, rows))];
 }
 
 /** The line through the measured points, read at the target. */
-function fitted(fit: Fit, rows: readonly Row[]): Row[] {
+function fitRows(fit: Fit, rows: readonly Row[]): Row[] {
   const points: [size: number, value: number][] = [];
   let unit = "";
   for (const row of rows) {
-    const isMeant = row.bench === fit.bench && row.measure === fit.measure &&
+    const isMatch = row.bench === fit.bench && row.measure === fit.measure &&
       (fit.policy === undefined || row.policy === fit.policy);
-    const size = isMeant ? fit.sizeOf(row, rows) : undefined;
+    const size = isMatch ? fit.sizeOf(row, rows) : undefined;
     if (size === undefined) continue;
     points.push([size, row.value]);
     unit = row.unit;
   }
   if (points.length < 2) return [];
-  const { slope, offset } = line(points);
+  const { slope, offset } = fitLine(points);
   const sizes = points.map(([size]) => size);
-  const most = Math.max(...sizes);
-  const make = (name: string, value: number, unit: string): Row => ({
+  const maxSize = Math.max(...sizes);
+  const makeRow = (name: string, value: number, unit: string): Row => ({
     bench: "capacity",
     case: `${fit.role}, by ${fit.growsWith}`,
     policy: `measured at ${sizes.map(Math.round).join(", ")}`,
@@ -175,26 +178,28 @@
     seed: 0,
   });
   return [
-    make("slope", slope, `${unit} each`),
-    make("offset", offset, unit),
-    make("at the average", offset + slope * fit.average, unit),
-    make("at the largest", offset + slope * fit.largest, unit),
-    make("extrapolated by", Math.max(1, fit.largest / most), "times"),
+    makeRow("slope", slope, `${unit} each`),
+    makeRow("offset", offset, unit),
+    makeRow("at the average", offset + slope * fit.averageSize, unit),
+    makeRow("at the largest", offset + slope * fit.largestSize, unit),
+    makeRow("extrapolated by", Math.max(1, fit.largestSize / maxSize), "times"),
   ];
 }
 
-function line(points: readonly [number, number][]) {
+function fitLine(points: readonly [number, number][]) {
   const mean = (values: readonly number[]) =>
     values.reduce((sum, value) => sum + value, 0) / values.length;
-  const x = mean(points.map(([size]) => size));
-  const y = mean(points.map(([, value]) => value));
-  const over = mean(points.map(([size, value]) => (size - x) * (value - y)));
-  const under = mean(points.map(([size]) => (size - x) ** 2));
-  const slope = under === 0 ? 0 : over / under;
-  return { slope, offset: y - slope * x };
+  const meanSize = mean(points.map(([size]) => size));
+  const meanValue = mean(points.map(([, value]) => value));
+  const covariance = mean(
+    points.map(([size, value]) => (size - meanSize) * (value - meanValue)),
+  );
+  const variance = mean(points.map(([size]) => (size - meanSize) ** 2));
+  const slope = variance === 0 ? 0 : covariance / variance;
+  return { slope, offset: meanValue - slope * meanSize };
 }
 
-function numberIn(text: string, pattern: RegExp): number | undefined {
+function parseNumber(text: string, pattern: RegExp): number | undefined {
   const match = pattern.exec(text);
   return match ? Number(match[1]) : undefined;
 }
--- a/bench/control_claims.ts
+++ b/bench/control_claims.ts
@@ -28,23 +28,23 @@
   readonly writesPerS: number;
 }
 
-const single = { events: 1, bytes: 262_144 };
-const policies: readonly Policy[] = [
+const SINGLE_CLAIM_BATCH = { events: 1, bytes: 262_144 };
+const POLICIES: readonly Policy[] = [
   { name: "group commit, 60 writes/s", limits: {}, writesPerS: 60 },
   { name: "group commit, 20 writes/s", limits: {}, writesPerS: 20 },
   {
     name: "one write each, 60 writes/s",
-    limits: { batch: single },
+    limits: { batch: SINGLE_CLAIM_BATCH },
     writesPerS: 60,
   },
   {
     name: "one write each, unlimited",
-    limits: { batch: single },
+    limits: { batch: SINGLE_CLAIM_BATCH },
     writesPerS: 1e6,
   },
 ];
 /** One claim in 10 s is as good as idle: what is left is the owner's sign of life. */
-const ratesPerS = [0.1, 30, 100, 300, 1000];
+const RATES_PER_S = [0.1, 30, 100, 300, 1000];
 
 /** The platform runs in a process of its own, so that its CPU and memory are not counted here. */
 class PlatformProcess {
@@ -57,7 +57,7 @@
     });
   }
   /** The URL it listens at, once it does. */
-  async url(): Promise<string> {
+  async waitForUrl(): Promise<string> {
     for await (const line of createInterface({ input: this.#child.stdout! })) {
       const match = /listening (\S+)/.exec(line);
       if (match) return match[1];
@@ -86,7 +86,7 @@
 
 interface Load {
   readonly policy: Policy;
-  readonly perS: number;
+  readonly claimsPerS: number;
   readonly seconds: number;
   readonly seed: number;
 }
@@ -94,10 +94,10 @@
 /** Claims arrive at random times at a mean rate; a third of them is finished at once with a short answer. */
 async function measure(load: Load): Promise<Row[]> {
   const platform = new PlatformProcess();
-  const url = await platform.url();
+  const url = await platform.waitForUrl();
   const store = new CountingStore({ urls: [url], vmId: "bench" });
   const kernel = new Kernel(systemClock, openLog("silent"));
-  const { policy, perS, seed } = load;
+  const { policy, claimsPerS, seed } = load;
   const claims = new ClaimsService({
     me: { id: "bench", incarnation: 1 },
     region: "r",
@@ -111,28 +111,28 @@
   globalThis.gc?.();
   const before = {
     cpu: process.cpuUsage(),
-    heap: process.memoryUsage().heapUsed,
+    heapBytes: process.memoryUsage().heapUsed,
     calls: store.counts().claims,
     bytes: store.writtenBytes,
     monoMs: performance.now(),
   };
-  const taken = await offer(claims, load);
-  const spent = process.cpuUsage(before.cpu);
-  const lastedS = (performance.now() - before.monoMs) / 1000;
+  const offered = await offerClaims(claims, load);
+  const cpuUsed = process.cpuUsage(before.cpu);
+  const elapsedS = (performance.now() - before.monoMs) / 1000;
   const calls = store.counts().claims - before.calls;
-  const bytes = store.writtenBytes - before.bytes;
+  const writtenBytes = store.writtenBytes - before.bytes;
   globalThis.gc?.();
-  const heap = process.memoryUsage().heapUsed - before.heap;
-  const value = await storedBytes(store);
+  const heapBytes = process.memoryUsage().heapUsed - before.heapBytes;
+  const claimBytes = await sumStoredBytes(store);
   await kernel.close(Date.now() + 2000);
   await store.close();
   platform.close();
-  const { granted, latencyMs, refused } = taken;
-  const at = (q: number) =>
+  const { granted, latencyMs, refused } = offered;
+  const latencyAt = (q: number) =>
     latencyMs[Math.min(latencyMs.length - 1, Math.floor(q * latencyMs.length))];
   const row = (measure: string, value: number, unit: string): Row => ({
     bench: "control_claims",
-    case: `${perS} claims/s offered`,
+    case: `${claimsPerS} claims/s offered`,
     policy: policy.name,
     measure,
     value: Math.round(value * 100) / 100,
@@ -140,31 +140,31 @@
     seed,
   });
   return [
-    row("granted", granted / lastedS, "claims/s"),
-    row("refused", refused / lastedS, "claims/s"),
-    row("added latency p50", at(0.5) ?? NaN, "ms"),
-    row("added latency p99", at(0.99) ?? NaN, "ms"),
-    row("store writes", calls / lastedS, "writes/s"),
-    row("written to the store", bytes / lastedS / 1024, "KB/s"),
-    row("written per claim", bytes / granted, "bytes"),
+    row("granted", granted / elapsedS, "claims/s"),
+    row("refused", refused / elapsedS, "claims/s"),
+    row("added latency p50", latencyAt(0.5) ?? NaN, "ms"),
+    row("added latency p99", latencyAt(0.99) ?? NaN, "ms"),
+    row("store writes", calls / elapsedS, "writes/s"),
+    row("written to the store", writtenBytes / elapsedS / 1024, "KB/s"),
+    row("written per claim", writtenBytes / granted, "bytes"),
     row(
       "CPU per claim",
-      (spent.user + spent.system) / (granted + refused),
+      (cpuUsed.user + cpuUsed.system) / (granted + refused),
       "us",
     ),
-    row("CPU", (spent.user + spent.system) / lastedS / 1e4, "% of a core"),
-    row("heap per claim kept", heap / granted, "bytes"),
-    row("stored per claim", value / granted, "bytes"),
+    row("CPU", (cpuUsed.user + cpuUsed.system) / elapsedS / 1e4, "% of a core"),
+    row("heap per claim kept", heapBytes / granted, "bytes"),
+    row("stored per claim", claimBytes / granted, "bytes"),
   ];
 }
 
-async function offer(claims: ClaimsService, load: Load) {
+async function offerClaims(claims: ClaimsService, load: Load) {
   const random = new Random(load.seed);
   const latencyMs: number[] = [];
   const running: Promise<void>[] = [];
   let granted = 0;
   let refused = 0;
-  const one = async (n: number) => {
+  const claimOnce = async (n: number) => {
     const key = { service: "ledger", workspace: `w${n % 50}`, key: `k${n}` };
     const startMs = performance.now();
     const verdict = await claims.ask("claim", {
@@ -190,8 +190,8 @@
   const endMs = performance.now() + load.seconds * 1000;
   let dueMs = performance.now();
   for (let n = 0; performance.now() < endMs; n++) {
-    running.push(one(n));
-    dueMs += random.exponential(1000 / load.perS);
+    running.push(claimOnce(n));
+    dueMs += random.exponential(1000 / load.claimsPerS);
     const waitMs = Math.min(dueMs, endMs) - performance.now();
     if (waitMs > 0) await systemClock.sleep(waitMs);
   }
@@ -201,7 +201,7 @@
 }
 
 /** The bytes that the claims take in the store. */
-async function storedBytes(store: EtcdKeyValue): Promise<number> {
+async function sumStoredBytes(store: EtcdKeyValue): Promise<number> {
   const listed = await store.list("claims/", {}, "other");
   if (listed.isErr()) return NaN;
   return listed.value.entries.reduce(
@@ -210,21 +210,27 @@
   );
 }
 
-function option(args: readonly string[], name: string, value: number): number {
+function parseOption(
+  args: readonly string[],
+  name: string,
+  defaultValue: number,
+): number {
   const at = args.indexOf(name);
-  return at < 0 ? value : Number(args[at + 1]);
+  return at < 0 ? defaultValue : Number(args[at + 1]);
 }
 
 /** Runs all policies at all rates. */
 export const run: Bench = async (args) => {
-  const seconds = option(args, "--seconds", 8);
-  const seed = option(args, "--seed", 1);
-  const only = args[args.indexOf("--policy") + 1 || args.length] ?? "";
+  const seconds = parseOption(args, "--seconds", 8);
+  const seed = parseOption(args, "--seed", 1);
+  const policyFilter = args[args.indexOf("--policy") + 1 || args.length] ?? "";
   const rows: Row[] = [];
-  for (const perS of ratesPerS) {
-    for (const policy of policies) {
-      if (only.length > 0 && !policy.name.includes(only)) continue;
-      rows.push(...await measure({ policy, perS, seconds, seed }));
+  for (const claimsPerS of RATES_PER_S) {
+    for (const policy of POLICIES) {
+      if (policyFilter.length > 0 && !policy.name.includes(policyFilter)) {
+        continue;
+      }
+      rows.push(...await measure({ policy, claimsPerS, seconds, seed }));
     }
   }
   return rows;
--- a/bench/control_claims_faults.ts
+++ b/bench/control_claims_faults.ts
@@ -18,35 +18,35 @@
 import type { Bench, Row } from "./row.ts";
 
 const REGION = "agadir";
-const MOST_MS = 60_000;
+const MAX_WAIT_MS = 60_000;
 
 /** A fault that is brought about at the shard's owner. */
 interface Fault {
   readonly name: string;
-  strike(cluster: Cluster, owner: Vm): Promise<void>;
+  inject(cluster: Cluster, owner: Vm): Promise<void>;
 }
 
-const faults: readonly Fault[] = [
+const FAULTS: readonly Fault[] = [
   {
     name: "owner killed",
-    strike: (_, owner) => Promise.resolve(owner.proc.signal("SIGKILL")),
+    inject: (_, owner) => Promise.resolve(owner.proc.signal("SIGKILL")),
   },
   {
     name: "owner frozen",
-    strike: (_, owner) => Promise.resolve(owner.proc.signal("SIGSTOP")),
+    inject: (_, owner) => Promise.resolve(owner.proc.signal("SIGSTOP")),
   },
   {
     name: "owner stopped in good order",
-    strike: (_, owner) => Promise.resolve(owner.proc.signal("SIGTERM")),
+    inject: (_, owner) => Promise.resolve(owner.proc.signal("SIGTERM")),
   },
   {
     name: "store away",
-    strike: (cluster) => cluster.setPlatformFaults([{ outage: "cut" }]),
+    inject: (cluster) => cluster.setPlatformFaults([{ outage: "cut" }]),
   },
 ];
 
-async function ownerOf(cluster: Cluster): Promise<Vm> {
-  const endMs = Date.now() + MOST_MS;
+async function findOwner(cluster: Cluster): Promise<Vm> {
+  const endMs = Date.now() + MAX_WAIT_MS;
   while (Date.now() < endMs) {
     for (const vm of cluster.vms.values()) {
       const answer = await operator(vm, "GET", "/admin/dump");
@@ -68,12 +68,12 @@
       upstream("ledger-1", "ledger", REGION, ledger.url),
     ]));
     await cluster.startRegions([REGION], 3);
-    const owner = await ownerOf(cluster);
+    const owner = await findOwner(cluster);
     const vm = [...cluster.vms.values()].find((other) => other !== owner)!;
-    await fault.strike(cluster, owner);
+    await fault.inject(cluster, owner);
     const startMs = performance.now();
     let refused = 0;
-    while (performance.now() - startMs < MOST_MS) {
+    while (performance.now() - startMs < MAX_WAIT_MS) {
       const answer = await caller(vm, keyOf(REGION), "/services/ledger/log", {
         body: { run },
         headers: { "idempotency-key": `run-${run}-${refused}` },
@@ -93,15 +93,15 @@
   const at = args.indexOf("--runs");
   const runs = at < 0 ? 3 : Number(args[at + 1]);
   const rows: Row[] = [];
-  for (const fault of faults) {
-    const waits: number[] = [];
+  for (const fault of FAULTS) {
+    const waitsMs: number[] = [];
     let refused = 0;
     for (let n = 0; n < runs; n++) {
-      const one = await measure(fault, n);
-      waits.push(one.waitMs);
-      refused += one.refused;
+      const sample = await measure(fault, n);
+      waitsMs.push(sample.waitMs);
+      refused += sample.refused;
     }
-    waits.sort((a, b) => a - b);
+    waitsMs.sort((a, b) => a - b);
     const row = (measure: string, value: number, unit: string): Row => ({
       bench: "control_claims_faults",
       case: fault.name,
@@ -112,8 +112,8 @@
       seed: 0,
     });
     rows.push(
-      row("wait until served, median", waits[waits.length >> 1], "ms"),
-      row("wait until served, longest", waits[waits.length - 1], "ms"),
+      row("wait until served, median", waitsMs[waitsMs.length >> 1], "ms"),
+      row("wait until served, longest", waitsMs[waitsMs.length - 1], "ms"),
       row("refused before", refused / runs, "calls"),
     );
   }
--- a/bench/control_members.ts
+++ b/bench/control_members.ts
@@ -17,23 +17,23 @@
   untilAgreed,
   type Vm,
 } from "../test/vms.ts";
-import { overAdmission } from "./over_admission.ts";
+import { measureOverAdmission } from "./over_admission.ts";
 import type { Row } from "./row.ts";
 
 const SEED = 1;
 const UPSTREAMS = 40;
 const SLOTS = 8;
 /** Slots that each VM holds while bytes are counted, so that renewals are among them. */
-const HELD_PER_VM = 2;
-const COUNT_MS = 20_000;
+const HELD_SLOTS_PER_VM = 2;
+const MEASURE_MS = 20_000;
 /** Topics that a region publishes beside the pool's own. */
-const PUBLISH_MS = 1000;
-const REPEATS = 5;
+const PUBLISH_INTERVAL_MS = 1000;
+const MAX_CRASHES = 5;
 const REQUESTS = 200;
-const MOST_QUIET_MS = 90_000;
+const MAX_SETTLE_MS = 90_000;
 const DEFAULT_CASES = "over,1x1,3x2,3x8,1x67,21x4,3x32";
 
-interface Shape {
+interface FleetShape {
   readonly name: string;
   readonly regions: number;
   readonly vms: number;
@@ -46,13 +46,13 @@
   const rows: Row[] = [];
   for (const name of names.split(",")) {
     const [regions, vms] = name.split("x").map(Number);
-    if (name === "over") rows.push(...overAdmission());
+    if (name === "over") rows.push(...measureOverAdmission());
     else rows.push(...await measure({ name, regions, vms }));
   }
   return rows;
 }
 
-async function measure(shape: Shape): Promise<Row[]> {
+async function measure(shape: FleetShape): Promise<Row[]> {
   const fleet = await openFleet(shape);
   const row = (measure: string, value: number, unit: string): Row => ({
     bench: "control_members",
@@ -63,16 +63,16 @@
     unit,
     seed: SEED,
   });
-  const rows = await steady(fleet, row);
-  if (shape.vms > 1) rows.push(await requestBytes(fleet[0], row));
-  if (shape.vms > 1) rows.push(...await deaths(fleet, row));
+  const rows = await measureSteady(fleet, row);
+  if (shape.vms > 1) rows.push(await measureRequestBytes(fleet[0], row));
+  if (shape.vms > 1) rows.push(...await measureCrashes(fleet, row));
   await Promise.all(fleet.flat().map((vm) => vm.crash()));
   return rows;
 }
 
 type MakeRow = (measure: string, value: number, unit: string) => Row;
 
-async function openFleet({ regions, vms }: Shape): Promise<Vm[][]> {
+async function openFleet({ regions, vms }: FleetShape): Promise<Vm[][]> {
   const names = Array.from({ length: regions }, (_, n) => `region${n}`);
   const table = planTable(1, names, UPSTREAMS, SLOTS);
   const fleet: Vm[][] = [];
@@ -85,35 +85,39 @@
 }
 
 /** A fleet in which nothing happens but heartbeats, digests and renewals. */
-async function steady(fleet: Vm[][], row: MakeRow): Promise<Row[]> {
+async function measureSteady(fleet: Vm[][], row: MakeRow): Promise<Row[]> {
   const vms = fleet.flat();
-  for (const region of fleet) await hold(region);
-  const publishing = systemClock.every(PUBLISH_MS, () => {
+  for (const region of fleet) await holdSlots(region);
+  const publishTimer = systemClock.every(PUBLISH_INTERVAL_MS, () => {
     for (const [first] of fleet) {
       const body = { atMs: Date.now() };
       void first.members.ask("publish", { topic: "age", body });
     }
   });
-  const settledMs = await quiet(vms);
+  const settledMs = await waitUntilSettled(vms);
   const bytesBefore = vms.map((vm) => vm.transport.bytesByService());
   const cpuBefore = process.cpuUsage();
   const startMs = performance.now();
-  await systemClock.sleep(COUNT_MS);
-  const tookS = (performance.now() - startMs) / 1000;
+  await systemClock.sleep(MEASURE_MS);
+  const elapsedS = (performance.now() - startMs) / 1000;
   const cpu = process.cpuUsage(cpuBefore);
-  const rows = bytesRows(vms, bytesBefore, tookS, row);
+  const rows = makeByteRows(vms, bytesBefore, elapsedS, row);
   rows.push(row("all started to quiet", settledMs, "ms"));
-  const cpuShare = (cpu.user + cpu.system) / 1e6 / tookS / vms.length;
+  const cpuShare = (cpu.user + cpu.system) / 1e6 / elapsedS / vms.length;
   rows.push(row("cpu per VM", 100 * cpuShare, "% of a core"));
   const rssMB = process.memoryUsage().rss / 1e6;
   rows.push(row("memory of the process", rssMB, "MB"));
   rows.push(row("memory per VM", rssMB / vms.length, "MB"));
   if (fleet.length > 1) {
     const leads = vms.filter((vm) => vm.leads().length > 0);
-    rows.push(row("age of far digests at leads", await farAgeMs(leads), "ms"));
-    rows.push(row("age of far digests, any VM", await farAgeMs(vms), "ms"));
+    rows.push(
+      row("age of far digests at leads", await findMaxRemoteAgeMs(leads), "ms"),
+    );
+    rows.push(
+      row("age of far digests, any VM", await findMaxRemoteAgeMs(vms), "ms"),
+    );
   }
-  publishing.close();
+  publishTimer.close();
   return rows;
 }
 
@@ -123,20 +127,20 @@
 }
 
 /** Waits until the news of the start has been passed on; answers with how long that took. */
-async function quiet(vms: readonly Vm[]): Promise<number> {
+async function waitUntilSettled(vms: readonly Vm[]): Promise<number> {
   const startMs = performance.now();
-  const news = (vm: Vm) =>
+  const countNews = (vm: Vm) =>
     (vm.kernel.dump().members as MembersDump).news.members;
   do await systemClock.sleep(1000); while (
-    performance.now() - startMs < MOST_QUIET_MS &&
-    vms.some((vm) => news(vm) > 0)
+    performance.now() - startMs < MAX_SETTLE_MS &&
+    vms.some((vm) => countNews(vm) > 0)
   );
   return performance.now() - startMs;
 }
 
-async function hold(region: readonly Vm[]): Promise<void> {
+async function holdSlots(region: readonly Vm[]): Promise<void> {
   for (const vm of region) {
-    for (let n = 0; n < HELD_PER_VM; n++) {
+    for (let n = 0; n < HELD_SLOTS_PER_VM; n++) {
       const request = planRequest(`${vm.id}-held-${n}`, {
         deadlineMs: Date.now() + 2000,
       });
@@ -145,30 +149,32 @@
   }
 }
 
-function bytesRows(
+function makeByteRows(
   vms: readonly Vm[],
   before: readonly Record<string, { sent: number; received: number }>[],
-  tookS: number,
+  elapsedS: number,
   row: MakeRow,
 ): Row[] {
   const rows: Row[] = [];
-  for (const subject of ["members", "slots"]) {
-    for (const way of ["sent", "received"] as const) {
+  for (const service of ["members", "slots"]) {
+    for (const direction of ["sent", "received"] as const) {
       const rates = vms.map((vm, n) => {
-        const now = vm.transport.bytesByService()[subject]?.[way] ?? 0;
-        return (now - (before[n][subject]?.[way] ?? 0)) / tookS;
+        const now = vm.transport.bytesByService()[service]?.[direction] ?? 0;
+        return (now - (before[n][service]?.[direction] ?? 0)) / elapsedS;
       });
       const mean = rates.reduce((sum, rate) => sum + rate, 0) / rates.length;
-      rows.push(row(`${subject} bytes ${way}, mean VM`, mean, "B/s"));
-      const most = Math.max(...rates);
-      rows.push(row(`${subject} bytes ${way}, most loaded VM`, most, "B/s"));
+      rows.push(row(`${service} bytes ${direction}, mean VM`, mean, "B/s"));
+      const maxRate = Math.max(...rates);
+      rows.push(
+        row(`${service} bytes ${direction}, most loaded VM`, maxRate, "B/s"),
+      );
     }
   }
   return rows;
 }
 
-async function farAgeMs(vms: readonly Vm[]): Promise<number> {
-  let mostMs = 0;
+async function findMaxRemoteAgeMs(vms: readonly Vm[]): Promise<number> {
+  let maxAgeMs = 0;
   for (const vm of vms) {
     const topics = await vm.members.ask("topics", undefined);
     for (const [region, values] of topics) {
@@ -176,20 +182,23 @@
       const age = values.find(({ topic }) => topic === "age");
       if (!age) continue;
       const { atMs } = age.body as { atMs: number };
-      mostMs = Math.max(mostMs, Date.now() - atMs);
+      maxAgeMs = Math.max(maxAgeMs, Date.now() - atMs);
     }
   }
-  return mostMs;
+  return maxAgeMs;
 }
 
 /** What one request costs between an entry VM and a lead that is another: a question, its answer, two reports. */
-async function requestBytes(region: readonly Vm[], row: MakeRow): Promise<Row> {
+async function measureRequestBytes(
+  region: readonly Vm[],
+  row: MakeRow,
+): Promise<Row> {
   const entry = region.find((vm) => vm.leads().length === 0)!;
-  const total = () => {
+  const countSlotBytes = () => {
     const slots = entry.transport.bytesByService().slots;
     return (slots?.sent ?? 0) + (slots?.received ?? 0);
   };
-  const before = total();
+  const before = countSlotBytes();
   for (let n = 0; n < REQUESTS; n++) {
     const request = planRequest(`${entry.id}-request-${n}`);
     const answer = await entry.slots.ask("acquire", request);
@@ -207,57 +216,62 @@
       });
     }
   }
-  return row("bytes a request", (total() - before) / REQUESTS, "B");
+  return row("bytes a request", (countSlotBytes() - before) / REQUESTS, "B");
 }
 
 /** Crashes the lead of the first region's pool several times, while it has VMs left. */
-async function deaths(fleet: Vm[][], row: MakeRow): Promise<Row[]> {
+async function measureCrashes(fleet: Vm[][], row: MakeRow): Promise<Row[]> {
   const [region] = fleet;
-  const foundMs: number[] = [];
+  const detectedMs: number[] = [];
   const replacedMs: number[] = [];
   const pool = `plan/${region[0].region}/0`;
-  let rest = region;
-  for (let n = 0; n < REPEATS && rest.length > 1; n++) {
-    await until("a lead", () => rest.some((vm) => vm.leads().includes(pool)));
-    const lead = rest.find((vm) => vm.leads().includes(pool))!;
-    const others = rest.filter((vm) => vm !== lead);
-    const asker = others[n % others.length];
-    await asker.slots.ask("acquire", planRequest(`before-${n}`));
+  let remaining = region;
+  for (let n = 0; n < MAX_CRASHES && remaining.length > 1; n++) {
+    await until(
+      "a lead",
+      () => remaining.some((vm) => vm.leads().includes(pool)),
+    );
+    const lead = remaining.find((vm) => vm.leads().includes(pool))!;
+    const others = remaining.filter((vm) => vm !== lead);
+    const entry = others[n % others.length];
+    await entry.slots.ask("acquire", planRequest(`before-${n}`));
     await lead.crash();
-    const again = asker.slots.ask("acquire", planRequest(`again-${n}`));
+    const nextGrant = entry.slots.ask("acquire", planRequest(`again-${n}`));
     const crashedMs = performance.now();
     await Promise.all([
-      again.then(() => replacedMs.push(performance.now() - crashedMs)),
-      untilGone(others, lead.id).then(() =>
-        foundMs.push(performance.now() - crashedMs)
+      nextGrant.then(() => replacedMs.push(performance.now() - crashedMs)),
+      waitUntilRemoved(others, lead.id).then(() =>
+        detectedMs.push(performance.now() - crashedMs)
       ),
     ]);
-    rest = others;
+    remaining = others;
   }
-  const frozen = rest.length > 1 ? await freeze(rest) : undefined;
-  const mid = (values: number[]) =>
+  const frozenMs = remaining.length > 1
+    ? await measureFreeze(remaining)
+    : undefined;
+  const median = (values: number[]) =>
     [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)];
   return [
-    row("dead VM found by all, p50", mid(foundMs), "ms"),
-    row("dead VM found by all, max", Math.max(...foundMs), "ms"),
-    row("lead crashed to next grant, p50", mid(replacedMs), "ms"),
+    row("dead VM found by all, p50", median(detectedMs), "ms"),
+    row("dead VM found by all, max", Math.max(...detectedMs), "ms"),
+    row("lead crashed to next grant, p50", median(replacedMs), "ms"),
     row("lead crashed to next grant, max", Math.max(...replacedMs), "ms"),
-    ...(frozen === undefined
+    ...(frozenMs === undefined
       ? []
-      : [row("frozen VM found by all, once", frozen, "ms")]),
+      : [row("frozen VM found by all, once", frozenMs, "ms")]),
   ];
 }
 
 /** A VM whose links stay open and carry nothing; answers with how long the others take to find it. */
-async function freeze(vms: readonly Vm[]): Promise<number> {
+async function measureFreeze(vms: readonly Vm[]): Promise<number> {
   const [frozen, ...others] = vms;
   const startMs = performance.now();
   frozen.transport.faults.set("frozen", { peer: {}, cut: true });
-  await untilGone(others, frozen.id);
+  await waitUntilRemoved(others, frozen.id);
   return performance.now() - startMs;
 }
 
-function untilGone(vms: readonly Vm[], id: string): Promise<void> {
+function waitUntilRemoved(vms: readonly Vm[], id: string): Promise<void> {
   return until(`${id} is gone`, async () => {
     for (const vm of vms) if ((await vm.sees()).has(id)) return false;
     return true;
--- a/bench/control_table.ts
+++ b/bench/control_table.ts
@@ -30,48 +30,48 @@
 
 const SEED = 1;
 const REGIONS = ["casablanca", "marrakech", "agadir"];
-const SIZES = [1000, 4500, 15_000, 30_000];
+const TABLE_SIZES = [1000, 4500, 15_000, 30_000];
 const IDLE_MS = 10_000;
 /** Between two edits: many times the target's average of 0.75 a second. */
-const PAUSE_MS = 20;
-const RACE_EDITS = 5;
+const EDIT_PAUSE_MS = 20;
+const RACE_EDITS_PER_VM = 5;
 /** Enough to include the merges of the layers of a table. */
-const MEASURED_EDITS = 1024;
+const APPLIED_EDITS = 1024;
 const OUTAGE_MS = 5000;
-const FAULT_EDITS = 10;
+const CUT_EDITS = 10;
 
 /** Runs all parts. */
 export async function run(args: readonly string[]): Promise<Row[]> {
-  const fleets = option(args, "--vms", "6,24").split(",").map(Number);
-  const edits = Number(option(args, "--edits", "200"));
+  const fleets = parseOption(args, "--vms", "6,24").split(",").map(Number);
+  const edits = Number(parseOption(args, "--edits", "200"));
   const rows: Row[] = [];
-  for (const size of SIZES) rows.push(...measureSize(size));
+  for (const size of TABLE_SIZES) rows.push(...measureSize(size));
   for (const vms of fleets) rows.push(...await measureFleet(vms, edits));
   return rows;
 }
 
-function option(
+function parseOption(
   args: readonly string[],
   name: string,
-  otherwise: string,
+  defaultValue: string,
 ): string {
-  const place = args.indexOf(name);
-  return place < 0 ? otherwise : args[place + 1];
+  const index = args.indexOf(name);
+  return index < 0 ? defaultValue : args[index + 1];
 }
 
 async function measureFleet(count: number, edits: number): Promise<Row[]> {
-  const row = rowsOf(`${count} VMs in ${REGIONS.length} regions`);
+  const row = createRowMaker(`${count} VMs in ${REGIONS.length} regions`);
   const platform = await openPlatform();
   const perRegion = count / REGIONS.length;
   const vms = await openTableVms(platform.url, REGIONS, perRegion);
   try {
     await vms[0].put(...REGIONS.map((id) => regionRowOf(id)));
-    await settle(platform, vms);
+    await waitUntilSettled(platform, vms);
     const idle = await measureIdle(platform);
     const watches = platform.store.watchCount / REGIONS.length;
     const busy = await measureEdits(platform, vms, edits);
     const race = await measureRace(platform, vms);
-    const back = await measureReturn(platform, vms);
+    const recovery = await measureStoreRecovery(platform, vms);
     const cutMs = await measureCutRegion(platform, vms);
     const crashMs = [
       await measureCrash(vms, REGIONS[2]),
@@ -92,7 +92,7 @@
       row("race: accepted", race.perS, "edits/s"),
       row("race: store writes per edit", race.writesPerEdit, "calls"),
       row("race: refused", race.refused, "edits"),
-      row("store back: edit to in force", back.inForceMs, "ms"),
+      row("store back: edit to in force", recovery.inForceMs, "ms"),
       row("region cut from store: in force p50", percentile(cutMs, 0.5), "ms"),
       row("region cut from store: in force max", percentile(cutMs, 1), "ms"),
       row(
@@ -100,7 +100,7 @@
         Math.max(...crashMs),
         "ms",
       ),
-      row("store back: most calls in 100 ms", back.mostCalls, "calls"),
+      row("store back: most calls in 100 ms", recovery.maxCalls, "calls"),
     ];
   } finally {
     for (const vm of vms) await vm.crash();
@@ -109,16 +109,21 @@
 }
 
 /** Waits until all VMs know their region and its watchers watch. */
-async function settle(platform: Platform, vms: TableVm[]): Promise<void> {
+async function waitUntilSettled(
+  platform: Platform,
+  vms: TableVm[],
+): Promise<void> {
   const perRegion = vms.length / REGIONS.length;
   const watches = Math.min(2, perRegion) * REGIONS.length;
   for (;;) {
     const known = await Promise.all(
       vms.map((vm) => vm.table.fleet.regionVms()),
     );
-    const whole = known.every((region) => region.length === perRegion);
-    const inForce = vms.every((vm) => vm.version >= 1);
-    if (whole && inForce && platform.store.watchCount === watches) return;
+    const isComplete = known.every((region) => region.length === perRegion);
+    const isInForce = vms.every((vm) => vm.version >= 1);
+    if (isComplete && isInForce && platform.store.watchCount === watches) {
+      return;
+    }
     await sleep(50);
   }
 }
@@ -137,8 +142,8 @@
 ) {
   const random = new Random(SEED);
   const before = { ...platform.counts };
-  const bytesBefore = tableBytes(vms);
-  const pullsBefore = pullsOf(vms);
+  const bytesBefore = sumTableBytes(vms);
+  const pullsBefore = countPulls(vms);
   const acceptedMs: number[] = [];
   const inForceMs: number[] = [];
   for (let i = 0; i < edits; i++) {
@@ -150,15 +155,15 @@
     const { version } = edit._unsafeUnwrap();
     while (!vms.every((vm) => vm.version >= version)) await sleep(1);
     inForceMs.push(performance.now() - startMs);
-    await sleep(PAUSE_MS);
+    await sleep(EDIT_PAUSE_MS);
   }
   return {
     acceptedMs,
     inForceMs,
     writes: platform.counts.writes - before.writes,
     reads: platform.counts.reads - before.reads,
-    bytes: tableBytes(vms) - bytesBefore,
-    pulls: pullsOf(vms) - pullsBefore,
+    bytes: sumTableBytes(vms) - bytesBefore,
+    pulls: countPulls(vms) - pullsBefore,
   };
 }
 
@@ -168,33 +173,36 @@
   const startMs = performance.now();
   const results = await Promise.all(
     vms.flatMap((vm, i) =>
-      Array.from({ length: RACE_EDITS }, (_, n) => {
+      Array.from({ length: RACE_EDITS_PER_VM }, (_, n) => {
         const row = regionRowOf(`race-${i}`, n + 2);
         return vm.edit([{ type: "put", row: rowOf(row) }], 60_000);
       })
     ),
   );
-  const tookS = (performance.now() - startMs) / 1000;
-  const accepted = results.filter((it) => it.isOk()).length;
+  const elapsedS = (performance.now() - startMs) / 1000;
+  const accepted = results.filter((result) => result.isOk()).length;
   return {
-    perS: accepted / tookS,
+    perS: accepted / elapsedS,
     writesPerEdit: (platform.counts.writes - writesBefore) / accepted,
     refused: results.length - accepted,
   };
 }
 
 /** The store is away for a while; an edit is tried again until it is accepted after the store's return. */
-async function measureReturn(platform: Platform, vms: readonly TableVm[]) {
+async function measureStoreRecovery(
+  platform: Platform,
+  vms: readonly TableVm[],
+) {
   platform.faults.set([{ outage: "refuse" }]);
   await sleep(OUTAGE_MS);
-  const calls = () => platform.counts.reads + platform.counts.writes;
+  const countCalls = () => platform.counts.reads + platform.counts.writes;
   platform.faults.clear();
   const startMs = performance.now();
-  let mostCalls = 0;
-  let lastCalls = calls();
+  let maxCalls = 0;
+  let lastCalls = countCalls();
   const sampler = setInterval(() => {
-    mostCalls = Math.max(mostCalls, calls() - lastCalls);
-    lastCalls = calls();
+    maxCalls = Math.max(maxCalls, countCalls() - lastCalls);
+    lastCalls = countCalls();
   }, 100);
   const edit = await vms[0].put(regionRowOf(REGIONS[0], 77));
   const { version } = edit._unsafeUnwrap();
@@ -202,7 +210,7 @@
   const inForceMs = performance.now() - startMs;
   await sleep(OUTAGE_MS);
   clearInterval(sampler);
-  return { inForceMs, mostCalls };
+  return { inForceMs, maxCalls };
 }
 
 /** One region cannot reach the store; edits are made in the others. */
@@ -210,7 +218,7 @@
   platform.faults.set([{ vm: `^${REGIONS[2]}-`, outage: "cut" }]);
   await sleep(OUTAGE_MS);
   const inForceMs: number[] = [];
-  for (let i = 0; i < FAULT_EDITS; i++) {
+  for (let i = 0; i < CUT_EDITS; i++) {
     inForceMs.push(await timeEdit(vms[0], vms, 100 + i));
     await sleep(100 * i);
   }
@@ -222,10 +230,12 @@
 /** Both watchers of a region crash, and an edit is made at once. */
 async function measureCrash(vms: readonly TableVm[], region: string) {
   const live = vms.filter((vm) => !vm.closed);
-  const lost = live.filter((vm) => vm.region === region && vm.dump().watching);
-  await Promise.all(lost.map((vm) => vm.crash()));
-  const rest = live.filter((vm) => !lost.includes(vm));
-  return await timeEdit(vms[0], rest, Math.round(performance.now()));
+  const crashed = live.filter((vm) =>
+    vm.region === region && vm.dump().watching
+  );
+  await Promise.all(crashed.map((vm) => vm.crash()));
+  const remaining = live.filter((vm) => !crashed.includes(vm));
+  return await timeEdit(vms[0], remaining, Math.round(performance.now()));
 }
 
 async function timeEdit(
@@ -240,28 +250,28 @@
   return performance.now() - startMs;
 }
 
-function tableBytes(vms: readonly TableVm[]): number {
+function sumTableBytes(vms: readonly TableVm[]): number {
   return vms.reduce((sum, vm) => {
     const table = vm.transport.bytesByService().table;
     return sum + (table?.sent ?? 0);
   }, 0);
 }
 
-function pullsOf(vms: readonly TableVm[]): number {
+function countPulls(vms: readonly TableVm[]): number {
   return vms.reduce((sum, vm) => sum + Number(vm.dump().pulls), 0);
 }
 
 /** Memory and processor time of one VM's table, by its number of rows. */
 function measureSize(size: number): Row[] {
-  const row = rowsOf(`${size} rows`);
-  collect();
+  const row = createRowMaker(`${size} rows`);
+  collectGarbage();
   const heapBefore = process.memoryUsage().heapUsed;
   const log = new TableLog();
   const recent: never[] = [];
-  log.load({ table: tableOfSize(size), lastId: "e1", recent });
-  collect();
+  log.load({ table: buildTable(size), lastId: "e1", recent });
+  collectGarbage();
   const heapBytes = process.memoryUsage().heapUsed - heapBefore;
-  const applyUs = measureApply(log, size);
+  const applyUs = measureApplyUs(log, size);
   const pages = splitImage(log.image());
   const texts = pages.map((page) => JSON.stringify(page));
   const startMs = performance.now();
@@ -277,17 +287,17 @@
   ];
 }
 
-function measureApply(log: TableLog, size: number): number {
+function measureApplyUs(log: TableLog, size: number): number {
   const edits: string[] = [];
   const { version } = log.table;
-  for (let i = 0; i < MEASURED_EDITS; i++) {
+  for (let i = 0; i < APPLIED_EDITS; i++) {
     const edit: LoggedEdit = {
       version: version + i + 1,
       id: `bench-${i}`,
       prevId: i === 0 ? log.lastId : `bench-${i - 1}`,
       author: "bench",
       atMs: 0,
-      changes: [{ type: "put", row: workspaceOf(i % size, i) }],
+      changes: [{ type: "put", row: workspaceRow(i % size, i) }],
     };
     edits.push(JSON.stringify(edit));
   }
@@ -296,34 +306,34 @@
   return ((performance.now() - startMs) / edits.length) * 1000;
 }
 
-function tableOfSize(size: number): Table {
+function buildTable(size: number): Table {
   const rows = Array.from({ length: size }, (_, i) => ({
-    row: workspaceOf(i, 1),
+    row: workspaceRow(i, 1),
     version: 1,
   }));
   return Table.of(1, rows);
 }
 
-function workspaceOf(place: number, weight: number): TableRow {
+function workspaceRow(index: number, weight: number): TableRow {
   return tableRow.parse({
     kind: "workspace",
-    id: `workspace-${place}`,
-    home: REGIONS[place % REGIONS.length],
+    id: `workspace-${index}`,
+    home: REGIONS[index % REGIONS.length],
     weight,
-    keyDigests: [String(place).padStart(64, "0")],
+    keyDigests: [String(index).padStart(64, "0")],
     requestsPerS: 100,
     tokensPerS: 10_000,
   });
 }
 
-function collect(): void {
+function collectGarbage(): void {
   setFlagsFromString("--expose-gc");
   const gc = runInNewContext("gc") as () => void;
   gc();
   gc();
 }
 
-function rowsOf(name: string) {
+function createRowMaker(name: string) {
   return (measure: string, value: number, unit: string): Row => ({
     bench: "control_table",
     case: name,
@@ -337,8 +347,8 @@
 
 function percentile(values: readonly number[], share: number): number {
   const sorted = [...values].sort((a, b) => a - b);
-  const place = Math.ceil(sorted.length * share) - 1;
-  return sorted[Math.max(0, place)];
+  const index = Math.ceil(sorted.length * share) - 1;
+  return sorted[Math.max(0, index)];
 }
 
 function sleep(delayMs: number): Promise<void> {
--- a/bench/decision_cost.ts
+++ b/bench/decision_cost.ts
@@ -6,47 +6,51 @@
 
 import { Pool, type SlotRequest } from "../src/decisions/mod.ts";
 import { Random } from "../src/base/mod.ts";
-import { rounded } from "./measures.ts";
+import { roundTo4Digits } from "./measures.ts";
 import type { Row } from "./row.ts";
-import { nameOf, tableOf } from "./tables.ts";
+import { buildTable, workspaceName } from "./tables.ts";
 
 const SEED = 7;
 const STEPS = 4000;
 const WORKSPACES = Array.from({ length: 50 }, (_, i) => `w${i}`);
 
 /** A pool whose upstreams are full and whose queue has this many requests. */
-class Loaded {
+class LoadedPool {
   readonly #pool = new Pool({ service: "plan", region: "agadir", seed: SEED });
   readonly #random = new Random(SEED);
-  readonly #granted: string[] = [];
-  #count = 0;
+  readonly #grantedIds: string[] = [];
+  #requestCount = 0;
   #nowMs = 10_000;
 
   constructor(upstreams: number, queued: number) {
-    const table = tableOf({
+    const table = buildTable({
       regions: ["agadir"],
-      runners: upstreams,
+      upstreamsPerRegion: upstreams,
       objective: {},
       workspaces: WORKSPACES,
-      shifts: false,
+      canShift: false,
       queueLimit: 10_000_000,
     });
     const rows = table.upstreams("plan", "agadir");
     this.#pool.configure(table, rows, 0);
-    const full = upstreams * 16;
-    for (let i = 0; i < full * 2 && this.#granted.length < full; i++) {
-      this.#ask();
+    const totalSlots = upstreams * 16;
+    for (
+      let i = 0;
+      i < totalSlots * 2 && this.#grantedIds.length < totalSlots;
+      i++
+    ) {
+      this.#sendRequest();
       if (i % upstreams === 0) this.#tick();
     }
-    for (let i = 0; i < queued; i++) this.#ask();
+    for (let i = 0; i < queued; i++) this.#sendRequest();
   }
 
   /** One request comes and one answer ends. */
   step(): void {
-    this.#ask();
-    const attemptId = this.#granted.shift();
+    this.#sendRequest();
+    const attemptId = this.#grantedIds.shift();
     if (attemptId === undefined) return;
-    this.#keep(this.#pool.report({
+    this.#recordGrants(this.#pool.report({
       attemptId,
       service: "plan",
       upstreamId: "",
@@ -59,17 +63,17 @@
 
   #tick(): void {
     this.#nowMs += 50;
-    this.#keep(this.#pool.tick(this.#nowMs));
+    this.#recordGrants(this.#pool.tick(this.#nowMs));
   }
 
-  #ask(): void {
+  #sendRequest(): void {
     this.#nowMs += 0.05;
     const workspace = this.#random.pick(WORKSPACES);
     const document = this.#random.int(200) * 1000;
     const request: SlotRequest = {
-      attemptId: `a${this.#count++}`,
+      attemptId: `a${this.#requestCount++}`,
       service: "plan",
-      workspace: nameOf("agadir", workspace, true),
+      workspace: workspaceName("agadir", workspace, true),
       priority: 0,
       arrivedAtMs: this.#nowMs,
       deadlineMs: this.#nowMs + 1e9,
@@ -79,23 +83,25 @@
       exclude: [],
       tableVersion: 1,
     };
-    this.#keep(this.#pool.request(request, this.#nowMs));
+    this.#recordGrants(this.#pool.request(request, this.#nowMs));
   }
 
-  #keep(outputs: ReturnType<Pool["tick"]>): void {
+  #recordGrants(outputs: ReturnType<Pool["tick"]>): void {
     for (const output of outputs) {
       if (output.type !== "answer") continue;
-      if (output.answer.type === "grant") this.#granted.push(output.attemptId);
+      if (output.answer.type === "grant") {
+        this.#grantedIds.push(output.attemptId);
+      }
     }
   }
 }
 
-function microsPerStep(upstreams: number, queued: number): number {
-  const loaded = new Loaded(upstreams, queued);
-  for (let i = 0; i < STEPS / 4; i++) loaded.step();
-  const from = process.cpuUsage();
-  for (let i = 0; i < STEPS; i++) loaded.step();
-  const used = process.cpuUsage(from);
+function measureStepUs(upstreams: number, queued: number): number {
+  const pool = new LoadedPool(upstreams, queued);
+  for (let i = 0; i < STEPS / 4; i++) pool.step();
+  const cpuBefore = process.cpuUsage();
+  for (let i = 0; i < STEPS; i++) pool.step();
+  const used = process.cpuUsage(cpuBefore);
   return (used.user + used.system) / STEPS;
 }
 
@@ -103,7 +109,7 @@
 export function run(): Promise<readonly Row[]> {
   const rows: Row[] = [];
   // The first run compiles the code and is not counted.
-  microsPerStep(8, 1000);
+  measureStepUs(8, 1000);
   const sizes = [[8, 10], [8, 1000], [8, 100_000], [64, 1000], [512, 1000]];
   for (const [upstreams, queued] of sizes) {
     rows.push({
@@ -111,7 +117,7 @@
       case: `${upstreams} upstreams, ${queued} queued`,
       policy: "lead",
       measure: "cpu_per_step",
-      value: rounded(microsPerStep(upstreams, queued)),
+      value: roundTo4Digits(measureStepUs(upstreams, queued)),
       unit: "us",
       seed: SEED,
     });
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -7,14 +7,14 @@
 
 import { Engine } from "./engine.ts";
 import {
-  firstTokens,
-  goodWorkPerS,
-  inTime,
-  jain,
+  goodputPerS,
+  isInTime,
+  jainIndex,
   mean,
   percentile,
-  rounded,
+  roundTo4Digits,
   share,
+  sortedFirstTokenMs,
   workOf,
 } from "./measures.ts";
 import {
@@ -30,30 +30,30 @@
 import type { Row } from "./row.ts";
 import { Sim } from "./sim.ts";
 import {
+  buildCases,
+  buildMix,
+  buildNightCases,
+  buildRegionCases,
   type Case,
-  cases,
-  DAY_AT_MS,
-  mix,
-  nightCases,
-  REGION_RUNNERS,
-  regionCases,
+  DAY_START_MS,
+  MULTI_REGION_UPSTREAMS,
   WORKSPACES,
 } from "./decision_cases.ts";
-import { tableOf } from "./tables.ts";
-import { type Ask, generate } from "./workload.ts";
+import { buildTable } from "./tables.ts";
+import { generate, type WorkloadRequest } from "./workload.ts";
 import { World } from "./world.ts";
 
 const SEED = 7;
 const WARMUP_MS = 10_000;
 const END_MS = 60_000;
 const DRAIN_MS = 15_000;
-const RUNNERS = 13;
+const SINGLE_REGION_UPSTREAMS = 13;
 const CACHE_BLOCKS = 600;
 const USAGE_SHARE = 0.8;
 
-type Maker = (context: PolicyContext) => Policy;
+type CreatePolicy = (context: PolicyContext) => Policy;
 
-const POLICIES: Readonly<Record<string, Maker>> = {
+const POLICIES: Readonly<Record<string, CreatePolicy>> = {
   "round-robin": (c) => new RoundRobin(c),
   "least-requests": (c) => new LeastRequests(c),
   "power-of-two": (c) => new PowerOfTwo(c),
@@ -62,79 +62,87 @@
   "oracle": (c) => new Oracle(c),
 };
 
-function rowsOf(
+function makeRows(
   spec: Case,
   policy: string,
   worlds: readonly World[],
 ): Row[] {
-  const counted = worlds.flatMap((world) => world.outcomes)
-    .filter((o) => o.ask.atMs >= WARMUP_MS);
-  const all = firstTokens(counted);
-  const short = firstTokens(counted.filter((o) => o.ask.type === "short"));
-  const long = firstTokens(counted.filter((o) => o.ask.type === "long"));
+  const outcomes = worlds.flatMap((world) => world.outcomes)
+    .filter((o) => o.request.atMs >= WARMUP_MS);
+  const allMs = sortedFirstTokenMs(outcomes);
+  const shortMs = sortedFirstTokenMs(
+    outcomes.filter((o) => o.request.type === "short"),
+  );
+  const longMs = sortedFirstTokenMs(
+    outcomes.filter((o) => o.request.type === "long"),
+  );
   const seconds = worlds.length * (END_MS - WARMUP_MS) / 1000;
   const perWorkspace = new Map<string, number>();
-  for (const o of counted.filter(inTime)) {
-    const { workspace } = o.ask;
+  for (const o of outcomes.filter(isInTime)) {
+    const { workspace } = o.request;
     perWorkspace.set(workspace, (perWorkspace.get(workspace) ?? 0) + workOf(o));
   }
   const measures: Record<string, [number, string]> = {
-    first_p50: [percentile(all, 0.5), "ms"],
-    first_p95: [percentile(all, 0.95), "ms"],
-    first_p99: [percentile(all, 0.99), "ms"],
-    short_p99: [percentile(short, 0.99), "ms"],
-    long_p99: [percentile(long, 0.99), "ms"],
-    in_time: [share(counted, inTime), "share"],
+    first_p50: [percentile(allMs, 0.5), "ms"],
+    first_p95: [percentile(allMs, 0.95), "ms"],
+    first_p99: [percentile(allMs, 0.99), "ms"],
+    short_p99: [percentile(shortMs, 0.99), "ms"],
+    long_p99: [percentile(longMs, 0.99), "ms"],
+    in_time: [share(outcomes, isInTime), "share"],
     short_in_time: [
-      share(counted.filter((o) => o.ask.type === "short"), inTime),
+      share(outcomes.filter((o) => o.request.type === "short"), isInTime),
       "share",
     ],
-    good_work: [goodWorkPerS(counted, seconds), "tokens/s"],
-    refused: [share(counted, (o) => o.result === "refused"), "share"],
-    late: [share(counted, (o) => o.result === "late"), "share"],
+    good_work: [goodputPerS(outcomes, seconds), "tokens/s"],
+    refused: [share(outcomes, (o) => o.result === "refused"), "share"],
+    late: [share(outcomes, (o) => o.result === "late"), "share"],
     refusal_p99: [
       percentile(
-        counted.flatMap((o) => o.refusedAfterMs ?? []).sort((a, b) => a - b),
+        outcomes.flatMap((o) => o.refusedAfterMs ?? []).sort((a, b) => a - b),
         0.99,
       ),
       "ms",
     ],
     sent_away: [
       share(
-        counted,
-        (o) => o.servedIn !== undefined && o.servedIn !== o.ask.region,
+        outcomes,
+        (o) => o.servedIn !== undefined && o.servedIn !== o.request.region,
       ),
       "share",
     ],
     warm: [
-      counted.reduce((sum, o) => sum + o.warmTokens, 0) /
-      counted.reduce((sum, o) => sum + o.ask.promptTokens, 0),
+      outcomes.reduce((sum, o) => sum + o.cachedTokens, 0) /
+      outcomes.reduce((sum, o) => sum + o.request.promptTokens, 0),
       "share",
     ],
     refused_queued: [
-      share(counted, (o) => o.code === "expiredInQueue"),
+      share(outcomes, (o) => o.code === "expiredInQueue"),
       "share",
     ],
     good_requests: [
-      counted.filter(inTime).length / seconds,
+      outcomes.filter(isInTime).length / seconds,
       "1/s",
     ],
-    jain: [jain([...perWorkspace.values()]), ""],
+    jain: [jainIndex([...perWorkspace.values()]), ""],
     upstream_hours: [
       mean(worlds.map((world) => world.upstreamHours(WARMUP_MS, END_MS))),
       "h",
     ],
     night_hours: [
-      mean(worlds.map((world) => world.upstreamHours(WARMUP_MS, DAY_AT_MS))),
+      mean(worlds.map((world) => world.upstreamHours(WARMUP_MS, DAY_START_MS))),
       "h",
     ],
     broken_promises: [
-      worlds.flatMap((world) => [...world.broken.values()])
+      worlds.flatMap((world) => [...world.violations.values()])
         .reduce((a, b) => a + b, 0),
       "",
     ],
   };
-  for (const [measure, value] of Object.entries(spec.more?.(counted) ?? {})) {
+  for (
+    const [measure, value] of Object.entries(
+      spec.measureExtra?.(outcomes) ?? {},
+    )
+  ) {
     measures[measure] = [value, ""];
   }
   return Object.entries(measures)
@@ -144,21 +152,21 @@
       case: spec.name,
       policy,
       measure,
-      value: rounded(value),
+      value: roundTo4Digits(value),
       unit,
       seed: SEED,
     }));
 }
 
-function worldsOf(spec: Case, policy: string): World[] {
+function runWorlds(spec: Case, policy: string): World[] {
   const regions = spec.regions ?? ["agadir"];
-  const onlyLatency = policy.endsWith("latency-only");
-  const table = tableOf({
+  const isLatencyOnly = policy.endsWith("latency-only");
+  const table = buildTable({
     regions,
-    runners: spec.runners ?? RUNNERS,
+    upstreamsPerRegion: spec.upstreamsPerRegion ?? SINGLE_REGION_UPSTREAMS,
     objective: spec.objective ?? {},
     workspaces: WORKSPACES,
-    shifts: !onlyLatency,
+    canShift: !isLatencyOnly,
   });
   const seeds = Array.from({ length: spec.seeds ?? 1 }, (_, i) => SEED + i);
   return seeds.map((seed) => {
@@ -171,33 +179,35 @@
       seed,
       cacheBlocks: CACHE_BLOCKS,
       usageShare: USAGE_SHARE,
-      policy: POLICIES[policy.replace(" latency-only", "")],
-      onlyLatency,
+      createPolicy: POLICIES[policy.replace(" latency-only", "")],
+      isLatencyOnly,
     });
-    spec.during?.(world);
-    const asks = generate(spec.streams, END_MS, seed);
-    world.run(asks, END_MS + DRAIN_MS);
+    spec.schedule?.(world);
+    const requests = generate(spec.streams, END_MS, seed);
+    world.run(requests, END_MS + DRAIN_MS);
     return world;
   });
 }
 
 function runCase(spec: Case): Row[] {
   const policies = spec.policies ?? Object.keys(POLICIES);
-  return policies.flatMap((name) => rowsOf(spec, name, worldsOf(spec, name)));
+  return policies.flatMap((name) =>
+    makeRows(spec, name, runWorlds(spec, name))
+  );
 }
 
 interface Capacity {
-  readonly perS: number;
+  readonly requestsPerS: number;
   readonly workPerS: number;
-  readonly warm: number;
+  readonly cachedShare: number;
 }
 
 /** Work and requests a second of one always full pool, each document at a home of its own. */
-function capacity(runners: number): Capacity {
+function measureCapacity(upstreams: number): Capacity {
   const sim = new Sim();
-  const asks = generate(mix("agadir", () => 500), END_MS, SEED);
+  const requests = generate(buildMix("agadir", () => 500), END_MS, SEED);
   const engines = Array.from(
-    { length: runners },
+    { length: upstreams },
     (_, i) =>
       new Engine(sim, {
         id: `e${i}`,
@@ -209,32 +219,33 @@
   );
   let done = 0;
   let work = 0;
-  let warm = 0;
-  let prompt = 0;
-  const queues: Ask[][] = engines.map(() => []);
-  for (const ask of asks) {
-    queues[(ask.prefixHashes[0] ?? 0) % runners].push(ask);
+  let cachedTokens = 0;
+  let promptTokens = 0;
+  const queues: WorkloadRequest[][] = engines.map(() => []);
+  for (const request of requests) {
+    queues[(request.prefixHashes[0] ?? 0) % upstreams].push(request);
   }
-  const longest = () => queues.reduce((a, b) => (a.length > b.length ? a : b));
+  const longestQueue = () =>
+    queues.reduce((a, b) => (a.length > b.length ? a : b));
   const feed = (engine: Engine, i: number): void => {
     while (engine.running + engine.waiting < 16) {
-      const ask = queues[i].shift() ?? longest().shift();
-      if (!ask) return;
+      const request = queues[i].shift() ?? longestQueue().shift();
+      if (!request) return;
       engine.submit({
-        id: ask.id,
-        promptTokens: ask.promptTokens,
-        outputTokens: ask.outputTokens,
-        prefixHashes: ask.prefixHashes,
+        id: request.id,
+        promptTokens: request.promptTokens,
+        outputTokens: request.outputTokens,
+        prefixHashes: request.prefixHashes,
         priority: 0,
-        onFirst: (cached) => {
-          warm += cached;
-          prompt += ask.promptTokens;
+        onFirstToken: (cached) => {
+          cachedTokens += cached;
+          promptTokens += request.promptTokens;
         },
         onFail: () => {},
         onDone: () => {
           if (sim.nowMs >= WARMUP_MS) {
             done++;
-            work += ask.promptTokens + 5 * ask.outputTokens;
+            work += request.promptTokens + 5 * request.outputTokens;
           }
           feed(engine, i);
         },
@@ -245,45 +256,63 @@
   sim.runUntil(END_MS);
   const seconds = (END_MS - WARMUP_MS) / 1000;
   return {
-    perS: done / seconds,
+    requestsPerS: done / seconds,
     workPerS: work / seconds,
-    warm: warm / prompt,
+    cachedShare: cachedTokens / promptTokens,
   };
 }
 
 /** See the module. `--case NAME` runs one case, `--policy NAME` one policy. */
 export function run(args: readonly string[]): Promise<readonly Row[]> {
-  const only = after(args, "--case");
-  const policy = after(args, "--policy");
-  const { perS, workPerS, warm } = capacity(RUNNERS);
+  const onlyCase = optionValue(args, "--case");
+  const onlyPolicy = optionValue(args, "--policy");
+  const { requestsPerS, workPerS, cachedShare } = measureCapacity(
+    SINGLE_REGION_UPSTREAMS,
+  );
   const rows: Row[] = [
-    figure("capacity", "requests", perS, "1/s"),
-    figure("capacity", "work", workPerS, "tokens/s"),
-    figure("capacity", "warm", warm, "share"),
+    capacityRow("capacity", "requests", requestsPerS, "1/s"),
+    capacityRow("capacity", "work", workPerS, "tokens/s"),
+    capacityRow("capacity", "warm", cachedShare, "share"),
+  ];
+  const region = measureCapacity(MULTI_REGION_UPSTREAMS);
+  const night = buildNightCases((upstreams) =>
+    measureCapacity(upstreams).requestsPerS
+  );
+  const all = [
+    ...buildCases(requestsPerS),
+    ...buildRegionCases(region.requestsPerS),
+    ...night,
   ];
-  const region = capacity(REGION_RUNNERS);
-  const night = nightCases((runners) => capacity(runners).perS);
-  const all = [...cases(perS), ...regionCases(region.perS), ...night];
   for (const spec of all) {
-    if (only && spec.name !== only) continue;
-    rows.push(...runCase(policy ? { ...spec, policies: [policy] } : spec));
+    if (onlyCase && spec.name !== onlyCase) continue;
+    rows.push(
+      ...runCase(onlyPolicy ? { ...spec, policies: [onlyPolicy] } : spec),
+    );
   }
   return Promise.resolve(rows);
 }
 
-function figure(name: string, measure: string, value: number, unit: string) {
+function capacityRow(
+  name: string,
+  measure: string,
+  value: number,
+  unit: string,
+) {
   return {
     bench: "decisions",
     case: name,
     policy: "-",
     measure,
-    value: rounded(value),
+    value: roundTo4Digits(value),
     unit,
     seed: SEED,
   };
 }
 
-function after(args: readonly string[], flag: string): string | undefined {
+function optionValue(
+  args: readonly string[],
+  flag: string,
+): string | undefined {
   const index = args.indexOf(flag);
   return index < 0 ? undefined : args[index + 1];
 }
--- a/bench/engine.ts
+++ b/bench/engine.ts
@@ -8,7 +8,7 @@
 import type { Sim } from "./sim.ts";
 
 /** Tokens a step may take: prefill chunks get what the running answers leave. */
-const STEP_TOKENS = 512;
+const MAX_STEP_TOKENS = 512;
 /** Time a step takes whatever it holds. */
 const STEP_BASE_MS = 4;
 /** Tokens in a block of the prefix cache. */
@@ -31,33 +31,33 @@
   readonly prefixHashes: readonly number[];
   /** Higher is admitted and prefilled first. */
   readonly priority: number;
-  readonly onFirst: (cachedTokens: number) => void;
+  readonly onFirstToken: (cachedTokens: number) => void;
   readonly onDone: () => void;
   readonly onFail: () => void;
 }
 
-interface Running {
+interface RunningJob {
   readonly job: EngineJob;
-  readonly cached: number;
-  prefillLeft: number;
-  outputLeft: number;
+  readonly cachedTokens: number;
+  prefillTokensLeft: number;
+  outputTokensLeft: number;
 }
 
 /** See the module. */
 export class Engine {
   readonly options: EngineOptions;
   /** Factor of every step's time. */
-  slow = 1;
-  dead = false;
+  slowdown = 1;
+  isDead = false;
   /** Accepts connections and answers nothing. */
-  silent = false;
-  parked = false;
+  isSilent = false;
+  isParked = false;
   busyMs = 0;
   readonly #sim: Sim;
   readonly #tokenMs: number;
   #waiting: EngineJob[] = [];
-  #running: Running[] = [];
-  #stepping = false;
+  #running: RunningJob[] = [];
+  #isStepping = false;
   readonly #cache = new Map<number, true>();
 
   constructor(sim: Sim, options: EngineOptions) {
@@ -74,30 +74,35 @@
     return this.#waiting.length;
   }
   /** Time until a running answer ends, at the present speed. */
-  get slotMs(): number {
-    const left = Math.min(...this.#running.map((r) => r.outputLeft));
-    return left * (STEP_BASE_MS + this.running * this.#tokenMs) * this.slow;
+  get slotFreeMs(): number {
+    const minTokensLeft = Math.min(
+      ...this.#running.map((r) => r.outputTokensLeft),
+    );
+    return minTokensLeft * (STEP_BASE_MS + this.running * this.#tokenMs) *
+      this.slowdown;
   }
   /** Tokens still to prefill, as the engine itself knows them. */
-  get prefillLeft(): number {
+  get prefillTokensLeft(): number {
     let sum = 0;
-    for (const r of this.#running) sum += r.prefillLeft;
+    for (const r of this.#running) sum += r.prefillTokensLeft;
     for (const job of this.#waiting) {
-      sum += job.promptTokens - this.cachedTokens(job);
+      sum += job.promptTokens - this.countCachedTokens(job);
     }
     return sum;
   }
   /** Time to the first token of this job, as the engine itself would know it. */
-  firstTokenMs(job: Pick<EngineJob, "promptTokens" | "prefixHashes">): number {
-    const own = job.promptTokens - this.cachedTokens(job);
-    const chunk = STEP_TOKENS - this.running;
-    const steps = Math.ceil((this.prefillLeft + own) / chunk);
-    const perStep = STEP_BASE_MS + this.running * this.#tokenMs;
-    const prefill = ((this.prefillLeft + own) /
+  estimateFirstTokenMs(
+    job: Pick<EngineJob, "promptTokens" | "prefixHashes">,
+  ): number {
+    const ownTokens = job.promptTokens - this.countCachedTokens(job);
+    const chunkTokens = MAX_STEP_TOKENS - this.running;
+    const steps = Math.ceil((this.prefillTokensLeft + ownTokens) / chunkTokens);
+    const stepMs = STEP_BASE_MS + this.running * this.#tokenMs;
+    const prefillMs = ((this.prefillTokensLeft + ownTokens) /
       this.options.prefillTokensPerS) * 1000;
-    return (prefill + steps * perStep) * this.slow;
+    return (prefillMs + steps * stepMs) * this.slowdown;
   }
-  cachedTokens(
+  countCachedTokens(
     job: Pick<EngineJob, "promptTokens" | "prefixHashes">,
   ): number {
     let blocks = 0;
@@ -111,73 +116,74 @@
   submit(job: EngineJob): void {
     this.#waiting.push(job);
     this.#waiting.sort((a, b) => b.priority - a.priority);
-    if (!this.silent) this.#start();
+    if (!this.isSilent) this.#startSteps();
   }
   cancel(id: string): void {
     this.#waiting = this.#waiting.filter((job) => job.id !== id);
     this.#running = this.#running.filter((r) => r.job.id !== id);
   }
   /** Stops and loses all it holds. */
-  die(): void {
-    this.dead = true;
+  crash(): void {
+    this.isDead = true;
     const lost = [...this.#running.map((r) => r.job), ...this.#waiting];
     this.#running = [];
     this.#waiting = [];
     this.#cache.clear();
     for (const job of lost) job.onFail();
   }
-  revive(): void {
-    this.dead = false;
-    this.silent = false;
-    this.#start();
+  restart(): void {
+    this.isDead = false;
+    this.isSilent = false;
+    this.#startSteps();
   }
 
-  #start(): void {
-    if (this.#stepping) return;
-    this.#stepping = true;
+  #startSteps(): void {
+    if (this.#isStepping) return;
+    this.#isStepping = true;
     this.#step();
   }
 
   #step(): void {
     this.#admit();
-    if (this.#running.length === 0 || this.dead || this.silent) {
-      this.#stepping = false;
+    if (this.#running.length === 0 || this.isDead || this.isSilent) {
+      this.#isStepping = false;
       return;
     }
-    const decoding = this.#running.filter((r) => r.prefillLeft === 0);
-    let budget = Math.max(1, STEP_TOKENS - decoding.length);
-    const chunks: [Running, number][] = [];
-    const prefilling = this.#running.filter((r) => r.prefillLeft > 0)
+    const decoding = this.#running.filter((r) => r.prefillTokensLeft === 0);
+    let tokensLeft = Math.max(1, MAX_STEP_TOKENS - decoding.length);
+    const chunks: [RunningJob, number][] = [];
+    const prefilling = this.#running.filter((r) => r.prefillTokensLeft > 0)
       .sort((a, b) => b.job.priority - a.job.priority);
     for (const r of prefilling) {
-      if (budget === 0) break;
-      const chunk = Math.min(budget, r.prefillLeft);
+      if (tokensLeft === 0) break;
+      const chunk = Math.min(tokensLeft, r.prefillTokensLeft);
       chunks.push([r, chunk]);
-      budget -= chunk;
+      tokensLeft -= chunk;
     }
-    const prefilled = chunks.reduce((sum, [, chunk]) => sum + chunk, 0);
-    const ms = this.slow * (STEP_BASE_MS + decoding.length * this.#tokenMs +
-      (prefilled / this.options.prefillTokensPerS) * 1000);
-    this.busyMs += ms;
-    this.#sim.after(ms, () => {
-      this.#finish(decoding, chunks);
+    const prefillTokens = chunks.reduce((sum, [, chunk]) => sum + chunk, 0);
+    const stepMs = this.slowdown *
+      (STEP_BASE_MS + decoding.length * this.#tokenMs +
+        (prefillTokens / this.options.prefillTokensPerS) * 1000);
+    this.busyMs += stepMs;
+    this.#sim.after(stepMs, () => {
+      this.#finishStep(decoding, chunks);
       this.#step();
     });
   }
 
-  #finish(decoding: Running[], chunks: [Running, number][]): void {
+  #finishStep(decoding: RunningJob[], chunks: [RunningJob, number][]): void {
     const live = new Set(this.#running);
     for (const [r, chunk] of chunks) {
       if (!live.has(r)) continue;
-      r.prefillLeft -= chunk;
-      if (r.prefillLeft > 0) continue;
-      this.#remember(r.job.prefixHashes);
-      r.job.onFirst(r.cached);
-      r.outputLeft--;
+      r.prefillTokensLeft -= chunk;
+      if (r.prefillTokensLeft > 0) continue;
+      this.#cachePrefix(r.job.prefixHashes);
+      r.job.onFirstToken(r.cachedTokens);
+      r.outputTokensLeft--;
     }
-    for (const r of decoding) if (live.has(r)) r.outputLeft--;
+    for (const r of decoding) if (live.has(r)) r.outputTokensLeft--;
     const done = this.#running.filter((r) =>
-      r.prefillLeft === 0 && r.outputLeft <= 0
+      r.prefillTokensLeft === 0 && r.outputTokensLeft <= 0
     );
     if (done.length === 0) return;
     const gone = new Set(done);
@@ -190,17 +196,17 @@
       this.#running.length < this.options.slots && this.#waiting.length > 0
     ) {
       const job = this.#waiting.shift()!;
-      const cached = this.cachedTokens(job);
+      const cachedTokens = this.countCachedTokens(job);
       this.#running.push({
         job,
-        cached,
-        prefillLeft: Math.max(1, job.promptTokens - cached),
-        outputLeft: Math.max(1, job.outputTokens),
+        cachedTokens,
+        prefillTokensLeft: Math.max(1, job.promptTokens - cachedTokens),
+        outputTokensLeft: Math.max(1, job.outputTokens),
       });
     }
   }
 
-  #remember(hashes: readonly number[]): void {
+  #cachePrefix(hashes: readonly number[]): void {
     for (let i = hashes.length - 1; i >= 0; i--) {
       this.#cache.delete(hashes[i]);
       this.#cache.set(hashes[i], true);
--- a/bench/measures.ts
+++ b/bench/measures.ts
@@ -14,34 +14,35 @@
 }
 
 /** First-token times of those that were served, sorted. */
-export function firstTokens(outcomes: readonly Outcome[]): number[] {
+export function sortedFirstTokenMs(outcomes: readonly Outcome[]): number[] {
   return outcomes
     .filter((o) => o.result === "served")
-    .map((o) => o.firstMs!)
+    .map((o) => o.firstTokenMs!)
     .sort((a, b) => a - b);
 }
 
 /** Work of a request, whatever is cached: its whole prompt, and its answer at the cost of output. */
-export function workOf({ ask }: Outcome): number {
+export function workOf({ request: ask }: Outcome): number {
   return ask.promptTokens + 5 * ask.outputTokens;
 }
 
 /** Work served in time, a second. */
-export function goodWorkPerS(
+export function goodputPerS(
   outcomes: readonly Outcome[],
   seconds: number,
 ): number {
-  const served = outcomes.filter(inTime);
+  const served = outcomes.filter(isInTime);
   return served.reduce((sum, o) => sum + workOf(o), 0) / seconds;
 }
 
-export function inTime(outcome: Outcome): boolean {
+export function isInTime(outcome: Outcome): boolean {
   return outcome.result === "served" &&
-    outcome.ask.atMs + outcome.firstMs! <= outcome.ask.deadlineMs + 1;
+    outcome.request.atMs + outcome.firstTokenMs! <=
+      outcome.request.deadlineMs + 1;
 }
 
 /** Jain's index of the values: 1 when all are equal. */
-export function jain(values: readonly number[]): number {
+export function jainIndex(values: readonly number[]): number {
   const sum = values.reduce((a, b) => a + b, 0);
   const squares = values.reduce((a, b) => a + b * b, 0);
   return squares === 0 ? 1 : (sum * sum) / (values.length * squares);
@@ -55,12 +56,14 @@
 /** The part of the values for which this holds. */
 export function share<T>(
   values: readonly T[],
-  holds: (value: T) => boolean,
+  matches: (value: T) => boolean,
 ): number {
-  return values.length === 0 ? 0 : values.filter(holds).length / values.length;
+  return values.length === 0
+    ? 0
+    : values.filter(matches).length / values.length;
 }
 
 /** A figure short enough to compare. */
-export function rounded(value: number): number {
+export function roundTo4Digits(value: number): number {
   return Number(value.toPrecision(4));
 }
--- a/bench/over_admission.ts
+++ b/bench/over_admission.ts
@@ -14,34 +14,34 @@
 const UPSTREAMS = 13;
 const SLOTS = 16;
 const STEP_MS = 50;
-const RUN_MS = 120_000;
+const DURATION_MS = 120_000;
 const MEAN_HOLD_MS = 2000;
 /** Load reports are read once a second and are this old when they are used. */
-const REPORT_MS = 1000;
+const REPORT_INTERVAL_MS = 1000;
 const REPORT_AGE_MS = 500;
-const RENEW_MS = 2000;
+const RENEW_INTERVAL_MS = 2000;
 /** A prompt that takes as long as the table says, so that no upstream looks slow. */
 const PROMPT_TOKENS = 400;
 const FIRST_TOKEN_MS = 50;
 const OUTPUT_TOKENS = 150;
 const SEED = 7;
 
-interface Running {
+interface RunningAttempt {
   readonly pool: number;
   readonly upstreamId: string;
   readonly startsAtMs: number;
   readonly endsAtMs: number;
-  started: boolean;
+  isStarted: boolean;
 }
 
-interface Result {
+interface SimulationResult {
   readonly peak: number;
   readonly overShare: number;
   readonly granted: number;
 }
 
 /** Figures at two loads; `load` is offered work over the pool's slots. */
-export function overAdmission(): Row[] {
+export function measureOverAdmission(): Row[] {
   const rows: Row[] = [];
   for (const load of [0.8, 1.2]) {
     for (const [policy, pools] of POLICIES) {
@@ -71,7 +71,7 @@
 ];
 
 /** Requests go to `count` pools in turn that know of each other only by the upstreams' reports. */
-function simulate(count: number, load: number): Result {
+function simulate(count: number, load: number): SimulationResult {
   const random = new Random(SEED);
   const table = planTable(1, ["r"], UPSTREAMS, SLOTS);
   const info = [...poolsOfRegion(table, "r").values()][0];
@@ -81,16 +81,16 @@
     pool.configure(table, info.upstreams, nowMs);
     return pool;
   });
-  const running = new Map<string, Running>();
-  const past: { atMs: number; counts: Map<string, number> }[] = [];
-  const perStep = load * UPSTREAMS * SLOTS * STEP_MS / MEAN_HOLD_MS;
+  const running = new Map<string, RunningAttempt>();
+  const history: { atMs: number; counts: Map<string, number> }[] = [];
+  const requestsPerStep = load * UPSTREAMS * SLOTS * STEP_MS / MEAN_HOLD_MS;
   let granted = 0;
   let peak = 0;
-  let over = 0;
+  let overfullSamples = 0;
   let steps = 0;
-  let asked = 0;
-  let due = 0;
-  const take = (pool: number, outputs: readonly PoolOutput[]) => {
+  let requestCount = 0;
+  let dueRequests = 0;
+  const applyOutputs = (pool: number, outputs: readonly PoolOutput[]) => {
     for (const output of outputs) {
       if (output.type !== "answer" || output.answer.type !== "grant") continue;
       const { attemptId, upstreamId } = output.answer;
@@ -101,19 +101,19 @@
         upstreamId,
         startsAtMs,
         endsAtMs,
-        started: false,
+        isStarted: false,
       });
       granted++;
     }
   };
-  const endMs = nowMs + RUN_MS;
+  const endMs = nowMs + DURATION_MS;
   while (nowMs < endMs) {
     nowMs += STEP_MS;
     steps++;
     for (const [attemptId, attempt] of running) {
       const outcome = nextOutcome(attempt, nowMs);
       if (!outcome) continue;
-      attempt.started = true;
+      attempt.isStarted = true;
       if (outcome === "done") running.delete(attemptId);
       const { pool, upstreamId } = attempt;
       const report = {
@@ -125,54 +125,56 @@
         outputTokens: outcome === "done" ? OUTPUT_TOKENS : 0,
         totalMs: nowMs - attempt.startsAtMs + FIRST_TOKEN_MS,
       };
-      take(pool, pools[pool].report(report, nowMs));
+      applyOutputs(pool, pools[pool].report(report, nowMs));
     }
-    for (due += perStep; due >= 1; due--) {
-      const pool = asked % count;
-      const request = planRequest(`x${asked++}`, {
+    for (dueRequests += requestsPerStep; dueRequests >= 1; dueRequests--) {
+      const pool = requestCount % count;
+      const request = planRequest(`x${requestCount++}`, {
         arrivedAtMs: nowMs,
         deadlineMs: nowMs + 3000,
         workspace: `w${random.int(20)}`,
         promptTokens: PROMPT_TOKENS,
         expectedOutputTokens: OUTPUT_TOKENS,
       });
-      take(pool, pools[pool].request(request, nowMs));
+      applyOutputs(pool, pools[pool].request(request, nowMs));
     }
-    const counts = countsOf(running);
-    past.push({ atMs: nowMs, counts });
-    while (past[0].atMs < nowMs - REPORT_AGE_MS) past.shift();
-    const reporting = nowMs % REPORT_MS === 0;
-    const renewing = nowMs % RENEW_MS === 0;
+    const counts = countByUpstream(running);
+    history.push({ atMs: nowMs, counts });
+    while (history[0].atMs < nowMs - REPORT_AGE_MS) history.shift();
+    const isReportDue = nowMs % REPORT_INTERVAL_MS === 0;
+    const isRenewalDue = nowMs % RENEW_INTERVAL_MS === 0;
     pools.forEach((pool, n) => {
-      if (renewing) pool.renew(attemptsOf(running, n), nowMs);
-      for (const { id } of reporting ? info.upstreams : []) {
-        const load = {
+      if (isRenewalDue) pool.renew(listAttemptIds(running, n), nowMs);
+      for (const { id } of isReportDue ? info.upstreams : []) {
+        const loadReport = {
           upstreamId: id,
-          running: past[0].counts.get(id) ?? 0,
+          running: history[0].counts.get(id) ?? 0,
           waiting: 0,
-          atMs: past[0].atMs,
+          atMs: history[0].atMs,
         };
-        take(n, pool.observe(load, nowMs));
+        applyOutputs(n, pool.observe(loadReport, nowMs));
       }
-      take(n, pool.tick(nowMs));
+      applyOutputs(n, pool.tick(nowMs));
     });
-    for (const held of countsOf(running).values()) {
-      peak = Math.max(peak, held / SLOTS);
-      if (held > SLOTS) over++;
+    for (const slotsUsed of countByUpstream(running).values()) {
+      peak = Math.max(peak, slotsUsed / SLOTS);
+      if (slotsUsed > SLOTS) overfullSamples++;
     }
   }
-  return { peak, overShare: over / (steps * UPSTREAMS), granted };
+  return { peak, overShare: overfullSamples / (steps * UPSTREAMS), granted };
 }
 
 function nextOutcome(
-  { started, startsAtMs, endsAtMs }: Running,
+  { isStarted, startsAtMs, endsAtMs }: RunningAttempt,
   nowMs: number,
 ): "started" | "done" | undefined {
   if (endsAtMs <= nowMs) return "done";
-  return !started && startsAtMs <= nowMs ? "started" : undefined;
+  return !isStarted && startsAtMs <= nowMs ? "started" : undefined;
 }
 
-function countsOf(running: ReadonlyMap<string, Running>): Map<string, number> {
+function countByUpstream(
+  running: ReadonlyMap<string, RunningAttempt>,
+): Map<string, number> {
   const counts = new Map<string, number>();
   for (const { upstreamId } of running.values()) {
     counts.set(upstreamId, (counts.get(upstreamId) ?? 0) + 1);
@@ -180,11 +182,13 @@
   return counts;
 }
 
-function attemptsOf(
-  running: ReadonlyMap<string, Running>,
+function listAttemptIds(
+  running: ReadonlyMap<string, RunningAttempt>,
   pool: number,
 ): string[] {
-  const attempts: string[] = [];
-  for (const [id, held] of running) if (held.pool === pool) attempts.push(id);
-  return attempts;
+  const attemptIds: string[] = [];
+  for (const [id, attempt] of running) {
+    if (attempt.pool === pool) attemptIds.push(id);
+  }
+  return attemptIds;
 }
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -13,42 +13,42 @@
 
 import { secretDigest } from "../src/base/mod.ts";
 import { Cluster, type Proc, type StandIn, upstream } from "../test/cluster.ts";
-import { type Loaded, runLoad, untilServed } from "./path_load.ts";
+import { type LoadResult, runLoad, waitUntilServed } from "./path_load.ts";
 import type { Row } from "./row.ts";
 
 const ENGINES = 4;
 const KEY = "bench-key";
 const MODEL = "bench";
 const REGION = "bench";
-const SPAN_MS = 4000;
+const MEASURE_MS = 4000;
 const SLOTS = 1024;
 /** Many times the target of 23 a VM. */
-const MOST_REQUESTS_PER_S = 200;
-const SHORTEST_ANSWER_S = 0.5;
+const MAX_REQUESTS_PER_S = 200;
+const MIN_RESPONSE_S = 0.5;
 
 interface Mode {
   readonly name: "paced" | "flat out";
   /** Tokens per second that all streams together are offered, and one at most. */
-  readonly offeredPerS: number;
-  readonly mostPerStream: number;
+  readonly offeredTokensPerS: number;
+  readonly maxStreamTokensPerS: number;
 }
 
-const modes: readonly Mode[] = [
-  { name: "paced", offeredPerS: 10_000, mostPerStream: 50 },
-  { name: "flat out", offeredPerS: 150_000, mostPerStream: 1000 },
+const MODES: readonly Mode[] = [
+  { name: "paced", offeredTokensPerS: 10_000, maxStreamTokensPerS: 50 },
+  { name: "flat out", offeredTokensPerS: 150_000, maxStreamTokensPerS: 1000 },
 ];
 
-interface Probe {
+interface ProbeReport {
   readonly loopP99Ms: number;
   readonly loopMostMs: number;
   readonly rssBytes: number;
   readonly cpuMs: number;
 }
 
-interface Measured {
-  readonly loaded: Loaded;
-  readonly idle?: Probe | undefined;
-  readonly busy?: Probe | undefined;
+interface Measurement {
+  readonly result: LoadResult;
+  readonly idle?: ProbeReport | undefined;
+  readonly busy?: ProbeReport | undefined;
 }
 
 /** Runs the bench. */
@@ -57,8 +57,8 @@
   const sizes = at < 0 ? [1, 64, 1024] : args[at + 1].split(",").map(Number);
   const rows: Row[] = [];
   const modeAt = args.indexOf("--mode");
-  const only = modeAt < 0 ? "" : args[modeAt + 1];
-  for (const mode of modes.filter(({ name }) => name.startsWith(only))) {
+  const modePrefix = modeAt < 0 ? "" : args[modeAt + 1];
+  for (const mode of MODES.filter(({ name }) => name.startsWith(modePrefix))) {
     for (const streams of sizes) {
       rows.push(...await measureCase(mode, streams));
     }
@@ -67,9 +67,12 @@
 }
 
 async function measureCase(mode: Mode, streams: number): Promise<Row[]> {
-  const perStream = Math.min(mode.mostPerStream, mode.offeredPerS / streams);
-  const answerS = Math.max(SHORTEST_ANSWER_S, streams / MOST_REQUESTS_PER_S);
-  const tokens = Math.round(perStream * answerS);
+  const tokensPerS = Math.min(
+    mode.maxStreamTokensPerS,
+    mode.offeredTokensPerS / streams,
+  );
+  const responseS = Math.max(MIN_RESPONSE_S, streams / MAX_REQUESTS_PER_S);
+  const tokens = Math.round(tokensPerS * responseS);
   const cluster = new Cluster();
   try {
     const engines = await cluster.startUpstreams(ENGINES, 0, [
@@ -78,28 +81,39 @@
         slots: SLOTS,
         prefillTokensPerS: 1e9,
         decodeTokensPerS: 1e9,
-        streamTokensPerS: perStream,
+        streamTokensPerS: tokensPerS,
         stepMs: 1,
       }),
     ]);
     const common = { key: KEY, model: MODEL, streams, tokens };
-    const rampMs = answerS * 1000;
-    const load = (urls: readonly string[], onCount?: () => void) =>
-      runLoad({ ...common, urls, rampMs, spanMs: SPAN_MS, onCount });
-    const direct = { loaded: await load(engines.map((engine) => engine.url)) };
+    const rampMs = responseS * 1000;
+    const load = (urls: readonly string[], onMeasureStart?: () => void) =>
+      runLoad({
+        ...common,
+        urls,
+        rampMs,
+        measureMs: MEASURE_MS,
+        onMeasureStart,
+      });
+    const direct = { result: await load(engines.map((engine) => engine.url)) };
     const pipe = await startPipe(cluster, engines);
-    const piped = await probed(
+    const piped = await measureProcess(
       pipe.proc,
-      (onCount) => load([pipe.url], onCount),
+      (onMeasureStart) => load([pipe.url], onMeasureStart),
     );
     await pipe.proc.end();
     const daemon = await startDaemon(cluster, engines);
-    await untilServed({ ...common, urls: [daemon.url], rampMs, spanMs: 0 });
-    const served = await probed(
+    await waitUntilServed({
+      ...common,
+      urls: [daemon.url],
+      rampMs,
+      measureMs: 0,
+    });
+    const served = await measureProcess(
       daemon.proc,
-      (onCount) => load([daemon.url], onCount),
+      (onMeasureStart) => load([daemon.url], onMeasureStart),
     );
-    return caseRows(mode, streams, { direct, pipe: piped, ibisgap: served });
+    return makeRows(mode, streams, { direct, pipe: piped, ibisgap: served });
   } finally {
     await cluster.close();
   }
@@ -108,8 +122,8 @@
 /** Child processes that are started inside `start` report by the probe. */
 async function withProbe<T>(start: () => Promise<T>): Promise<T> {
   const before = process.env.NODE_OPTIONS;
-  const probe = new URL("./path_probe.js", import.meta.url);
-  process.env.NODE_OPTIONS = `${before ?? ""} --import ${probe}`;
+  const probeUrl = new URL("./path_probe.js", import.meta.url);
+  process.env.NODE_OPTIONS = `${before ?? ""} --import ${probeUrl}`;
   try {
     return await start();
   } finally {
@@ -152,34 +166,36 @@
 }
 
 /** Measures a process from the beginning to the end of the counting. */
-async function probed(
+async function measureProcess(
   proc: Proc,
-  load: (onCount: () => void) => Promise<Loaded>,
-): Promise<Measured> {
-  const idle = await probe(proc, 1);
-  let busy: Promise<Probe> | undefined;
-  const loaded = await load(() => {
-    busy = probe(proc, 2).then(() => sleep(SPAN_MS)).then(() => probe(proc, 3));
+  load: (onMeasureStart: () => void) => Promise<LoadResult>,
+): Promise<Measurement> {
+  const idle = await readProbe(proc, 1);
+  let busy: Promise<ProbeReport> | undefined;
+  const result = await load(() => {
+    busy = readProbe(proc, 2).then(() => sleep(MEASURE_MS)).then(() =>
+      readProbe(proc, 3)
+    );
   });
-  return { loaded, idle, busy: await busy };
+  return { result, idle, busy: await busy };
 }
 
-async function probe(proc: Proc, number: number): Promise<Probe> {
+async function readProbe(proc: Proc, number: number): Promise<ProbeReport> {
   proc.signal("SIGUSR2");
   const [, text] = await proc.said(
     new RegExp(`probe (\\{"number":${number},.*\\})`),
   );
-  return JSON.parse(text) as Probe;
+  return JSON.parse(text) as ProbeReport;
 }
 
 function sleep(waitMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, waitMs));
 }
 
-function caseRows(
+function makeRows(
   mode: Mode,
   streams: number,
-  measured: Record<"direct" | "pipe" | "ibisgap", Measured>,
+  measured: Record<"direct" | "pipe" | "ibisgap", Measurement>,
 ): Row[] {
   const rows: Row[] = [];
   const add = (policy: string, measure: string, value: number, unit: string) =>
@@ -192,32 +208,32 @@
       unit,
       seed: 0,
     });
-  for (const [policy, { loaded, idle, busy }] of Object.entries(measured)) {
-    add(policy, "first token p50", firstMs(loaded, 50), "ms");
-    add(policy, "first token p99", firstMs(loaded, 99), "ms");
-    add(policy, "tokens", loaded.tokensPerS, "1/s");
-    add(policy, "requests", loaded.requests, "");
-    add(policy, "failed", loaded.failed, "");
+  for (const [policy, { result, idle, busy }] of Object.entries(measured)) {
+    add(policy, "first token p50", firstTokenMs(result, 50), "ms");
+    add(policy, "first token p99", firstTokenMs(result, 99), "ms");
+    add(policy, "tokens", result.tokensPerS, "1/s");
+    add(policy, "requests", result.requests, "");
+    add(policy, "failed", result.failed, "");
     if (!idle || !busy) continue;
-    const above = busy.rssBytes - idle.rssBytes;
+    const aboveIdleBytes = busy.rssBytes - idle.rssBytes;
     add(policy, "memory", busy.rssBytes / 1e6, "MB");
-    add(policy, "memory above idle", above / 1e6, "MB");
-    add(policy, "memory per stream", above / streams / 1e3, "KB");
+    add(policy, "memory above idle", aboveIdleBytes / 1e6, "MB");
+    add(policy, "memory per stream", aboveIdleBytes / streams / 1e3, "KB");
     add(policy, "event-loop delay p99", busy.loopP99Ms, "ms");
     add(policy, "event-loop delay most", busy.loopMostMs, "ms");
-    add(policy, "processor time", busy.cpuMs / SPAN_MS, "cores");
+    add(policy, "processor time", busy.cpuMs / MEASURE_MS, "cores");
   }
   const { direct, pipe, ibisgap } = measured;
   for (const percent of [50, 99]) {
-    const added = firstMs(ibisgap.loaded, percent) -
-      firstMs(direct.loaded, percent);
+    const added = firstTokenMs(ibisgap.result, percent) -
+      firstTokenMs(direct.result, percent);
     add("ibisgap", `added to first token p${percent}`, added, "ms");
   }
-  const share = ibisgap.loaded.tokensPerS / pipe.loaded.tokensPerS;
+  const share = ibisgap.result.tokensPerS / pipe.result.tokensPerS;
   add("ibisgap", "tokens against the pipe's", share, "share");
   return rows;
 }
 
-function firstMs(loaded: Loaded, percent: number): number {
-  return loaded.firstUs.getValueAtPercentile(percent) / 1000;
+function firstTokenMs(result: LoadResult, percent: number): number {
+  return result.firstEventUs.getValueAtPercentile(percent) / 1000;
 }
--- a/bench/path_load.ts
+++ b/bench/path_load.ts
@@ -19,34 +19,34 @@
   /** Time in which the streams start, one after the other, so that their ends are spread too. */
   readonly rampMs: number;
   /** How long is counted, once all streams have started and the code is warm. */
-  readonly spanMs: number;
+  readonly measureMs: number;
   /** Called when the counting begins. */
-  readonly onCount?: () => void;
+  readonly onMeasureStart?: () => void;
 }
 
 /** What the callers saw. */
-export interface Loaded {
+export interface LoadResult {
   /** Time from the call to the first event, in microseconds. */
-  readonly firstUs: Histogram;
+  readonly firstEventUs: Histogram;
   readonly tokensPerS: number;
   readonly requests: number;
   readonly failed: number;
 }
 
-const END = Buffer.from("\n\n");
-const DONE = "data: [DONE]\n\n";
+const EVENT_END = Buffer.from("\n\n");
+const DONE_EVENT = "data: [DONE]\n\n";
 /** An answer's last events, which are no tokens: its end and `[DONE]`. */
-const EXTRA_EVENTS = 2;
+const NON_TOKEN_EVENTS = 2;
 const WARM_UP_MS = 2000;
 
 /** Calls until an answer is whole: a gateway that has just started may refuse at first. */
-export async function untilServed(load: Load): Promise<void> {
+export async function waitUntilServed(load: Load): Promise<void> {
   const callers = new Callers(load);
   while (!await callers.tryOnce()) await sleep(100);
 }
 
 /** Runs the load once. */
-export async function runLoad(load: Load): Promise<Loaded> {
+export async function runLoad(load: Load): Promise<LoadResult> {
   const callers = new Callers(load);
   return await callers.run();
 }
@@ -54,13 +54,13 @@
 class Callers {
   readonly #load: Load;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: Infinity });
-  readonly #firstUs = build({
+  readonly #firstEventUs = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 60_000_000,
     numberOfSignificantValueDigits: 3,
   });
-  #counting = false;
-  #stopped = false;
+  #isCounting = false;
+  #isStopped = false;
   #events = 0;
   #requests = 0;
   #failed = 0;
@@ -70,25 +70,25 @@
     this.#load = load;
   }
 
-  async run(): Promise<Loaded> {
-    const { streams, rampMs, spanMs, onCount } = this.#load;
+  async run(): Promise<LoadResult> {
+    const { streams, rampMs, measureMs, onMeasureStart } = this.#load;
     const loops = Array.from(
       { length: streams },
       (_, n) => this.#loop(n * rampMs / streams),
     );
     await sleep(rampMs + WARM_UP_MS);
-    this.#counting = true;
-    onCount?.();
+    this.#isCounting = true;
+    onMeasureStart?.();
     const startMs = performance.now();
-    await sleep(spanMs);
-    this.#counting = false;
-    const countedS = (performance.now() - startMs) / 1000;
-    this.#stopped = true;
+    await sleep(measureMs);
+    this.#isCounting = false;
+    const elapsedS = (performance.now() - startMs) / 1000;
+    this.#isStopped = true;
     await Promise.all(loops);
     this.#agent.destroy();
     return {
-      firstUs: this.#firstUs,
-      tokensPerS: this.#events / countedS,
+      firstEventUs: this.#firstEventUs,
+      tokensPerS: this.#events / elapsedS,
       requests: this.#requests,
       failed: this.#failed,
     };
@@ -98,12 +98,12 @@
     return await this.#call().catch(() => false);
   }
 
-  async #loop(afterMs: number): Promise<void> {
-    await sleep(afterMs);
-    while (!this.#stopped) {
-      const whole = await this.#call().catch(() => false);
-      if (this.#counting) this.#requests++;
-      if (!whole) this.#failed++;
+  async #loop(delayMs: number): Promise<void> {
+    await sleep(delayMs);
+    while (!this.#isStopped) {
+      const isComplete = await this.#call().catch(() => false);
+      if (this.#isCounting) this.#requests++;
+      if (!isComplete) this.#failed++;
     }
   }
 
@@ -112,7 +112,7 @@
     const { urls, key, model, tokens } = this.#load;
     const url = urls[this.#calls++ % urls.length];
     const startMs = performance.now();
-    const counted = this.#counting;
+    const isCounted = this.#isCounting;
     const call = request(`${url}/v1/chat/completions`, {
       method: "POST",
       agent: this.#agent,
@@ -128,26 +128,27 @@
       call.on("error", reject);
       call.on("response", (answer) => {
         answer.once("data", () => {
-          if (!counted) return;
-          this.#firstUs.recordValue((performance.now() - startMs) * 1000);
+          if (!isCounted) return;
+          this.#firstEventUs.recordValue((performance.now() - startMs) * 1000);
         });
-        resolve(this.#read(answer));
+        resolve(this.#readAnswer(answer));
       });
       call.end(JSON.stringify(body));
     });
   }
 
-  async #read(answer: IncomingMessage): Promise<boolean> {
+  async #readAnswer(answer: IncomingMessage): Promise<boolean> {
     let events = 0;
-    let last = "";
+    let tail = "";
     for await (const chunk of answer as AsyncIterable<Buffer>) {
-      const found = countEvents(chunk);
-      events += found;
-      if (this.#counting) this.#events += found;
-      last = (last + chunk.toString("latin1", chunk.length - DONE.length))
-        .slice(-DONE.length);
+      const count = countEvents(chunk);
+      events += count;
+      if (this.#isCounting) this.#events += count;
+      tail = (tail + chunk.toString("latin1", chunk.length - DONE_EVENT.length))
+        .slice(-DONE_EVENT.length);
     }
-    return last === DONE && events === this.#load.tokens + EXTRA_EVENTS;
+    return tail === DONE_EVENT &&
+      events === this.#load.tokens + NON_TOKEN_EVENTS;
   }
 }
 
@@ -155,9 +156,9 @@
 function countEvents(chunk: Buffer): number {
   let count = 0;
   for (
-    let at = chunk.indexOf(END);
+    let at = chunk.indexOf(EVENT_END);
     at >= 0;
-    at = chunk.indexOf(END, at + END.length)
+    at = chunk.indexOf(EVENT_END, at + EVENT_END.length)
   ) count++;
   return count;
 }
--- a/bench/path_probe.ts
+++ b/bench/path_probe.ts
@@ -11,21 +11,21 @@
 import { monitorEventLoopDelay } from "node:perf_hooks";
 
 const RESOLUTION_MS = 1;
-const delay = monitorEventLoopDelay({ resolution: RESOLUTION_MS });
-delay.enable();
-let cpu = process.cpuUsage();
-let number = 0;
+const loopDelay = monitorEventLoopDelay({ resolution: RESOLUTION_MS });
+loopDelay.enable();
+let lastCpu = process.cpuUsage();
+let signalCount = 0;
 
 const profileDir = process.env.PATH_PROFILE;
 const session = new Session();
 if (profileDir) session.connect();
 
-function profile(): void {
-  if (number === 2) {
+function toggleProfile(): void {
+  if (signalCount === 2) {
     session.post("Profiler.enable");
     session.post("Profiler.start");
   }
-  if (number !== 3) return;
+  if (signalCount !== 3) return;
   session.post("Profiler.stop", (_error, { profile }) => {
     const path = `${profileDir}/${process.pid}.cpuprofile`;
     writeFileSync(path, JSON.stringify(profile));
@@ -33,16 +33,16 @@
 }
 
 process.on("SIGUSR2", () => {
-  const used = process.cpuUsage(cpu);
-  cpu = process.cpuUsage();
+  const used = process.cpuUsage(lastCpu);
+  lastCpu = process.cpuUsage();
   const probe = {
-    number: ++number,
-    loopP99Ms: delay.percentile(99) / 1e6 - RESOLUTION_MS,
-    loopMostMs: delay.max / 1e6 - RESOLUTION_MS,
+    number: ++signalCount,
+    loopP99Ms: loopDelay.percentile(99) / 1e6 - RESOLUTION_MS,
+    loopMostMs: loopDelay.max / 1e6 - RESOLUTION_MS,
     rssBytes: process.memoryUsage.rss(),
     cpuMs: (used.user + used.system) / 1000,
   };
-  delay.reset();
-  if (profileDir) profile();
+  loopDelay.reset();
+  if (profileDir) toggleProfile();
   console.log(`probe ${JSON.stringify(probe)}`);
 });
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -25,8 +25,8 @@
   readonly table: Table;
   readonly engines: readonly Engine[];
   readonly seed: number;
-  readonly answer: (attemptId: string, answer: SlotAnswer) => void;
-  readonly order: (upstreamId: string, want: "active" | "parked") => void;
+  readonly onAnswer: (attemptId: string, answer: SlotAnswer) => void;
+  readonly onOrder: (upstreamId: string, want: "active" | "parked") => void;
 }
 
 /** A way to choose upstreams; the names stand in the rows of the bench. */
@@ -36,19 +36,19 @@
   constructor(context: PolicyContext) {
     this.context = context;
   }
-  abstract ask(request: SlotRequest, nowMs: number): void;
+  abstract requestSlot(request: SlotRequest, nowMs: number): void;
   cancel(_attemptId: string, _nowMs: number): void {}
   report(_report: SlotReport, _nowMs: number): void {}
   renew(_attemptIds: readonly string[], _nowMs: number): void {}
   tick(_nowMs: number): void {}
   observe(_loads: readonly LaggedLoad[], _nowMs: number): void {}
-  setFar(_regions: readonly RemoteRegion[], _nowMs: number): void {}
+  setRemoteRegions(_regions: readonly RemoteRegion[], _nowMs: number): void {}
   digest(_nowMs: number): PoolDigest | undefined {
     return undefined;
   }
 
   protected grant(request: SlotRequest, engine: Engine): void {
-    this.context.answer(request.attemptId, {
+    this.context.onAnswer(request.attemptId, {
       type: "grant",
       attemptId: request.attemptId,
       upstreamId: engine.options.id,
@@ -59,10 +59,10 @@
   }
   protected candidates(request: SlotRequest): readonly Engine[] {
     const { engines } = this.context;
-    const fresh = engines.filter((e) =>
+    const untried = engines.filter((e) =>
       !request.exclude.includes(e.options.id)
     );
-    return fresh.length > 0 ? fresh : engines;
+    return untried.length > 0 ? untried : engines;
   }
 }
 
@@ -77,30 +77,30 @@
 /** Each upstream in turn. */
 export class RoundRobin extends Policy {
   #next = 0;
-  ask(request: SlotRequest): void {
+  requestSlot(request: SlotRequest): void {
     const engines = this.candidates(request);
     this.grant(request, engines[this.#next++ % engines.length]);
   }
 }
 
 /** VMs that choose alone, as proxies do today. */
-const VMS = 6;
+const VM_COUNT = 6;
 
 /** What one VM knows: the last reports, and what it sent itself since. */
-class VmView {
+class VmLoadView {
   readonly #reported = new Map<string, number>();
-  readonly #sent = new Map<string, number>();
+  readonly #sentSince = new Map<string, number>();
 
   load(engine: Engine): number {
     const { id } = engine.options;
-    return (this.#reported.get(id) ?? 0) + (this.#sent.get(id) ?? 0);
+    return (this.#reported.get(id) ?? 0) + (this.#sentSince.get(id) ?? 0);
   }
-  sent(engine: Engine): void {
+  countSent(engine: Engine): void {
     const { id } = engine.options;
-    this.#sent.set(id, (this.#sent.get(id) ?? 0) + 1);
+    this.#sentSince.set(id, (this.#sentSince.get(id) ?? 0) + 1);
   }
   observe(loads: readonly LaggedLoad[]): void {
-    this.#sent.clear();
+    this.#sentSince.clear();
     for (const load of loads) {
       this.#reported.set(load.upstreamId, load.running + load.waiting);
     }
@@ -109,23 +109,26 @@
 
 abstract class LoadPolicy extends Policy {
   protected readonly random = new Random(this.context.seed);
-  readonly #views = Array.from({ length: VMS }, () => new VmView());
+  readonly #views = Array.from({ length: VM_COUNT }, () => new VmLoadView());
 
-  ask(request: SlotRequest): void {
+  requestSlot(request: SlotRequest): void {
     const view = this.random.pick(this.#views);
     const engine = this.choose(this.candidates(request), view);
-    view.sent(engine);
+    view.countSent(engine);
     this.grant(request, engine);
   }
   override observe(loads: readonly LaggedLoad[]): void {
     for (const view of this.#views) view.observe(loads);
   }
-  protected abstract choose(engines: readonly Engine[], view: VmView): Engine;
+  protected abstract choose(
+    engines: readonly Engine[],
+    view: VmLoadView,
+  ): Engine;
 }
 
 /** The least loaded by reports that lag. */
 export class LeastRequests extends LoadPolicy {
-  protected choose(engines: readonly Engine[], view: VmView): Engine {
+  protected choose(engines: readonly Engine[], view: VmLoadView): Engine {
     const least = Math.min(...engines.map((e) => view.load(e)));
     return this.random.pick(engines.filter((e) => view.load(e) === least));
   }
@@ -133,7 +136,7 @@
 
 /** The less loaded of two drawn at random. */
 export class PowerOfTwo extends LoadPolicy {
-  protected choose(engines: readonly Engine[], view: VmView): Engine {
+  protected choose(engines: readonly Engine[], view: VmLoadView): Engine {
     const a = this.random.pick(engines);
     const b = this.random.pick(engines);
     return view.load(a) <= view.load(b) ? a : b;
@@ -152,37 +155,40 @@
   }
   /** A new lead is told what VMs hold. */
   adopt(held: readonly HeldSlot[], nowMs: number): void {
-    this.#emit(this.pool.adopt(held, nowMs));
+    this.#deliver(this.pool.adopt(held, nowMs));
   }
-  ask(request: SlotRequest, nowMs: number): void {
-    this.#emit(this.pool.request(request, nowMs));
+  requestSlot(request: SlotRequest, nowMs: number): void {
+    this.#deliver(this.pool.request(request, nowMs));
   }
   override cancel(attemptId: string, nowMs: number): void {
-    this.#emit(this.pool.cancel(attemptId, nowMs));
+    this.#deliver(this.pool.cancel(attemptId, nowMs));
   }
   override report(report: SlotReport, nowMs: number): void {
-    this.#emit(this.pool.report(report, nowMs));
+    this.#deliver(this.pool.report(report, nowMs));
   }
   override renew(attemptIds: readonly string[], nowMs: number): void {
     this.pool.renew(attemptIds, nowMs);
   }
   override tick(nowMs: number): void {
-    this.#emit(this.pool.tick(nowMs));
+    this.#deliver(this.pool.tick(nowMs));
   }
   override observe(loads: readonly LaggedLoad[], nowMs: number): void {
-    for (const load of loads) this.#emit(this.pool.observe(load, nowMs));
+    for (const load of loads) this.#deliver(this.pool.observe(load, nowMs));
   }
-  override setFar(regions: readonly RemoteRegion[], nowMs: number): void {
+  override setRemoteRegions(
+    regions: readonly RemoteRegion[],
+    nowMs: number,
+  ): void {
     this.pool.setRemoteRegions(regions, nowMs);
   }
   override digest(nowMs: number): PoolDigest {
     return this.pool.digest(nowMs);
   }
-  #emit(outputs: readonly PoolOutput[]): void {
+  #deliver(outputs: readonly PoolOutput[]): void {
     for (const output of outputs) {
       if (output.type === "answer") {
-        this.context.answer(output.attemptId, output.answer);
-      } else this.context.order(output.upstreamId, output.want);
+        this.context.onAnswer(output.attemptId, output.answer);
+      } else this.context.onOrder(output.upstreamId, output.want);
     }
   }
 }
@@ -191,33 +197,33 @@
 export class Alone extends Policy {
   readonly #vms: Lead[];
   readonly #random: Random;
-  readonly #vmOf = new Map<string, Lead>();
+  readonly #vmByAttempt = new Map<string, Lead>();
 
   constructor(context: PolicyContext) {
     super(context);
     this.#random = new Random(context.seed);
     this.#vms = Array.from(
-      { length: VMS },
+      { length: VM_COUNT },
       (_, i) => new Lead(context, 0, i),
     );
     const { service, region, table } = context;
-    const parts = table.upstreams(service, region).map((row) => ({
+    const vmRows = table.upstreams(service, region).map((row) => ({
       ...row,
-      slots: Math.ceil(row.slots / VMS),
-      prefillTokensPerS: row.prefillTokensPerS / VMS,
+      slots: Math.ceil(row.slots / VM_COUNT),
+      prefillTokensPerS: row.prefillTokensPerS / VM_COUNT,
     }));
-    for (const vm of this.#vms) vm.pool.configure(table, parts, 0);
+    for (const vm of this.#vms) vm.pool.configure(table, vmRows, 0);
   }
-  ask(request: SlotRequest, nowMs: number): void {
+  requestSlot(request: SlotRequest, nowMs: number): void {
     const vm = this.#random.pick(this.#vms);
-    this.#vmOf.set(request.attemptId, vm);
-    vm.ask(request, nowMs);
+    this.#vmByAttempt.set(request.attemptId, vm);
+    vm.requestSlot(request, nowMs);
   }
   override cancel(attemptId: string, nowMs: number): void {
-    this.#vmOf.get(attemptId)?.cancel(attemptId, nowMs);
+    this.#vmByAttempt.get(attemptId)?.cancel(attemptId, nowMs);
   }
   override report(report: SlotReport, nowMs: number): void {
-    this.#vmOf.get(report.attemptId)?.report(report, nowMs);
+    this.#vmByAttempt.get(report.attemptId)?.report(report, nowMs);
   }
   override renew(attemptIds: readonly string[], nowMs: number): void {
     for (const vm of this.#vms) vm.renew(attemptIds, nowMs);
@@ -228,9 +234,9 @@
 }
 
 /** Requests an oracle weighs at a time. */
-const ORACLE_LOOK = 150;
+const ORACLE_MAX_REQUESTS = 150;
 /** How much more it weighs a ms of prefill than one of waiting: prefills delay others as well. */
-const ORACLE_PREFILL = 2;
+const ORACLE_PREFILL_WEIGHT = 2;
 
 /**
  * Sees the engines themselves: speed, queue and cache, without a lag. It keeps a queue, starts what costs the least
@@ -240,7 +246,7 @@
 export class Oracle extends Policy {
   #queue: SlotRequest[] = [];
 
-  ask(request: SlotRequest, nowMs: number): void {
+  requestSlot(request: SlotRequest, nowMs: number): void {
     this.#queue.push(request);
     if (this.#queue.length === 1) this.#dispatch(nowMs);
   }
@@ -251,58 +257,66 @@
     this.#dispatch(nowMs);
   }
   #dispatch(nowMs: number): void {
-    const engines = this.context.engines.filter((e) => !e.dead && !e.silent);
-    const known = this.#queue.slice(0, ORACLE_LOOK).map((request) => ({
+    const engines = this.context.engines.filter((e) =>
+      !e.isDead && !e.isSilent
+    );
+    const ordered = this.#queue.slice(0, ORACLE_MAX_REQUESTS).map((
+      request,
+    ) => ({
       request,
-      least: Math.min(...engines.map((e) => coldTokens(request, e))),
+      uncached: Math.min(
+        ...engines.map((e) => countUncachedTokens(request, e)),
+      ),
     }));
-    known.sort((a, b) => a.least - b.least);
-    const left: SlotRequest[] = [];
-    for (const { request } of known) {
-      const best = this.#best(request, engines);
+    ordered.sort((a, b) => a.uncached - b.uncached);
+    const unplaced: SlotRequest[] = [];
+    for (const { request } of ordered) {
+      const best = this.#pickEngine(request, engines);
       if (!best) {
-        left.push(request);
-      } else if (nowMs + best.firstTokenMs(request) <= request.deadlineMs) {
+        unplaced.push(request);
+      } else if (
+        nowMs + best.estimateFirstTokenMs(request) <= request.deadlineMs
+      ) {
         this.grant(request, best);
       }
     }
-    this.#queue = [...left, ...this.#queue.slice(ORACLE_LOOK)];
+    this.#queue = [...unplaced, ...this.#queue.slice(ORACLE_MAX_REQUESTS)];
   }
-  #best(
+  #pickEngine(
     request: SlotRequest,
     engines: readonly Engine[],
   ): Engine | undefined {
     let best: Engine | undefined;
-    let bestMs = Infinity;
+    let bestCostMs = Infinity;
     for (const engine of engines) {
       const { slots, prefillTokensPerS } = engine.options;
-      const cold = coldTokens(request, engine);
-      const ms = engine.firstTokenMs(request) +
-        (ORACLE_PREFILL * cold * 1000) / prefillTokensPerS +
-        (engine.running + engine.waiting >= slots ? engine.slotMs : 0);
-      if (ms >= bestMs) continue;
+      const uncached = countUncachedTokens(request, engine);
+      const costMs = engine.estimateFirstTokenMs(request) +
+        (ORACLE_PREFILL_WEIGHT * uncached * 1000) / prefillTokensPerS +
+        (engine.running + engine.waiting >= slots ? engine.slotFreeMs : 0);
+      if (costMs >= bestCostMs) continue;
       best = engine;
-      bestMs = ms;
+      bestCostMs = costMs;
     }
     if (!best) return undefined;
-    const full = best.running + best.waiting >= best.options.slots;
-    return full || best.prefillLeft > 1200 + request.promptTokens
+    const isFull = best.running + best.waiting >= best.options.slots;
+    return isFull || best.prefillTokensLeft > 1200 + request.promptTokens
       ? undefined
       : best;
   }
   protected override grant(request: SlotRequest, engine: Engine): void {
-    this.context.answer(request.attemptId, {
+    this.context.onAnswer(request.attemptId, {
       type: "grant",
       attemptId: request.attemptId,
       upstreamId: engine.options.id,
       url: "",
       expiresAtMs: Infinity,
       queuedMs: 0,
-      enginePriority: coldTokens(request, engine) > 2000 ? 1 : 2,
+      enginePriority: countUncachedTokens(request, engine) > 2000 ? 1 : 2,
     });
   }
 }
 
-function coldTokens(request: SlotRequest, engine: Engine): number {
-  return request.promptTokens - engine.cachedTokens(request);
+function countUncachedTokens(request: SlotRequest, engine: Engine): number {
+  return request.promptTokens - engine.countCachedTokens(request);
 }
--- a/bench/region_news.ts
+++ b/bench/region_news.ts
@@ -5,16 +5,16 @@
  */
 
 import type { Sim } from "./sim.ts";
-import type { Ask } from "./workload.ts";
+import type { WorkloadRequest } from "./workload.ts";
 import type { Region, WorldOptions } from "./world_types.ts";
 
-const DIGEST_MS = 1000;
-const LEAST_REPORT_MS = 100;
+const DIGEST_INTERVAL_MS = 1000;
+const MIN_REPORT_INTERVAL_MS = 100;
 
 /** See the module. */
-export class RegionNews {
+export class RegionReports {
   /** Regions cut off from all others. */
-  readonly cut = new Set<string>();
+  readonly cutRegions = new Set<string>();
   readonly #sim: Sim;
   readonly #options: WorldOptions;
   readonly #regions: ReadonlyMap<string, Region>;
@@ -27,32 +27,38 @@
     this.#sim = sim;
     this.#options = options;
     this.#regions = regions;
-    const each = (run: (region: Region) => void) => () => {
+    const forEachRegion = (run: (region: Region) => void) => () => {
       for (const region of regions.values()) run(region);
     };
     sim.every(
-      Math.max(LEAST_REPORT_MS, options.lagMs),
-      each((region) => this.#sendLoads(region)),
+      Math.max(MIN_REPORT_INTERVAL_MS, options.lagMs),
+      forEachRegion((region) => this.#sendLoads(region)),
+    );
+    sim.every(
+      DIGEST_INTERVAL_MS,
+      forEachRegion((region) => this.#sendDigest(region)),
     );
-    sim.every(DIGEST_MS, each((region) => this.#sendDigest(region)));
   }
 
   /** Whether two regions cannot reach each other. */
   isCut(a: Region, b: Region): boolean {
-    return a !== b && (this.cut.has(a.id) || this.cut.has(b.id));
+    return a !== b && (this.cutRegions.has(a.id) || this.cutRegions.has(b.id));
   }
 
   /** Where the digests promise the shortest wait; `undefined` if that is at home, or the request is bound to it. */
-  nearest(home: Region, ask: Ask): Region | undefined {
-    if (ask.bound) return undefined;
-    let bestMs = home.policy.digest(this.#sim.nowMs)?.predictedWaitMs ??
+  findFastestRegion(
+    home: Region,
+    request: WorkloadRequest,
+  ): Region | undefined {
+    if (request.bound) return undefined;
+    let bestWaitMs = home.policy.digest(this.#sim.nowMs)?.predictedWaitMs ??
       Infinity;
     let best: Region | undefined;
-    for (const far of home.far.values()) {
-      const ms = far.predictedWaitMs + 2 * far.linkMs;
-      if (ms >= bestMs) continue;
-      bestMs = ms;
-      best = this.#regions.get(far.region);
+    for (const remote of home.remotes.values()) {
+      const waitMs = remote.predictedWaitMs + 2 * remote.linkMs;
+      if (waitMs >= bestWaitMs) continue;
+      bestWaitMs = waitMs;
+      best = this.#regions.get(remote.region);
     }
     return best;
   }
@@ -79,8 +85,13 @@
       if (to === from || this.isCut(from, to)) continue;
       this.#sim.after(linkMs, () => {
         const seenAtMs = this.#sim.nowMs;
-        to.far.set(from.id, { region: from.id, linkMs, ...digest, seenAtMs });
-        to.policy.setFar([...to.far.values()], seenAtMs);
+        to.remotes.set(from.id, {
+          region: from.id,
+          linkMs,
+          ...digest,
+          seenAtMs,
+        });
+        to.policy.setRemoteRegions([...to.remotes.values()], seenAtMs);
       });
     }
   }
--- a/bench/replay_lab.ts
+++ b/bench/replay_lab.ts
@@ -9,7 +9,7 @@
 import { type TableRow, tableRow } from "../src/agreement/mod.ts";
 import { secretDigest } from "../src/base/mod.ts";
 import {
-  defaultKey,
+  buildDefaultKey,
   FaultInjector,
   type RecordSource,
   type Target,
@@ -23,12 +23,12 @@
 type VmFault = Extract<TraceFault, { target: "vm" }>;
 
 /** The running system of one trace. */
-export class ReplayLab extends FaultInjector {
+export class ReplayTestbed extends FaultInjector {
   readonly #trace: Trace;
   readonly #cluster = new Cluster();
   readonly #upstreams = new Map<string, StandIn & { region: string }>();
-  readonly #cut = new Set<string>();
-  #storeDown = false;
+  readonly #cutRegions = new Set<string>();
+  #isStoreDown = false;
 
   private constructor(trace: Trace) {
     super();
@@ -36,15 +36,15 @@
   }
 
   /** Starts all and waits until every VM knows its region and the table. */
-  static async open(trace: Trace): Promise<ReplayLab> {
-    const lab = new ReplayLab(trace);
+  static async open(trace: Trace): Promise<ReplayTestbed> {
+    const testbed = new ReplayTestbed(trace);
     try {
-      await lab.#start();
+      await testbed.#start();
     } catch (error) {
-      await lab.close();
+      await testbed.close();
       throw error;
     }
-    return lab;
+    return testbed;
   }
 
   /** Where callers start: every VM, as its region's. */
@@ -74,15 +74,15 @@
         return;
       }
       case "vm":
-        return await this.#vm(fault);
+        return await this.#injectVmFault(fault);
       case "store":
-        this.#storeDown = fault.action === "down";
-        return await this.#setPlatform();
+        this.#isStoreDown = fault.action === "down";
+        return await this.#applyPlatformFaults();
       case "link":
-        if (fault.action === "cut") this.#cut.add(fault.region);
-        else this.#cut.delete(fault.region);
-        await this.#setPlatform();
-        return await this.#setLinks();
+        if (fault.action === "cut") this.#cutRegions.add(fault.region);
+        else this.#cutRegions.delete(fault.region);
+        await this.#applyPlatformFaults();
+        return await this.#applyLinkFaults();
     }
   }
 
@@ -94,7 +94,7 @@
   async #start(): Promise<void> {
     await this.#cluster.startPlatform();
     await this.#startUpstreams();
-    await this.#cluster.seed(this.#rows());
+    await this.#cluster.seed(this.#buildRows());
     const seeds: string[] = [];
     for (const { id, vms } of this.#trace.header.topology.regions) {
       for (let n = 0; n < vms; n++) {
@@ -102,8 +102,8 @@
         if (n === 0) seeds.push(vm.peerAddress);
       }
     }
-    await this.#setLinks();
-    await this.#settle();
+    await this.#applyLinkFaults();
+    await this.#waitUntilReady();
   }
 
   async #startVm(id: string, region: string, seeds: string[]): Promise<Vm> {
@@ -112,14 +112,14 @@
     });
   }
 
-  async #settle(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const { regions } = this.#trace.header.topology;
-    const size = new Map(regions.map(({ id, vms }) => [id, vms]));
+    const vmCounts = new Map(regions.map(({ id, vms }) => [id, vms]));
     for (const vm of this.#cluster.vms.values()) {
       await this.#cluster.until(
         vm,
         ({ tableVersion, region }) =>
-          tableVersion !== null && region.length === size.get(vm.region),
+          tableVersion !== null && region.length === vmCounts.get(vm.region),
       );
     }
   }
@@ -158,7 +158,7 @@
     ]);
   }
 
-  #rows(): TableRow[] {
+  #buildRows(): TableRow[] {
     const { regions, services, workspaces } = this.#trace.header.topology;
     const rows: object[] = [
       ...regions.map(({ id, linkMs }) => ({ kind: "region", id, linkMs })),
@@ -169,14 +169,14 @@
         home,
         bound,
         weight,
-        keyDigests: [secretDigest(defaultKey(id))],
+        keyDigests: [secretDigest(buildDefaultKey(id))],
       })),
-      ...services.flatMap((service) => this.#poolRows(service)),
+      ...services.flatMap((service) => this.#buildServiceRows(service)),
     ];
     return rows.map((row) => tableRow.parse(row));
   }
 
-  #poolRows(service: Service): object[] {
+  #buildServiceRows(service: Service): object[] {
     const { row, slots, prefillTokensPerS, decodeTokensPerS, resumes } =
       service;
     const upstreams = [...this.#upstreams].filter(([id]) =>
@@ -204,7 +204,7 @@
     ];
   }
 
-  async #vm({ vm: id, action }: VmFault): Promise<void> {
+  async #injectVmFault({ vm: id, action }: VmFault): Promise<void> {
     const vm = this.#cluster.vms.get(id);
     if (!vm) throw new Error(`no VM ${id}`);
     const signals = {
@@ -217,28 +217,32 @@
     const others = [...this.#cluster.vms.values()].filter((o) => o.id !== id);
     const seeds = others.map((other) => other.peerAddress);
     await this.#startVm(id, vm.region, seeds);
-    await this.#setLinks();
+    await this.#applyLinkFaults();
   }
 
   /** A region that is cut off does not reach the store either. */
-  async #setPlatform(): Promise<void> {
-    const faults = this.#storeDown
+  async #applyPlatformFaults(): Promise<void> {
+    const faults = this.#isStoreDown
       ? [{ outage: "cut" }]
-      : [...this.#cut].map((region) => ({ vm: `^${region}-`, outage: "cut" }));
+      : [...this.#cutRegions].map((region) => ({
+        vm: `^${region}-`,
+        outage: "cut",
+      }));
     await this.#cluster.setPlatformFaults(faults);
   }
 
   /** Sets the delays of all links, and the cuts in force. */
-  async #setLinks(): Promise<void> {
+  async #applyLinkFaults(): Promise<void> {
     const { regions } = this.#trace.header.topology;
     const running = [...this.#cluster.vms.values()].filter((vm) =>
       vm.proc.exitCode === undefined
     );
     await Promise.all(running.map(async (vm) => {
-      const here = regions.find((region) => region.id === vm.region);
-      const faults = Object.entries(here?.linkMs ?? {}).map(
+      const own = regions.find((region) => region.id === vm.region);
+      const faults = Object.entries(own?.linkMs ?? {}).map(
         ([region, delayMs]) => {
-          const cut = this.#cut.has(region) !== this.#cut.has(vm.region);
+          const cut =
+            this.#cutRegions.has(region) !== this.#cutRegions.has(vm.region);
           return [region, { peer: { region }, cut, delayMs }];
         },
       );
@@ -248,14 +252,14 @@
 }
 
 /** Opens the system of a trace, waits for it to be at rest, and calls `use`. */
-export async function withLab<T>(
+export async function withTestbed<T>(
   trace: Trace,
-  use: (lab: ReplayLab) => Promise<T>,
+  use: (testbed: ReplayTestbed) => Promise<T>,
 ): Promise<T> {
-  const lab = await ReplayLab.open(trace);
+  const testbed = await ReplayTestbed.open(trace);
   try {
-    return await use(lab);
+    return await use(testbed);
   } finally {
-    await lab.close();
+    await testbed.close();
   }
 }
--- a/bench/scenario.ts
+++ b/bench/scenario.ts
@@ -4,40 +4,40 @@
  * @module
  */
 
-import { firstTokens, inTime, percentile, share } from "./measures.ts";
+import { isInTime, percentile, share, sortedFirstTokenMs } from "./measures.ts";
 import { Lead } from "./policies.ts";
-import { tableOf } from "./tables.ts";
+import { buildTable } from "./tables.ts";
 import { generate, type Stream } from "./workload.ts";
 import { type Outcome, World } from "./world.ts";
 
-const RUNNERS = 6;
+const UPSTREAMS_PER_REGION = 6;
 const WORKSPACES = Array.from({ length: 8 }, (_, i) => `w${i}`);
 const DRAIN_MS = 10_000;
 
 /** A run; see the fields' uses in `outcomesOf`. */
 export interface Scenario {
   /** Requests a second that arrive in a region at a time. */
-  readonly perS: (atMs: number, region: string) => number;
+  readonly requestsPerS: (atMs: number, region: string) => number;
   /** Requests a second of one more workspace in the first region. */
   readonly floodPerS?: number;
   readonly longShare?: number;
   readonly regions?: readonly string[];
   readonly objective?: object;
   readonly endMs?: number;
-  readonly during?: (world: World) => void;
+  readonly schedule?: (world: World) => void;
 }
 
 /** What became of each request; throws if a promise was broken. */
-export function outcomesOf(scenario: Scenario): readonly Outcome[] {
+export function runScenario(scenario: Scenario): readonly Outcome[] {
   const regions = scenario.regions ?? ["agadir"];
   const world = new World({
-    table: tableOf({
+    table: buildTable({
       regions,
-      runners: RUNNERS,
+      upstreamsPerRegion: UPSTREAMS_PER_REGION,
       objective: scenario.objective ?? {},
       workspaces: WORKSPACES,
       flood: scenario.floodPerS !== undefined,
-      shifts: true,
+      canShift: true,
     }),
     service: "plan",
     regions,
@@ -46,19 +46,19 @@
     seed: 3,
     cacheBlocks: 600,
     usageShare: 0.8,
-    policy: (context) => new Lead(context),
+    createPolicy: (context) => new Lead(context),
   });
-  scenario.during?.(world);
+  scenario.schedule?.(world);
   const endMs = scenario.endMs ?? 25_000;
-  const asks = generate(streamsOf(scenario, regions), endMs, 3);
-  world.run(asks, endMs + DRAIN_MS);
-  if (world.broken.size > 0) {
-    throw new Error(`broken: ${[...world.broken.keys()].join(", ")}`);
+  const requests = generate(buildStreams(scenario, regions), endMs, 3);
+  world.run(requests, endMs + DRAIN_MS);
+  if (world.violations.size > 0) {
+    throw new Error(`broken: ${[...world.violations.keys()].join(", ")}`);
   }
   return world.outcomes;
 }
 
-function streamsOf(
+function buildStreams(
   scenario: Scenario,
   regions: readonly string[],
 ): readonly Stream[] {
@@ -71,7 +71,8 @@
       ),
       bound,
       longShare,
-      perS: (atMs) => scenario.perS(atMs, region) * (bound ? 0.38 : 0.62),
+      requestsPerS: (atMs) =>
+        scenario.requestsPerS(atMs, region) * (bound ? 0.38 : 0.62),
     }))
   );
   const flood = scenario.floodPerS;
@@ -81,24 +82,24 @@
     workspaces: ["flood"],
     bound: true,
     longShare,
-    perS: () => flood,
+    requestsPerS: () => flood,
   }];
 }
 
 /** The part served by its deadline. */
 export function servedShare(outcomes: readonly Outcome[]): number {
-  return share(outcomes, inTime);
+  return share(outcomes, isInTime);
 }
 
 /** First-token time below which this part of the served lies. */
-export function percentileOf(
+export function firstTokenPercentileMs(
   outcomes: readonly Outcome[],
-  part: number,
+  quantile: number,
 ): number {
-  return percentile(firstTokens(outcomes), part);
+  return percentile(sortedFirstTokenMs(outcomes), quantile);
 }
 
 /** The upstream that a request was last placed on. */
-export function lastOf(outcome: Outcome): string | undefined {
+export function lastUpstreamOf(outcome: Outcome): string | undefined {
   return outcome.upstreamId;
 }
--- a/bench/sim.ts
+++ b/bench/sim.ts
@@ -6,25 +6,25 @@
 
 import TinyQueue from "tinyqueue";
 
-interface Event {
+interface SimEvent {
   readonly atMs: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly run: () => void;
 }
 
 /** See the module. */
 export class Sim {
   nowMs = 0;
-  #order = 0;
-  readonly #events = new TinyQueue<Event>(
+  #nextSequence = 0;
+  readonly #events = new TinyQueue<SimEvent>(
     [],
-    (a, b) => a.atMs - b.atMs || a.order - b.order,
+    (a, b) => a.atMs - b.atMs || a.sequence - b.sequence,
   );
 
   after(delayMs: number, run: () => void): void {
     this.#events.push({
       atMs: this.nowMs + delayMs,
-      order: this.#order++,
+      sequence: this.#nextSequence++,
       run,
     });
   }
--- a/bench/tables.ts
+++ b/bench/tables.ts
@@ -10,19 +10,19 @@
 export interface TableSpec {
   readonly regions: readonly string[];
   /** Upstreams of each region. */
-  readonly runners: number;
+  readonly upstreamsPerRegion: number;
   readonly objective: object;
-  /** Each becomes a bound and a free workspace in each region; see {@link nameOf}. */
+  /** Each becomes a bound and a free workspace in each region; see {@link workspaceName}. */
   readonly workspaces: readonly string[];
   /** Whether there is a workspace `flood`, bound to the first region. */
   readonly flood?: boolean;
   /** Whether requests may be sent to other regions. */
-  readonly shifts: boolean;
+  readonly canShift: boolean;
   readonly queueLimit?: number;
 }
 
 /** The workspace's name in a region. */
-export function nameOf(
+export function workspaceName(
   region: string,
   workspace: string,
   bound: boolean,
@@ -31,7 +31,7 @@
 }
 
 /** Makes the table, at version 1. */
-export function tableOf(spec: TableSpec): Table {
+export function buildTable(spec: TableSpec): Table {
   const rows: unknown[] = [{
     kind: "service",
     id: "plan",
@@ -39,7 +39,9 @@
     objective: spec.objective,
     queueLimit: spec.queueLimit ?? 1000,
   }];
-  for (const region of spec.regions) rows.push(...regionRows(spec, region));
+  for (const region of spec.regions) {
+    rows.push(...buildRegionRows(spec, region));
+  }
   if (spec.flood) {
     rows.push({ kind: "workspace", id: "flood", home: spec.regions[0] });
   }
@@ -47,7 +49,7 @@
   return Table.of(1, parsed.map((row: TableRow) => ({ row, version: 1 })));
 }
 
-function regionRows(spec: TableSpec, region: string): unknown[] {
+function buildRegionRows(spec: TableSpec, region: string): unknown[] {
   const others = spec.regions.filter((other) => other !== region);
   const rows: unknown[] = [
     { kind: "region", id: region },
@@ -55,10 +57,10 @@
       kind: "traffic",
       service: "plan",
       region,
-      mayGoTo: spec.shifts ? others : [],
+      mayGoTo: spec.canShift ? others : [],
     },
   ];
-  for (let i = 0; i < spec.runners; i++) {
+  for (let i = 0; i < spec.upstreamsPerRegion; i++) {
     rows.push({
       kind: "upstream",
       id: `${region}-${i}`,
@@ -72,7 +74,7 @@
     for (const bound of [true, false]) {
       rows.push({
         kind: "workspace",
-        id: nameOf(region, workspace, bound),
+        id: workspaceName(region, workspace, bound),
         home: region,
         bound,
       });
--- a/bench/vm_cost.ts
+++ b/bench/vm_cost.ts
@@ -23,27 +23,27 @@
   type VmRecord,
 } from "../src/region/mod.ts";
 import {
-  CONFIG_ROW_KEY,
-  configRow,
   KvServer,
+  makeConfig,
+  makeRoute,
+  makeUpstreamEntry,
+  PLATFORM_CONFIG_KEY,
   ROUTE_HOST,
-  routeRow,
   Runner,
-  upstreamRow,
 } from "../src/standins/mod.ts";
 import type { Row } from "./row.ts";
 
 const REGIONS = ["north", "south", "west"];
-const SIZES = [7, 30, 90, 195, 300];
+const FLEET_SIZES = [7, 30, 90, 195, 300];
 /** Upstreams of the VM's region by size of the fleet: about one for two VMs. */
-const upstreamsFor = (vms: number) => Math.max(4, Math.round(vms * 0.16));
+const countUpstreams = (vms: number) => Math.max(4, Math.round(vms * 0.16));
 const PORT = 18_104;
 const IDLE_MS = 6_000;
 /** A VM that is replaced daily, among many, runs few requests before its code is compiled to its best. */
 const FIRST_REQUESTS = 150;
 const LATER_REQUESTS = 500;
-const AT_ONCE = 10;
-const TICK_MS = 50;
+const CONCURRENCY = 10;
+const TICK_INTERVAL_MS = 50;
 /** Cores of the measured VM and of the others: more make it its region's first lead. */
 const CORES = { lead: 2, other: 0.1, peers: 1 };
 const SEED = 1;
@@ -52,13 +52,13 @@
   new Promise<void>((resolve) => setTimeout(resolve, ms));
 
 /** Processor time of a process so far, in ms. */
-function usedMs({ pid }: ChildProcess): number {
+function readCpuMs({ pid }: ChildProcess): number {
   return Number(readFileSync(`/proc/${pid}/schedstat`, "utf8").split(" ")[0]) /
     1e6;
 }
 
 /** VMs that say what VMs say, and do nothing. */
-class Peers {
+class FakePeers {
   readonly #sockets: Socket[] = [];
   readonly #timers: NodeJS.Timeout[] = [];
 
@@ -95,10 +95,10 @@
       const text = JSON.stringify({ jsonrpc: "2.0", method, params });
       for (const ip of ips) socket.send(text, PORT, ip);
     };
-    const tell = (messages: readonly DueMessage[]) => {
+    const sendAll = (messages: readonly DueMessage[]) => {
       const nowMs = performance.now();
       for (const due of messages) {
-        const said = due.type === "report"
+        const body = due.type === "report"
           ? {
             ...self,
             everyMs: view.reportEveryMs,
@@ -109,7 +109,7 @@
           : due.type === "roster"
           ? { ...view.buildRoster(nowMs, due.withNames), load: {} }
           : { ...view.buildDigest(nowMs, due.toRegion), room: {} };
-        send(due.type, said, due.ips);
+        send(due.type, body, due.ips);
       }
     };
     socket.on("message", (datagram) => {
@@ -117,7 +117,7 @@
       const nowMs = performance.now();
       if (method === "report") {
         const report = decodeReport(params);
-        if (report) tell(view.onReport(report, nowMs));
+        if (report) sendAll(view.onReport(report, nowMs));
       } else if (method === "roster") {
         const roster = decodeRoster(params);
         if (roster) view.onRoster(roster, nowMs);
@@ -128,12 +128,12 @@
     });
     socket.bind(PORT, self.ip);
     this.#sockets.push(socket);
-    const tick = () => tell(view.tick(performance.now()));
-    this.#timers.push(setInterval(tick, TICK_MS));
+    const tick = () => sendAll(view.tick(performance.now()));
+    this.#timers.push(setInterval(tick, TICK_INTERVAL_MS));
   }
 }
 
-function settingsOf(
+function buildSettings(
   ip: string,
   storeAddress: string,
   cores: number,
@@ -175,7 +175,7 @@
   };
 }
 
-function status(url: string): Promise<number> {
+function fetchStatus(url: string): Promise<number> {
   return new Promise((resolve) => {
     get(url, { agent: false }, (answer) => {
       answer.resume();
@@ -184,7 +184,7 @@
   });
 }
 
-function call(ip: string, agent: Agent, index: number): Promise<void> {
+function sendRequest(ip: string, agent: Agent, index: number): Promise<void> {
   return new Promise((resolve, reject) => {
     const sent = request({
       agent,
@@ -207,10 +207,10 @@
 }
 
 interface Cost {
-  readonly startMs: number;
-  readonly idleMsPerS: number;
-  readonly firstMs: number;
-  readonly laterMs: number;
+  readonly startCpuMs: number;
+  readonly idleCpuMsPerS: number;
+  readonly firstCpuMs: number;
+  readonly laterCpuMs: number;
 }
 
 /** Starts the VM among `vms` others in all, and measures it. */
@@ -221,54 +221,60 @@
 ): Promise<Cost> {
   const server = new KvServer({ readsPerS: 10_000, writesPerS: 10_000 });
   const runners: Runner[] = [];
-  for (let i = 0; i < upstreamsFor(vms); i++) {
+  for (let i = 0; i < countUpstreams(vms); i++) {
     const runner = await Runner.open(`i-${i}`);
-    runner.workMs = 0;
+    runner.answerDelayMs = 0;
     runners.push(runner);
     server.put(
       `servers/${runner.id}`,
-      upstreamRow(runner.address, "north"),
+      makeUpstreamEntry(runner.address, "north"),
     );
   }
-  const route = routeRow({ path_prefix: "/stream/", kind: "streaming" });
-  server.put(CONFIG_ROW_KEY, configRow(1, [route]));
+  const route = makeRoute({ path_prefix: "/stream/", kind: "streaming" });
+  server.put(PLATFORM_CONFIG_KEY, makeConfig(1, [route]));
   const ip = "127.92.0.1";
-  const peers = new Peers(vms - 1, ["127.91.1.1", "127.91.1.2", "127.91.1.3"]);
+  const peers = new FakePeers(vms - 1, [
+    "127.91.1.1",
+    "127.91.1.2",
+    "127.91.1.3",
+  ]);
   const dir = mkdtempSync(join(tmpdir(), "ibisgap-vm-cost-"));
   const path = join(dir, "settings.json");
   await sleep(3_000);
-  const address = await server.addressFor("measured");
-  writeFileSync(path, JSON.stringify(settingsOf(ip, address, cores)));
+  const address = await server.openAddressFor("measured");
+  writeFileSync(path, JSON.stringify(buildSettings(ip, address, cores)));
   const vm = spawn(
     process.execPath,
     [...flags, "target/ibisgap-gateway.mjs", path],
     { stdio: "ignore" },
   );
   try {
-    while (await status(`http://${ip}:18101/api/ready`) !== 200) await sleep(5);
-    const startMs = usedMs(vm);
+    while (await fetchStatus(`http://${ip}:18101/api/ready`) !== 200) {
+      await sleep(5);
+    }
+    const startCpuMs = readCpuMs(vm);
     await sleep(3_000);
-    const beforeMs = usedMs(vm);
+    const cpuBeforeMs = readCpuMs(vm);
     await sleep(IDLE_MS);
-    const idleMsPerS = (usedMs(vm) - beforeMs) / (IDLE_MS / 1_000);
+    const idleCpuMsPerS = (readCpuMs(vm) - cpuBeforeMs) / (IDLE_MS / 1_000);
     const agent = new Agent({ keepAlive: true });
-    const perRequest = async (count: number) => {
-      const fromMs = usedMs(vm);
-      const sinceMs = performance.now();
-      for (let i = 0; i < count; i += AT_ONCE) {
+    const measureRequestCpuMs = async (count: number) => {
+      const cpuBeforeMs = readCpuMs(vm);
+      const startMs = performance.now();
+      for (let i = 0; i < count; i += CONCURRENCY) {
         const calls = Array.from(
-          { length: AT_ONCE },
-          (_, at) => call(ip, agent, i + at),
+          { length: CONCURRENCY },
+          (_, offset) => sendRequest(ip, agent, i + offset),
         );
         await Promise.all(calls);
       }
-      const tookS = (performance.now() - sinceMs) / 1_000;
-      return (usedMs(vm) - fromMs - tookS * idleMsPerS) / count;
+      const elapsedS = (performance.now() - startMs) / 1_000;
+      return (readCpuMs(vm) - cpuBeforeMs - elapsedS * idleCpuMsPerS) / count;
     };
-    const firstMs = await perRequest(FIRST_REQUESTS);
-    const laterMs = await perRequest(LATER_REQUESTS);
+    const firstCpuMs = await measureRequestCpuMs(FIRST_REQUESTS);
+    const laterCpuMs = await measureRequestCpuMs(LATER_REQUESTS);
     agent.destroy();
-    return { startMs, idleMsPerS, firstMs, laterMs };
+    return { startCpuMs, idleCpuMsPerS, firstCpuMs, laterCpuMs };
   } finally {
     vm.kill("SIGKILL");
     peers.close();
@@ -284,13 +290,13 @@
     const at = args.indexOf(name);
     return at < 0 ? undefined : args[at + 1];
   };
-  const sizes = option("--vms")?.split(",").map(Number) ?? SIZES;
+  const sizes = option("--vms")?.split(",").map(Number) ?? FLEET_SIZES;
   const roles = option("--role") === "lead"
     ? ["lead"] as const
     : ["lead", "other"] as const;
   const flags = option("--node")?.split(" ").filter(Boolean) ?? [];
-  const built = spawnSync("npm", ["run", "--silent", "bundle"]);
-  if (built.status !== 0) throw new Error(String(built.stderr));
+  const bundled = spawnSync("npm", ["run", "--silent", "bundle"]);
+  if (bundled.status !== 0) throw new Error(String(bundled.stderr));
   const rows: Row[] = [];
   for (const vms of sizes) {
     for (const role of roles) {
@@ -305,10 +311,10 @@
         seed: SEED,
       });
       rows.push(
-        row("start until ready", cost.startMs),
-        row("idle second", cost.idleMsPerS),
-        row("one of the first requests", cost.firstMs),
-        row("a later request", cost.laterMs),
+        row("start until ready", cost.startCpuMs),
+        row("idle second", cost.idleCpuMsPerS),
+        row("one of the first requests", cost.firstCpuMs),
+        row("a later request", cost.laterCpuMs),
       );
     }
   }
--- a/bench/workload.ts
+++ b/bench/workload.ts
@@ -8,7 +8,7 @@
 import { BLOCK_TOKENS } from "./engine.ts";
 
 /** A request of the workload. */
-export interface Ask {
+export interface WorkloadRequest {
   readonly id: string;
   readonly atMs: number;
   readonly region: string;
@@ -29,13 +29,13 @@
   /** Share of long prompts. */
   readonly longShare: number;
   /** Requests a second at a time. */
-  readonly perS: (atMs: number) => number;
+  readonly requestsPerS: (atMs: number) => number;
 }
 
 /** Documents of one workspace; each is the shared beginning of many prompts. */
-const DOCUMENTS = 3;
+const DOCUMENTS_PER_WORKSPACE = 3;
 /** Part of a long prompt that is the shared document. */
-const SHARED = 0.75;
+const SHARED_PROMPT_SHARE = 0.75;
 /** Time to the first token that callers allow. */
 export const DEADLINE_MS = { short: 3000, long: 8000 };
 
@@ -44,37 +44,44 @@
   streams: readonly Stream[],
   endMs: number,
   seed: number,
-): Ask[] {
-  const asks = streams.flatMap((stream, index) =>
-    one(stream, endMs, new Random(seed * 1000 + index), index)
+): WorkloadRequest[] {
+  const requests = streams.flatMap((stream, index) =>
+    generateStream(stream, endMs, new Random(seed * 1000 + index), index)
   );
-  return asks.sort((a, b) => a.atMs - b.atMs || (a.id < b.id ? -1 : 1));
+  return requests.sort((a, b) => a.atMs - b.atMs || (a.id < b.id ? -1 : 1));
 }
 
-function one(
+function generateStream(
   stream: Stream,
   endMs: number,
   random: Random,
   index: number,
-): Ask[] {
-  const asks: Ask[] = [];
+): WorkloadRequest[] {
+  const requests: WorkloadRequest[] = [];
   let atMs = 0;
   for (;;) {
     // Steps of at most 100 ms follow a rate that changes.
-    const perMs = stream.perS(atMs) / 1000;
+    const perMs = stream.requestsPerS(atMs) / 1000;
     const gapMs = perMs > 0 ? random.exponential(1 / perMs) : Infinity;
     if (gapMs > 100) {
       atMs += 100;
-      if (atMs >= endMs) return asks;
+      if (atMs >= endMs) return requests;
       continue;
     }
     atMs += gapMs;
-    if (atMs >= endMs) return asks;
-    asks.push(ask(stream, atMs, random, `${index}-${asks.length}`));
+    if (atMs >= endMs) return requests;
+    requests.push(
+      makeRequest(stream, atMs, random, `${index}-${requests.length}`),
+    );
   }
 }
 
-function ask(stream: Stream, atMs: number, random: Random, id: string): Ask {
+function makeRequest(
+  stream: Stream,
+  atMs: number,
+  random: Random,
+  id: string,
+): WorkloadRequest {
   const type = random.next() < stream.longShare ? "long" : "short";
   const workspace = random.pick(stream.workspaces);
   const promptTokens = type === "long"
@@ -92,26 +99,31 @@
     type,
     promptTokens,
     outputTokens,
-    prefixHashes: prefix(type, workspace, promptTokens, random),
+    prefixHashes: makePrefixHashes(type, workspace, promptTokens, random),
     deadlineMs: atMs + DEADLINE_MS[type],
   };
 }
 
-function prefix(
-  type: Ask["type"],
+function makePrefixHashes(
+  type: WorkloadRequest["type"],
   workspace: string,
   promptTokens: number,
   random: Random,
 ): number[] {
   const blocks = Math.floor(promptTokens / BLOCK_TOKENS);
   // Squaring makes the first documents the popular ones.
-  const document = Math.floor(random.next() ** 2 * DOCUMENTS);
-  const shared = type === "long" ? Math.floor(blocks * SHARED) : 1;
-  const base = hashOf(`${workspace}/${type}/${document}`);
-  const own = random.int(2 ** 31);
+  const document = Math.floor(random.next() ** 2 * DOCUMENTS_PER_WORKSPACE);
+  const sharedBlocks = type === "long"
+    ? Math.floor(blocks * SHARED_PROMPT_SHARE)
+    : 1;
+  const sharedHash = hashOf(`${workspace}/${type}/${document}`);
+  const ownHash = random.int(2 ** 31);
   return Array.from(
     { length: blocks },
-    (_, i) => i < shared ? (base + i * 7919) >>> 0 : (own + i * 104729) >>> 0,
+    (_, i) =>
+      i < sharedBlocks
+        ? (sharedHash + i * 7919) >>> 0
+        : (ownHash + i * 104729) >>> 0,
   );
 }
 
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -11,12 +11,12 @@
   type SlotAnswer,
   type SlotReport,
 } from "../src/decisions/mod.ts";
-import { AwakeMeter } from "./awake_meter.ts";
+import { UpstreamHoursMeter } from "./awake_meter.ts";
 import { Engine } from "./engine.ts";
 import { Lead, type Policy, type PolicyContext } from "./policies.ts";
-import { RegionNews } from "./region_news.ts";
+import { RegionReports } from "./region_news.ts";
 import { Sim } from "./sim.ts";
-import type { Ask } from "./workload.ts";
+import type { WorkloadRequest } from "./workload.ts";
 import {
   type Attempt,
   heldSlot,
@@ -34,7 +34,7 @@
 /** Time until a VM knows that a connection to another region cannot be made. */
 const CONNECT_TIMEOUT_MS = 300;
 /** Time from the loss of a lead until VMs ask its successor, and until they have told it what they hold. */
-const REASK_MS = 500;
+const REREQUEST_MS = 500;
 const ADOPT_MS = 800;
 
 /** See the module. */
@@ -42,35 +42,35 @@
   readonly sim = new Sim();
   readonly outcomes: Outcome[] = [];
   /** Promises of the brief that were broken, by name. */
-  readonly broken = new Map<string, number>();
+  readonly violations = new Map<string, number>();
   readonly #options: WorldOptions;
   readonly #regions = new Map<string, Region>();
   readonly #attempts = new Map<string, Attempt>();
-  readonly #current = new WeakMap<Outcome, Attempt>();
-  readonly #news: RegionNews;
+  readonly #currentAttempts = new WeakMap<Outcome, Attempt>();
+  readonly #reports: RegionReports;
   readonly #random: Random;
-  readonly #awake: AwakeMeter;
-  #count = 0;
+  readonly #hoursMeter: UpstreamHoursMeter;
+  #attemptCount = 0;
 
   constructor(options: WorldOptions) {
     this.#options = options;
     this.#random = new Random(options.seed);
-    for (const id of options.regions) this.#regions.set(id, this.#region(id));
+    for (const id of options.regions) this.#regions.set(id, this.#build(id));
     this.sim.every(TICK_MS, () => this.#each((r) => r.policy.tick(this.now)));
     this.sim.every(
       RENEW_MS,
       () => this.#each((r) => r.policy.renew([...r.held], this.now)),
     );
-    this.#awake = new AwakeMeter(
+    this.#hoursMeter = new UpstreamHoursMeter(
       this.sim,
       [...this.#regions.values()].flatMap(({ engines }) => engines),
     );
-    this.#news = new RegionNews(this.sim, options, this.#regions);
+    this.#reports = new RegionReports(this.sim, options, this.#regions);
   }
 
   /** Regions cut off from all others. */
-  get cut(): Set<string> {
-    return this.#news.cut;
+  get cutRegions(): Set<string> {
+    return this.#reports.cutRegions;
   }
   get now(): number {
     return this.sim.nowMs;
@@ -91,26 +91,26 @@
 
   /** Upstream-hours that were paid for between these times. */
   upstreamHours(fromMs: number, toMs: number): number {
-    return this.#awake.hours(fromMs, toMs);
+    return this.#hoursMeter.hoursBetween(fromMs, toMs);
   }
 
   /** Runs the requests to their ends. */
-  run(asks: readonly Ask[], endMs: number): void {
-    for (const ask of asks) this.sim.after(ask.atMs, () => this.#arrive(ask));
+  run(requests: readonly WorkloadRequest[], endMs: number): void {
+    for (const r of requests) this.sim.after(r.atMs, () => this.#arrive(r));
     this.sim.runUntil(endMs);
   }
 
-  #region(id: string): Region {
+  #build(id: string): Region {
     const { table, service, cacheBlocks } = this.#options;
     const engines = table.upstreams(service, id).map((row) =>
       new Engine(this.sim, { ...row, cacheBlocks })
     );
-    const policy = this.#options.policy(this.#context(id, engines));
+    const policy = this.#options.createPolicy(this.#contextOf(id, engines));
     const byId = new Map(engines.map((e) => [e.options.id, e]));
-    return { id, engines, byId, policy, far: new Map(), held: new Set() };
+    return { id, engines, byId, policy, remotes: new Map(), held: new Set() };
   }
 
-  #context(id: string, engines: readonly Engine[]): PolicyContext {
+  #contextOf(id: string, engines: readonly Engine[]): PolicyContext {
     const { table, service, seed } = this.#options;
     return {
       region: id,
@@ -118,10 +118,13 @@
       table,
       engines,
       seed,
-      answer: (attemptId, answer) => this.#answered(attemptId, answer),
-      order: (upstreamId, want) => {
+      onAnswer: (attemptId, answer) => this.#onAnswer(attemptId, answer),
+      onOrder: (upstreamId, want) => {
         const engine = this.#regions.get(id)!.byId.get(upstreamId)!;
-        this.sim.after(HOP_MS, () => void (engine.parked = want === "parked"));
+        this.sim.after(
+          HOP_MS,
+          () => void (engine.isParked = want === "parked"),
+        );
       },
     };
   }
@@ -130,20 +133,18 @@
    * The lead is lost; a new one knows nothing but the table. Entry VMs ask it again for what was queued, and a little
    * later tell it what they hold.
    */
-  loseLead(regionId: string): void {
+  replaceLead(regionId: string): void {
     const region = this.#regions.get(regionId)!;
-    const lead = new Lead(this.#context(regionId, region.engines), this.now);
+    const lead = new Lead(this.#contextOf(regionId, region.engines), this.now);
     region.policy = lead;
-    const mine = [...this.#attempts.values()].filter((a) =>
-      a.region === region
-    );
-    this.sim.after(REASK_MS, () => {
-      for (const attempt of mine) {
-        if (attempt.state === "asked") this.#ask(attempt);
+    const own = [...this.#attempts.values()].filter((a) => a.region === region);
+    this.sim.after(REREQUEST_MS, () => {
+      for (const attempt of own) {
+        if (attempt.state === "asked") this.#request(attempt);
       }
     });
     this.sim.after(ADOPT_MS, () => {
-      const held = mine.filter((a) =>
+      const held = own.filter((a) =>
         a.state === "granted" || a.state === "started"
       );
       lead.adopt(held.map((attempt) => heldSlot(attempt, this.now)), this.now);
@@ -154,21 +155,22 @@
     for (const region of this.#regions.values()) run(region);
   }
 
-  #arrive(ask: Ask): void {
-    const home = this.#regions.get(ask.region)!;
+  #arrive(request: WorkloadRequest): void {
+    const home = this.#regions.get(request.region)!;
     const outcome: Outcome = {
-      ask,
+      request,
       result: "open",
       attempts: 0,
       moves: 0,
-      warmTokens: 0,
-      answers: 0,
-      runs: 0,
+      cachedTokens: 0,
+      responses: 0,
+      submissions: 0,
     };
     this.outcomes.push(outcome);
-    this.sim.after(ask.deadlineMs - this.now, () => this.#leave(outcome));
-    const far = this.#options.onlyLatency && this.#news.nearest(home, ask);
-    if (far) this.#forward(outcome, home, far);
+    this.sim.after(request.deadlineMs - this.now, () => this.#expire(outcome));
+    const remote = this.#options.isLatencyOnly &&
+      this.#reports.findFastestRegion(home, request);
+    if (remote) this.#forward(outcome, home, remote);
     else this.#attempt(outcome, home, home, []);
   }
 
@@ -177,60 +179,60 @@
     home: Region,
     region: Region,
     exclude: readonly string[],
-    returned = false,
+    isReturned = false,
   ): void {
     if (outcome.result !== "open") return;
-    const { ask } = outcome;
+    const { request } = outcome;
     outcome.attempts++;
     const attempt: Attempt = {
-      id: `${ask.id}#${this.#count++}`,
+      id: `${request.id}#${this.#attemptCount++}`,
       outcome,
       region,
       home,
       exclude,
-      returned,
+      isReturned,
       grantedAtMs: 0,
       state: "asked",
     };
     this.#attempts.set(attempt.id, attempt);
-    this.#current.set(outcome, attempt);
-    this.sim.after(HOP_MS, () => this.#ask(attempt));
+    this.#currentAttempts.set(outcome, attempt);
+    this.sim.after(HOP_MS, () => this.#request(attempt));
   }
 
-  #ask({ id, outcome, region, home, exclude, returned }: Attempt): void {
-    const { ask } = outcome;
+  #request({ id, outcome, region, home, exclude, isReturned }: Attempt): void {
+    const { request } = outcome;
     // The policy that knows only latency takes what others send as its own.
-    const away = region !== home && !this.#options.onlyLatency;
-    region.policy.ask({
+    const isRemote = region !== home && !this.#options.isLatencyOnly;
+    region.policy.requestSlot({
       attemptId: id,
       service: this.#options.service,
-      workspace: ask.workspace,
+      workspace: request.workspace,
       priority: 0,
-      arrivedAtMs: ask.atMs,
-      deadlineMs: ask.deadlineMs,
-      prefixHashes: ask.prefixHashes,
-      promptTokens: ask.promptTokens,
-      expectedOutputTokens: ask.outputTokens,
+      arrivedAtMs: request.atMs,
+      deadlineMs: request.deadlineMs,
+      prefixHashes: request.prefixHashes,
+      promptTokens: request.promptTokens,
+      expectedOutputTokens: request.outputTokens,
       exclude,
-      ...(away ? { sentFrom: home.id } : {}),
-      ...(returned ? { stayHome: true } : {}),
+      ...(isRemote ? { sentFrom: home.id } : {}),
+      ...(isReturned ? { stayHome: true } : {}),
       tableVersion: 1,
     }, this.now);
   }
 
-  #answered(attemptId: string, answer: SlotAnswer): void {
+  #onAnswer(attemptId: string, answer: SlotAnswer): void {
     const attempt = this.#attempts.get(attemptId);
     if (!attempt) return;
-    if (attempt.state !== "asked") return this.#breach("answered twice");
+    if (attempt.state !== "asked") return this.#violate("answered twice");
     const { outcome, region, home } = attempt;
-    if (answer.type === "grant") return this.#granted(attempt, answer);
+    if (answer.type === "grant") return this.#onGrant(attempt, answer);
     attempt.state = "closed";
     this.#attempts.delete(attemptId);
     if (outcome.result !== "open") return;
     if (answer.type === "shift") {
-      if (attempt.returned || region !== home) this.#breach("moved twice");
-      const far = this.#regions.get(answer.region)!;
-      this.#forward(outcome, home, far);
+      if (attempt.isReturned || region !== home) this.#violate("moved twice");
+      const remote = this.#regions.get(answer.region)!;
+      this.#forward(outcome, home, remote);
       return;
     }
     if (region !== home) {
@@ -244,24 +246,24 @@
   #refuse(outcome: Outcome, code: string): void {
     outcome.result = "refused";
     outcome.code = code;
-    outcome.refusedAfterMs = this.now - outcome.ask.atMs;
+    outcome.refusedAfterMs = this.now - outcome.request.atMs;
   }
 
-  #forward(outcome: Outcome, home: Region, far: Region): void {
+  #forward(outcome: Outcome, home: Region, remote: Region): void {
     const { linkMs } = this.#options;
-    if (outcome.ask.bound) this.#breach("bound sent away");
+    if (outcome.request.bound) this.#violate("bound sent away");
     outcome.moves++;
-    if (this.#news.isCut(home, far)) {
+    if (this.#reports.isCut(home, remote)) {
       this.sim.after(
         CONNECT_TIMEOUT_MS,
         () => this.#attempt(outcome, home, home, [], true),
       );
       return;
     }
-    this.sim.after(linkMs, () => this.#attempt(outcome, home, far, []));
+    this.sim.after(linkMs, () => this.#attempt(outcome, home, remote, []));
   }
 
-  #granted(
+  #onGrant(
     attempt: Attempt,
     grant: SlotAnswer & { type: "grant" },
   ): void {
@@ -273,7 +275,7 @@
     region.held.add(attempt.id);
     if (outcome.result !== "open") return this.#end(attempt, "canceled");
     if (attempt.exclude.includes(grant.upstreamId)) {
-      this.#breach("visited again");
+      this.#violate("visited again");
     }
     this.sim.after(
       2 * HOP_MS,
@@ -284,20 +286,20 @@
   #submit(attempt: Attempt, priority: number): void {
     if (attempt.state !== "granted") return;
     const engine = attempt.region.byId.get(attempt.upstreamId!)!;
-    const { ask } = attempt.outcome;
-    if (engine.dead || engine.parked) {
+    const { request } = attempt.outcome;
+    if (engine.isDead || engine.isParked) {
       this.#end(attempt, "unreachable");
       this.#retry(attempt, "no");
       return;
     }
-    attempt.outcome.runs++;
+    attempt.outcome.submissions++;
     engine.submit({
       id: attempt.id,
-      promptTokens: ask.promptTokens,
-      outputTokens: ask.outputTokens,
-      prefixHashes: ask.prefixHashes,
+      promptTokens: request.promptTokens,
+      outputTokens: request.outputTokens,
+      prefixHashes: request.prefixHashes,
       priority,
-      onFirst: (cached) => this.#first(attempt, cached),
+      onFirstToken: (cached) => this.#onFirstToken(attempt, cached),
       onDone: () => this.#end(attempt, "done"),
       onFail: () => {
         const started = attempt.state === "started";
@@ -308,18 +310,18 @@
     });
   }
 
-  #first(attempt: Attempt, cached: number): void {
+  #onFirstToken(attempt: Attempt, cached: number): void {
     if (attempt.state !== "granted") return;
     const { outcome, region, home } = attempt;
     attempt.state = "started";
     if (outcome.result !== "open") return;
-    outcome.answers++;
-    if (outcome.answers > 1) this.#breach("two answers");
+    outcome.responses++;
+    if (outcome.responses > 1) this.#violate("two answers");
     const backMs = HOP_MS + (region === home ? 0 : this.#options.linkMs);
-    outcome.firstMs = this.now + backMs - outcome.ask.atMs;
+    outcome.firstTokenMs = this.now + backMs - outcome.request.atMs;
     outcome.result = "served";
     outcome.servedIn = region.id;
-    outcome.warmTokens = cached;
+    outcome.cachedTokens = cached;
     this.#report(attempt, "started", this.now - attempt.grantedAtMs);
   }
 
@@ -336,17 +338,17 @@
     outcome: SlotReport["outcome"],
     firstTokenMs?: number,
   ): void {
-    const { ask } = attempt.outcome;
+    const { request } = attempt.outcome;
     const report: SlotReport = {
       attemptId: attempt.id,
       service: this.#options.service,
       upstreamId: attempt.upstreamId!,
       outcome,
       ...(firstTokenMs === undefined ? {} : { firstTokenMs }),
-      ...(outcome === "done" && this.#tells()
-        ? { cachedTokens: attempt.outcome.warmTokens }
+      ...(outcome === "done" && this.#hasUsage()
+        ? { cachedTokens: attempt.outcome.cachedTokens }
         : {}),
-      outputTokens: outcome === "done" ? ask.outputTokens : 0,
+      outputTokens: outcome === "done" ? request.outputTokens : 0,
       totalMs: this.now - attempt.grantedAtMs,
     };
     this.sim.after(
@@ -359,27 +361,27 @@
     const { outcome, home, region } = attempt;
     if (outcome.result !== "open") return;
     const exclude = [...attempt.exclude, attempt.upstreamId!];
-    const allowed = mayRetry({
+    const isAllowed = mayRetry({
       atMostOnce: false,
       ran,
       answerBytes: 0,
       attempts: Math.min(exclude.length, ATTEMPT_LIMIT),
-      deadlineMs: outcome.ask.deadlineMs,
+      deadlineMs: outcome.request.deadlineMs,
     }, this.now);
-    if (!allowed) return this.#refuse(outcome, "upstreamFailed");
-    this.#attempt(outcome, home, region, exclude, attempt.returned);
+    if (!isAllowed) return this.#refuse(outcome, "upstreamFailed");
+    this.#attempt(outcome, home, region, exclude, attempt.isReturned);
   }
 
   /** Whether this answer's usage tells what was cached: some engines leave it out of some answers. */
-  #tells(): boolean {
+  #hasUsage(): boolean {
     return this.#random.next() < this.#options.usageShare;
   }
 
   /** The caller's deadline: one without a first token goes away. */
-  #leave(outcome: Outcome): void {
+  #expire(outcome: Outcome): void {
     if (outcome.result !== "open") return;
     outcome.result = "late";
-    const attempt = this.#current.get(outcome);
+    const attempt = this.#currentAttempts.get(outcome);
     if (!attempt || attempt.state === "closed") return;
     if (attempt.state === "granted") {
       attempt.region.byId.get(attempt.upstreamId!)!.cancel(attempt.id);
@@ -391,7 +393,7 @@
     }
   }
 
-  #breach(promise: string): void {
-    this.broken.set(promise, (this.broken.get(promise) ?? 0) + 1);
+  #violate(rule: string): void {
+    this.violations.set(rule, (this.violations.get(rule) ?? 0) + 1);
   }
 }
--- a/bench/world_types.ts
+++ b/bench/world_types.ts
@@ -12,7 +12,7 @@
 } from "../src/decisions/mod.ts";
 import type { Engine } from "./engine.ts";
 import type { Policy, PolicyContext } from "./policies.ts";
-import type { Ask } from "./workload.ts";
+import type { WorkloadRequest } from "./workload.ts";
 
 /** How a world is made. */
 export interface WorldOptions {
@@ -26,16 +26,16 @@
   readonly cacheBlocks: number;
   /** Share of the answers whose usage tells what was cached. */
   readonly usageShare: number;
-  readonly policy: (context: PolicyContext) => Policy;
+  readonly createPolicy: (context: PolicyContext) => Policy;
   /** Requests go wherever the digests show the shortest wait. */
-  readonly onlyLatency?: boolean;
+  readonly isLatencyOnly?: boolean;
 }
 
 /** What became of a request. */
 export interface Outcome {
-  readonly ask: Ask;
+  readonly request: WorkloadRequest;
   result: "open" | "served" | "late" | "refused" | "broken";
-  firstMs?: number;
+  firstTokenMs?: number;
   /** Region that served it. */
   servedIn?: string;
   /** The upstream it was last placed on. */
@@ -43,9 +43,9 @@
   code?: string;
   attempts: number;
   moves: number;
-  warmTokens: number;
-  answers: number;
-  runs: number;
+  cachedTokens: number;
+  responses: number;
+  submissions: number;
   refusedAfterMs?: number;
 }
 
@@ -55,7 +55,7 @@
   readonly engines: readonly Engine[];
   readonly byId: ReadonlyMap<string, Engine>;
   policy: Policy;
-  readonly far: Map<string, RemoteRegion>;
+  readonly remotes: Map<string, RemoteRegion>;
   readonly held: Set<string>;
 }
 
@@ -66,7 +66,7 @@
   readonly region: Region;
   readonly home: Region;
   readonly exclude: readonly string[];
-  readonly returned: boolean;
+  readonly isReturned: boolean;
   upstreamId?: string;
   grantedAtMs: number;
   state: "asked" | "granted" | "started" | "closed";
@@ -74,13 +74,13 @@
 
 /** What an entry VM tells a new lead of a slot that it holds. */
 export function heldSlot(attempt: Attempt, nowMs: number): HeldSlot {
-  const { ask } = attempt.outcome;
+  const { request } = attempt.outcome;
   return {
     attemptId: attempt.id,
     upstreamId: attempt.upstreamId!,
     expiresAtMs: nowMs + SLOT_TTL_MS,
-    promptTokens: ask.promptTokens,
-    expectedOutputTokens: ask.outputTokens,
-    workspace: ask.workspace,
+    promptTokens: request.promptTokens,
+    expectedOutputTokens: request.outputTokens,
+    workspace: request.workspace,
   };
 }
--- a/soak/block.ts
+++ b/soak/block.ts
@@ -7,47 +7,47 @@
 import { once } from "node:events";
 import { createServer, type Server } from "node:net";
 
-const BLOCKS = 100;
+const BLOCK_COUNT = 100;
 /** Where a block is held; VMs have lower numbers. */
-const HOLD_HOST = 254;
-const HOLD_PORT = 18_099;
+const LOCK_HOST = 254;
+const LOCK_PORT = 18_099;
 
 /** See the module. Whoever holds a block has its addresses until it closes it or ends. */
-export class Block {
+export class AddressBlock {
   readonly #index: number;
-  readonly #hold: Server;
+  readonly #lock: Server;
 
-  private constructor(index: number, hold: Server) {
+  private constructor(index: number, lock: Server) {
     this.#index = index;
-    this.#hold = hold;
+    this.#lock = lock;
   }
 
   /** Takes the first block that nobody on this machine holds. */
-  static async open(): Promise<Block> {
-    for (let index = 0; index < BLOCKS; index++) {
-      const hold = createServer();
-      hold.listen(HOLD_PORT, `127.77.${index}.${HOLD_HOST}`);
+  static async open(): Promise<AddressBlock> {
+    for (let index = 0; index < BLOCK_COUNT; index++) {
+      const lock = createServer();
+      lock.listen(LOCK_PORT, `127.77.${index}.${LOCK_HOST}`);
       try {
-        await once(hold, "listening");
-        return new Block(index, hold);
+        await once(lock, "listening");
+        return new AddressBlock(index, lock);
       } catch (error) {
         if ((error as NodeJS.ErrnoException).code !== "EADDRINUSE") throw error;
       }
     }
-    throw new Error(`${BLOCKS} soaks hold all blocks of addresses`);
+    throw new Error(`${BLOCK_COUNT} soaks hold all blocks of addresses`);
   }
 
   /** Where others reach a VM: its proxies listen there. */
-  ip(vm: number): string {
-    return `127.77.${this.#index}.${vm + 1}`;
+  proxyIp(vmIndex: number): string {
+    return `127.77.${this.#index}.${vmIndex + 1}`;
   }
 
   /** Where the VM itself listens. */
-  ownIp(vm: number): string {
-    return `127.78.${this.#index}.${vm + 1}`;
+  vmIp(vmIndex: number): string {
+    return `127.78.${this.#index}.${vmIndex + 1}`;
   }
 
   async close(): Promise<void> {
-    await new Promise((resolve) => this.#hold.close(resolve));
+    await new Promise((resolve) => this.#lock.close(resolve));
   }
 }
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -39,13 +39,13 @@
 /** How long a caller lets the gateway work. */
 export const DEADLINE_MS = 1_500;
 /** A caller that sees no final answer gives up here; long after the gateway must have answered. */
-const PATIENCE_MS = 5_000;
-const DIRECTORY_KEPT_MS = 1_000;
-const DIRECTORY_WAIT_MS = 500;
+const CALLER_TIMEOUT_MS = 5_000;
+const DIRECTORY_TTL_MS = 1_000;
+const DIRECTORY_TIMEOUT_MS = 500;
 const MEAN_PAUSE_MS = 60;
 /** Share of requests whose caller leaves early. */
-const LEAVING_SHARE = 0.08;
-const LONGEST_STAY_MS = 60;
+const CANCEL_SHARE = 0.08;
+const MAX_CANCEL_DELAY_MS = 60;
 
 const KINDS: readonly RequestKind[] = [
   "safe",
@@ -68,7 +68,7 @@
   readonly #name: string;
   readonly #agent = new Agent({ keepAlive: true });
   #vms: SoakVm[] = [];
-  #askedMs = -Infinity;
+  #refreshedMs = -Infinity;
 
   constructor(world: World, region: string, index: number, seed: number) {
     this.#world = world;
@@ -82,39 +82,39 @@
     while (this.#world.nowMs() < untilMs) {
       await sleep(this.#random.exponential(MEAN_PAUSE_MS));
       const vm = await this.#pickVm();
-      if (vm) await this.#ask(vm);
+      if (vm) await this.#send(vm);
     }
     this.#agent.destroy();
   }
 
   async #pickVm(): Promise<SoakVm | undefined> {
-    if (this.#world.nowMs() - this.#askedMs > DIRECTORY_KEPT_MS) {
-      await this.#askDirectory();
+    if (this.#world.nowMs() - this.#refreshedMs > DIRECTORY_TTL_MS) {
+      await this.#refreshVms();
     }
     return this.#vms.length > 0 ? this.#random.pick(this.#vms) : undefined;
   }
 
   /** Asks some VM; an answer that names nobody keeps the last one. */
-  async #askDirectory(): Promise<void> {
+  async #refreshVms(): Promise<void> {
     const vm = this.#random.pick(this.#world.vms);
     try {
       const answer = await fetch(
         this.#world.directoryUrl(vm) + this.#region,
-        { signal: AbortSignal.timeout(DIRECTORY_WAIT_MS) },
+        { signal: AbortSignal.timeout(DIRECTORY_TIMEOUT_MS) },
       );
       const { addresses } = await answer.json() as { addresses: string[] };
-      const named = this.#world.vms.filter(({ ip }) =>
+      const listed = this.#world.vms.filter(({ ip }) =>
         addresses.some((address) => address.startsWith(`${ip}:`))
       );
-      if (named.length === 0) return;
-      this.#vms = named;
-      this.#askedMs = this.#world.nowMs();
+      if (listed.length === 0) return;
+      this.#vms = listed;
+      this.#refreshedMs = this.#world.nowMs();
     } catch {
       // The VM that was asked is down or harmed; the next try asks another.
     }
   }
 
-  #draw(vm: SoakVm): Attempt {
+  #drawAttempt(vm: SoakVm): Attempt {
     const kind = this.#random.pick(KINDS);
     const id = `${this.#name}-${this.attempts.length}`;
     const hasBody = kind !== "safe";
@@ -137,11 +137,11 @@
     };
   }
 
-  #ask(vm: SoakVm): Promise<void> {
-    const attempt = this.#draw(vm);
+  #send(vm: SoakVm): Promise<void> {
+    const attempt = this.#drawAttempt(vm);
     this.attempts.push(attempt);
-    const stayMs = this.#random.next() < LEAVING_SHARE
-      ? this.#random.int(LONGEST_STAY_MS)
+    const cancelDelayMs = this.#random.next() < CANCEL_SHARE
+      ? this.#random.int(MAX_CANCEL_DELAY_MS)
       : undefined;
     return new Promise((resolve) => {
       const call = request({
@@ -159,35 +159,37 @@
       const finish = () => {
         if (attempt.endMs < Infinity) return;
         attempt.endMs = this.#world.nowMs();
-        clearTimeout(patience);
-        clearTimeout(leaving);
+        clearTimeout(timeoutTimer);
+        clearTimeout(cancelTimer);
         resolve();
       };
-      const patience = setTimeout(() => call.destroy(), PATIENCE_MS);
-      const leaving = stayMs === undefined ? undefined : setTimeout(() => {
-        if (attempt.endMs < Infinity) return;
-        attempt.leftMs = this.#world.nowMs();
-        call.destroy();
-      }, stayMs);
-      call.on("response", (answer) => void readInto(attempt, answer, finish));
+      const timeoutTimer = setTimeout(() => call.destroy(), CALLER_TIMEOUT_MS);
+      const cancelTimer = cancelDelayMs === undefined
+        ? undefined
+        : setTimeout(() => {
+          if (attempt.endMs < Infinity) return;
+          attempt.leftMs = this.#world.nowMs();
+          call.destroy();
+        }, cancelDelayMs);
+      call.on("response", (answer) => void readAnswer(attempt, answer, finish));
       call.on("error", finish);
       call.end(attempt.body);
     });
   }
 }
 
-function one(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
-function readInto(
+function readAnswer(
   attempt: Attempt,
   answer: IncomingMessage,
   finish: () => void,
 ): void {
   attempt.status = answer.statusCode ?? 0;
-  attempt.echo = one(answer.headers["attempt-id"]);
-  attempt.stamp = one(answer.headers["response-stamp"]);
+  attempt.echo = firstValue(answer.headers["attempt-id"]);
+  attempt.stamp = firstValue(answer.headers["response-stamp"]);
   answer.on("data", (chunk: Buffer) => void (attempt.text += chunk));
   answer.on("error", () => {});
   answer.on("close", () => {
--- a/soak/crashes.ts
+++ b/soak/crashes.ts
@@ -11,27 +11,27 @@
 import { DEADLINE_MS, type RequestKind } from "./callers.ts";
 import type { World } from "./world.ts";
 
-const FATAL = "fatal ";
+const FATAL_PREFIX = "fatal ";
 const MEAN_GAP_MS = 250;
 const KINDS: readonly RequestKind[] = ["safe", "once", "stream", "streamonce"];
 
 /** Whether a request with this body is one of them. */
 export function isFatal(body: string): boolean {
-  return body.startsWith(FATAL);
+  return body.startsWith(FATAL_PREFIX);
 }
 
 /** Sends one of them again and again, under new attempts and at any VM; returns when it comes no more. */
-export async function sendFatal(
+export async function sendFatalRequests(
   world: World,
   random: Random,
   forMs: number,
 ): Promise<void> {
-  const body = `${FATAL}${random.next()}`;
+  const body = `${FATAL_PREFIX}${random.next()}`;
   const kind = random.pick(KINDS);
   const endMs = world.nowMs() + forMs;
   const sent: Promise<void>[] = [];
-  for (let nth = 0; world.nowMs() < endMs; nth++) {
-    sent.push(sendOnce(world, random, kind, `${body}-${nth}`, body));
+  for (let index = 0; world.nowMs() < endMs; index++) {
+    sent.push(sendOnce(world, random, kind, `${body}-${index}`, body));
     await sleep(random.exponential(MEAN_GAP_MS));
   }
   await Promise.all(sent);
@@ -57,11 +57,11 @@
         "deadline-ms": String(DEADLINE_MS),
       },
     });
-    const patience = setTimeout(() => call.destroy(), 2 * DEADLINE_MS);
+    const timeoutTimer = setTimeout(() => call.destroy(), 2 * DEADLINE_MS);
     call.on("response", (answer) => answer.on("error", () => {}).resume());
     call.on("error", () => {});
     call.on("close", () => {
-      clearTimeout(patience);
+      clearTimeout(timeoutTimer);
       resolve();
     });
     call.end(body);
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -7,25 +7,25 @@
 import { Random } from "../src/base/mod.ts";
 import type { PlatformFault } from "../src/standins/mod.ts";
 import { sleep } from "../test/cluster.ts";
-import { sendFatal } from "./crashes.ts";
+import { sendFatalRequests } from "./crashes.ts";
 import type { Fault } from "./plan.ts";
-import { domainOf, REGIONS, type World } from "./world.ts";
+import { getFailureDomain, REGIONS, type World } from "./world.ts";
 
 /** How late the store answers while it is slow: longer than the gateways wait for some calls. */
-const SLOW_MS = 1_200;
+const SLOW_STORE_MS = 1_200;
 const LOST_ANSWERS = 20;
 /** A silent upstream holds its requests until their deadlines: its trouble outlasts the fault. */
-const AFTERMATH_MS = 2_500;
+const AFTER_EFFECT_MS = 2_500;
 
 const STORE_FAULTS: Readonly<Record<string, PlatformFault>> = {
   cut: { outage: "cut" },
   refuse: { outage: "refuse" },
-  slow: { slowMs: SLOW_MS },
+  slow: { slowMs: SLOW_STORE_MS },
   loseAnswers: { loseAnswers: LOST_ANSWERS },
 };
 
 /** See the module. Faults overlap; what one takes back may end another early, as it does on a real day. */
-export class Injector {
+export class FaultInjector {
   readonly #world: World;
   readonly #random: Random;
 
@@ -35,7 +35,7 @@
   }
 
   /** Plays the plan; returns when its last fault is over. */
-  async play(plan: readonly Fault[]): Promise<void> {
+  async injectAll(plan: readonly Fault[]): Promise<void> {
     const startMs = this.#world.nowMs();
     await Promise.all(plan.map(async (fault) => {
       await sleep(Math.max(0, startMs + fault.atMs - this.#world.nowMs()));
@@ -46,32 +46,32 @@
   async #inject(fault: Fault): Promise<void> {
     switch (fault.kind) {
       case "kill":
-        this.#world.trouble(`vm:${fault.vm}`, AFTERMATH_MS);
+        this.#world.addTrouble(`vm:${fault.vm}`, AFTER_EFFECT_MS);
         return this.#world.signal(fault.vm, "SIGKILL");
       case "pause":
-        return await this.#pause(fault.vm, fault.forMs);
+        return await this.#pauseVm(fault.vm, fault.forMs);
       case "stop":
         return await this.#world.stop(fault.vm);
       case "hangUp":
         return this.#world.signal(fault.vm, "SIGHUP");
       case "link":
-        return await this.#link(fault);
+        return await this.#faultLink(fault);
       case "store":
-        return await this.#store(fault);
+        return await this.#faultStore(fault);
       case "mood":
       case "runnerLink":
       case "rebirth":
       case "reuse":
       case "drain":
-        return await this.#runner(fault);
+        return await this.#faultRunner(fault);
       case "config": {
         const { plainService } = this.#world.configs.at(-1)!;
-        return this.#world.configure(plainService === "s" ? "t" : "s");
+        return this.#world.writeConfig(plainService === "s" ? "t" : "s");
       }
       case "crash":
-        return await sendFatal(this.#world, this.#random, fault.forMs);
+        return await sendFatalRequests(this.#world, this.#random, fault.forMs);
       case "evacuate": {
-        const key = `op/evacuate/${domainOf(REGIONS[fault.domain])}`;
+        const key = `op/evacuate/${getFailureDomain(REGIONS[fault.domain])}`;
         this.#world.store.put(key, {});
         await sleep(fault.forMs);
         return this.#world.store.remove(key);
@@ -79,49 +79,49 @@
     }
   }
 
-  async #pause(vm: number, forMs: number): Promise<void> {
-    this.#world.trouble(`vm:${vm}`, forMs + AFTERMATH_MS);
+  async #pauseVm(vm: number, forMs: number): Promise<void> {
+    this.#world.addTrouble(`vm:${vm}`, forMs + AFTER_EFFECT_MS);
     const { proc } = this.#world.vms[vm];
     proc.signal("SIGSTOP");
     await sleep(forMs);
     proc.signal("SIGCONT");
   }
 
-  async #link(
+  async #faultLink(
     { vm, link, mode, forMs }: Extract<Fault, { kind: "link" }>,
   ): Promise<void> {
-    this.#world.trouble(`vm:${vm}`, forMs + AFTERMATH_MS);
+    this.#world.addTrouble(`vm:${vm}`, forMs + AFTER_EFFECT_MS);
     const proxy = this.#world.vms[vm].proxies[link];
     proxy.setMode(mode);
     await sleep(forMs);
     proxy.setMode("pass");
   }
 
-  async #store({ how, forMs }: Extract<Fault, { kind: "store" }>) {
+  async #faultStore({ how, forMs }: Extract<Fault, { kind: "store" }>) {
     const { store } = this.#world.store;
     if (how === "forget") return store.compact(store.rev);
-    this.#world.trouble("store", forMs + AFTERMATH_MS);
+    this.#world.addTrouble("store", forMs + AFTER_EFFECT_MS);
     this.#world.store.faults.set([STORE_FAULTS[how]]);
     await sleep(forMs);
     this.#world.store.faults.clear();
   }
 
-  async #runner(fault: Extract<Fault, { runner: number }>): Promise<void> {
-    const place = this.#world.runners[fault.runner];
-    const { instance } = place;
+  async #faultRunner(fault: Extract<Fault, { runner: number }>): Promise<void> {
+    const host = this.#world.runnerHosts[fault.runner];
+    const { instance } = host;
     if (!instance) return;
-    if (fault.kind === "drain") return await place.drain();
-    this.#world.trouble(instance.runner.id, fault.forMs + AFTERMATH_MS);
-    if (fault.kind === "rebirth") return await place.rebirth();
-    if (fault.kind === "reuse") return await place.reuse(fault.forMs);
+    if (fault.kind === "drain") return await host.drain();
+    this.#world.addTrouble(instance.runner.id, fault.forMs + AFTER_EFFECT_MS);
+    if (fault.kind === "rebirth") return await host.restart();
+    if (fault.kind === "reuse") return await host.reuseAddress(fault.forMs);
     if ("mood" in fault) {
-      instance.runner.mood = fault.mood;
+      instance.runner.behavior = fault.mood;
       await sleep(fault.forMs);
-      instance.runner.mood = "well";
+      instance.runner.behavior = "well";
     } else if ("mode" in fault) {
-      place.proxy.setMode(fault.mode);
+      host.proxy.setMode(fault.mode);
       await sleep(fault.forMs);
-      place.proxy.setMode("pass");
+      host.proxy.setMode("pass");
     }
   }
 }
--- a/soak/judge_test.ts
+++ b/soak/judge_test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from "../src/base/describe.ts";
-import { streamText } from "../src/standins/mod.ts";
+import { formatStream } from "../src/standins/mod.ts";
 import type { Attempt, RequestKind } from "./callers.ts";
 import { type Arrival, type Evidence, Judge, type Rule } from "./judge.ts";
 
@@ -22,7 +22,7 @@
     status: 200,
     echo: "a1",
     stamp: "stamp-r1",
-    text: isStream ? streamText() : "served by r1",
+    text: isStream ? formatStream() : "served by r1",
     whole: true,
     leftMs: undefined,
     ...changes,
@@ -42,7 +42,7 @@
   return { attempt, arrival };
 }
 
-function rulesOf(
+function findRules(
   attempts: readonly Attempt[],
   arrivals: readonly Arrival[],
   more: Partial<Evidence> = {},
@@ -60,13 +60,13 @@
   return [...new Set(breaches.map(({ rule }) => rule))];
 }
 
-function rulesOfOne(
+function findRulesOfOne(
   kind: RequestKind,
   changes: Partial<Attempt> = {},
   arrivalChanges: Partial<Arrival> = {},
 ): Rule[] {
   const { attempt, arrival } = exchange(kind, changes, arrivalChanges);
-  return rulesOf([attempt], [arrival]);
+  return findRules([attempt], [arrival]);
 }
 
 describe("the soak's judge", () => {
@@ -74,80 +74,80 @@
     for (
       const kind of ["safe", "once", "stream", "streamonce", "south"] as const
     ) {
-      t.deepEqual(rulesOfOne(kind), []);
+      t.deepEqual(findRulesOfOne(kind), []);
     }
   });
 
   // Each of these is what a fault of the gateway would look like to a caller or an upstream.
   describe("finds a planted", () => {
     it("answer of another request", (t) => {
-      t.deepEqual(rulesOfOne("safe", { echo: "a2" }), ["MIXED"]);
-      t.deepEqual(rulesOfOne("safe", { stamp: "stamp-r2" }), ["MIXED"]);
-      t.deepEqual(rulesOfOne("safe", { text: "served by r2" }), ["MIXED"]);
+      t.deepEqual(findRulesOfOne("safe", { echo: "a2" }), ["MIXED"]);
+      t.deepEqual(findRulesOfOne("safe", { stamp: "stamp-r2" }), ["MIXED"]);
+      t.deepEqual(findRulesOfOne("safe", { text: "served by r2" }), ["MIXED"]);
     });
 
     it("success that nobody signed", (t) => {
-      t.deepEqual(rulesOfOne("safe", { stamp: undefined }), ["MIXED"]);
+      t.deepEqual(findRulesOfOne("safe", { stamp: undefined }), ["MIXED"]);
     });
 
     it("stream with a piece missing, and one that ends early as if whole", (t) => {
-      const missing = streamText().replace("id: 2", "id: 3");
-      t.deepEqual(rulesOfOne("stream", { text: missing }), ["ORDER"]);
-      const cut = streamText().slice(0, 30);
-      t.deepEqual(rulesOfOne("stream", { text: cut }), ["ORDER"]);
+      const misnumbered = formatStream().replace("id: 2", "id: 3");
+      t.deepEqual(findRulesOfOne("stream", { text: misnumbered }), ["ORDER"]);
+      const cut = formatStream().slice(0, 30);
+      t.deepEqual(findRulesOfOne("stream", { text: cut }), ["ORDER"]);
     });
 
     it("request that ends more upstreams than it may", (t) => {
-      const endsAt = (...timesMs: number[]) =>
+      const crashesAt = (...timesMs: number[]) =>
         timesMs.map((arrivedMs) => ({
           ...exchange("once").arrival,
           body: "fatal 1",
           arrivedMs,
         }));
-      const rules = (fatalArrivals: Arrival[], isTroubled = false) => {
+      const findCrashRules = (fatalArrivals: Arrival[], hasTrouble = false) => {
         const { attempt, arrival } = exchange("once");
-        const troubles = isTroubled
+        const troubles = hasTrouble
           ? [{ who: "vm:0", fromMs: 0, toMs: 100 }]
           : [];
-        return rulesOf([attempt], [arrival], { fatalArrivals, troubles });
+        return findRules([attempt], [arrival], { fatalArrivals, troubles });
       };
-      t.deepEqual(rules(endsAt(1, 2, 3, 4, 5, 6)), []);
-      t.deepEqual(rules(endsAt(1, 2, 3, 4, 5, 6, 7)), ["CRASH"]);
-      t.deepEqual(rules(endsAt(1, 2, 3, 4, 5, 6, 7), true), []);
+      t.deepEqual(findCrashRules(crashesAt(1, 2, 3, 4, 5, 6)), []);
+      t.deepEqual(findCrashRules(crashesAt(1, 2, 3, 4, 5, 6, 7)), ["CRASH"]);
+      t.deepEqual(findCrashRules(crashesAt(1, 2, 3, 4, 5, 6, 7), true), []);
       const late = [7_000, 8_000, 9_000, 9_500];
-      t.deepEqual(rules(endsAt(1, 2, 3, ...late), true), ["CRASH"]);
+      t.deepEqual(findCrashRules(crashesAt(1, 2, 3, ...late), true), ["CRASH"]);
     });
 
     it("request that nobody sent, or that was changed", (t) => {
       const { attempt, arrival } = exchange("once");
-      const foreign = { ...arrival, attempt: "nobody" };
-      t.deepEqual(rulesOf([attempt], [arrival, foreign]), ["UNASKED"]);
-      t.deepEqual(rulesOfOne("once", {}, { body: "bod" }), ["UNASKED"]);
-      t.deepEqual(rulesOfOne("once", {}, { target: "/x" }), ["UNASKED"]);
+      const unsent = { ...arrival, attempt: "nobody" };
+      t.deepEqual(findRules([attempt], [arrival, unsent]), ["UNASKED"]);
+      t.deepEqual(findRulesOfOne("once", {}, { body: "bod" }), ["UNASKED"]);
+      t.deepEqual(findRulesOfOne("once", {}, { target: "/x" }), ["UNASKED"]);
     });
 
     it("second run of what may run once", (t) => {
       const { attempt, arrival } = exchange("once");
-      t.deepEqual(rulesOf([attempt], [arrival, arrival]), ["TWICE"]);
+      t.deepEqual(findRules([attempt], [arrival, arrival]), ["TWICE"]);
     });
 
     it("run of what was refused", (t) => {
       const refused = { status: 503, stamp: undefined, echo: undefined };
-      t.true(rulesOfOne("once", refused).includes("REFUSED"));
+      t.true(findRulesOfOne("once", refused).includes("REFUSED"));
     });
 
     it("run in a region that is no home", (t) => {
-      t.deepEqual(rulesOfOne("south", {}, { region: "north" }), ["HOME"]);
+      t.deepEqual(findRulesOfOne("south", {}, { region: "north" }), ["HOME"]);
     });
 
     it("run by a service that no configuration allows", (t) => {
-      t.deepEqual(rulesOfOne("once", {}, { service: "t" }), ["ROUTE"]);
+      t.deepEqual(findRulesOfOne("once", {}, { service: "t" }), ["ROUTE"]);
     });
 
     it("run at more upstreams than the route allows", (t) => {
       const { attempt, arrival } = exchange("safe");
       const others = ["r2", "r3"].map((runner) => ({ ...arrival, runner }));
-      t.deepEqual(rulesOf([attempt], [arrival, ...others]), ["BUDGET"]);
+      t.deepEqual(findRules([attempt], [arrival, ...others]), ["BUDGET"]);
     });
 
     it("404 on a route that is there", (t) => {
@@ -155,23 +155,23 @@
         status: 404,
         stamp: undefined,
       });
-      t.true(rulesOf([attempt], []).includes("DENIED"));
+      t.true(findRules([attempt], []).includes("DENIED"));
     });
 
     it("answer that comes long after its deadline", (t) => {
-      t.deepEqual(rulesOfOne("safe", { endMs: 24_000 }), ["LATE"]);
+      t.deepEqual(findRulesOfOne("safe", { endMs: 24_000 }), ["LATE"]);
     });
 
     it("run for a caller that had left", (t) => {
-      const gone = { leftMs: 20_010, status: 0, stamp: undefined };
-      const { attempt, arrival } = exchange("safe", gone, {
+      const canceled = { leftMs: 20_010, status: 0, stamp: undefined };
+      const { attempt, arrival } = exchange("safe", canceled, {
         arrivedMs: 22_000,
       });
-      t.true(rulesOf([attempt], [arrival]).includes("GONE"));
+      t.true(findRules([attempt], [arrival]).includes("GONE"));
     });
 
     it("run at an upstream long after it said that it leaves", (t) => {
-      t.deepEqual(rulesOfOne("safe", {}, { leftMs: 10_000 }), ["DRAIN"]);
+      t.deepEqual(findRulesOfOne("safe", {}, { leftMs: 10_000 }), ["DRAIN"]);
     });
 
     it("run by an older configuration's service", (t) => {
@@ -180,24 +180,24 @@
         { sinceMs: 0, plainService: "s" },
         { sinceMs: 5_000, plainService: "t" },
       ];
-      t.deepEqual(rulesOf([attempt], [arrival], { configs }), ["CONFIG"]);
+      t.deepEqual(findRules([attempt], [arrival], { configs }), ["CONFIG"]);
     });
 
     it("connection that ends without an answer after the request was passed on", (t) => {
       const lost = { status: 0, stamp: undefined, text: "", whole: false };
-      t.true(rulesOfOne("once", lost).includes("LOST"));
+      t.true(findRulesOfOne("once", lost).includes("LOST"));
     });
 
     it("process that ended by itself", (t) => {
       const { attempt, arrival } = exchange("safe");
       const processFaults = ["vm 0 ended by itself with code 1"];
-      t.deepEqual(rulesOf([attempt], [arrival], { processFaults }), [
+      t.deepEqual(findRules([attempt], [arrival], { processFaults }), [
         "PROCESS",
       ]);
     });
 
     it("service that does not come back", (t) => {
-      t.deepEqual(rulesOf([], []), ["RECOVER"]);
+      t.deepEqual(findRules([], []), ["RECOVER"]);
     });
   });
 
@@ -211,7 +211,7 @@
         whole: false,
       });
       const troubles = [{ who: "vm:0", fromMs: 17_000, toMs: 18_000 }];
-      const rules = rulesOf([attempt], [arrival], {
+      const rules = findRules([attempt], [arrival], {
         troubles,
         recoveredMs: 30_000,
       });
@@ -221,7 +221,7 @@
     it("never a second run or a foreign answer", (t) => {
       const { attempt, arrival } = exchange("once", { echo: "a2" });
       const troubles = [{ who: "vm:0", fromMs: 0, toMs: 99_000 }];
-      t.deepEqual(rulesOf([attempt], [arrival, arrival], { troubles }), [
+      t.deepEqual(findRules([attempt], [arrival, arrival], { troubles }), [
         "MIXED",
         "TWICE",
       ]);
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -6,16 +6,18 @@
 
 import { defineCommand, runMain } from "citty";
 import type { Evidence } from "./judge.ts";
-import type { Crashes } from "./plan.ts";
+import type { CrashMode } from "./plan.ts";
 import { type RunResult, runSeed } from "./run.ts";
 
-const number = (description: string, value: number) => ({
+const numberOption = (description: string, value: number) => ({
   type: "string" as const,
   description,
   default: String(value),
 });
 
-function told({ seed, attempts, served, faults, breaches }: RunResult): string {
+function formatResult(
+  { seed, attempts, served, faults, breaches }: RunResult,
+): string {
   const lines = breaches.slice(0, 12).map(({ rule, attempt, what }) =>
     `  ${rule} ${attempt} ${what}`
   );
@@ -44,13 +46,13 @@
       "Play random faults against real gateway processes and check the promises",
   },
   args: {
-    first: number("first seed", 1),
-    seeds: number("how many seeds", 5),
-    jobs: number("runs side by side", 2),
-    vms: number("VMs of a run", 6),
-    runners: number("upstreams of a run", 8),
-    callers: number("callers of a run", 24),
-    seconds: number("seconds with faults", 10),
+    first: numberOption("first seed", 1),
+    seeds: numberOption("how many seeds", 5),
+    jobs: numberOption("runs side by side", 2),
+    vms: numberOption("VMs of a run", 6),
+    runners: numberOption("upstreams of a run", 8),
+    callers: numberOption("callers of a run", 24),
+    seconds: numberOption("seconds with faults", 10),
     plant: {
       type: "boolean",
       description: "plant a second run of one request, which must be found",
@@ -79,7 +81,7 @@
     const end = first + Number(args.seeds);
     let next = first;
     let broken = 0;
-    const work = async () => {
+    const runNextSeeds = async () => {
       while (next < end) {
         const seed = next++;
         const result = await runSeed({
@@ -89,16 +91,16 @@
           callers: Number(args.callers),
           faultsMs: Number(args.seconds) * 1_000,
           plannedOnly: args.planned,
-          crashes: args.crashes as Crashes,
-          keepIn: args.keep,
-          plant: args.plant ? plantSecondRun : undefined,
+          crashes: args.crashes as CrashMode,
+          logFolder: args.keep,
+          changeEvidence: args.plant ? plantSecondRun : undefined,
         });
         if (result.breaches.length > 0) broken++;
-        process.stdout.write(told(result) + "\n");
+        process.stdout.write(formatResult(result) + "\n");
       }
     };
     await Promise.all(
-      Array.from({ length: Number(args.jobs) }, () => work()),
+      Array.from({ length: Number(args.jobs) }, () => runNextSeeds()),
     );
     process.stdout.write(`${end - first} seeds, ${broken} broke a promise\n`);
     // Sockets that were reset with bytes waiting may keep the process alive for minutes.
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -22,7 +22,7 @@
 export type VmLink = "callers" | "peers" | "store";
 
 /** What a harmed upstream does; see the stand-in runner. */
-export type BadMood =
+export type FaultyBehavior =
   | "shed"
   | "error"
   | "silent"
@@ -50,7 +50,11 @@
       readonly kind: "store";
       readonly how: "cut" | "refuse" | "slow" | "loseAnswers" | "forget";
     }
-    | { readonly kind: "mood"; readonly runner: number; readonly mood: BadMood }
+    | {
+      readonly kind: "mood";
+      readonly runner: number;
+      readonly mood: FaultyBehavior;
+    }
     | {
       readonly kind: "runnerLink";
       readonly runner: number;
@@ -62,20 +66,20 @@
   );
 
 /** When requests that crash upstreams are drawn. */
-export type Crashes = "none" | "beside" | "only";
+export type CrashMode = "none" | "beside" | "only";
 
 /** The name of a kind of fault. */
 export type FaultKind = Fault["kind"];
 
 /** Size of a run. */
-export interface PlanSize {
+export interface PlanOptions {
   readonly vms: number;
   readonly runners: number;
   readonly domains: number;
   /** Whether only planned work is drawn. */
   readonly plannedOnly?: boolean | undefined;
   /** Requests that crash upstreams: none, beside the other faults, or nothing else. */
-  readonly crashes?: Crashes | undefined;
+  readonly crashes?: CrashMode | undefined;
   /** How long there is traffic with faults; after that everything is mended and callers go on. */
   readonly faultsMs: number;
 }
@@ -86,8 +90,8 @@
   "silentOut",
   "reset",
 ];
-const LINKS: readonly VmLink[] = ["callers", "peers", "store"];
-const MOODS: readonly BadMood[] = [
+const VM_LINKS: readonly VmLink[] = ["callers", "peers", "store"];
+const BEHAVIORS: readonly FaultyBehavior[] = [
   "shed",
   "error",
   "silent",
@@ -97,7 +101,13 @@
   "unsigned",
   "halfStream",
 ];
-const STORE_WAYS = ["cut", "refuse", "slow", "loseAnswers", "forget"] as const;
+const STORE_FAULTS = [
+  "cut",
+  "refuse",
+  "slow",
+  "loseAnswers",
+  "forget",
+] as const;
 const KINDS: readonly FaultKind[] = [
   "kill",
   "pause",
@@ -120,7 +130,7 @@
  * Work that operators and the platform plan. With nothing else wrong, nothing excuses an answer that is lost, late to
  * leave an upstream, or sent for a caller that has gone.
  */
-const PLANNED: readonly FaultKind[] = [
+const PLANNED_KINDS: readonly FaultKind[] = [
   "stop",
   "hangUp",
   "drain",
@@ -129,107 +139,107 @@
 ];
 
 /** Faults begin this far apart on average, and last longer: several are always in force. */
-const GAP_MS = 550;
-const SHORTEST_MS = 300;
-const LONGEST_MS = 3_500;
+const MEAN_GAP_MS = 550;
+const MIN_FAULT_MS = 300;
+const MAX_FAULT_MS = 3_500;
 /** One fault in four comes as a series: the same again, a moment later, on the next VM or upstream. */
 const SERIES_SHARE = 0.25;
 const SERIES_GAP_MS = 400;
-const MOST_IN_SERIES = 3;
+const MAX_SERIES_LENGTH = 3;
 
 /** Requests that crash upstreams begin this far apart on average; each comes for seconds. */
-const CRASH_GAP_MS = 2_000;
+const MEAN_CRASH_GAP_MS = 2_000;
 /** They come longer than other faults last: they are to meet VMs that have been told. */
-const CRASH_TIMES = 3;
+const CRASH_DURATION_FACTOR = 3;
 /** They are drawn from a row of numbers of their own, so that a seed's other faults are the same with and without them. */
 const CRASH_SEED = 0x5eed;
 
 /** Draws the faults of a run, in the order of their begin. */
-export function drawPlan(seed: number, size: PlanSize): Fault[] {
-  const { crashes = "none" } = size;
-  const others = crashes === "only" ? [] : drawOthers(seed, size);
-  const fatal = crashes === "none" ? [] : drawCrashes(seed, size);
-  return [...others, ...fatal].sort((a, b) => a.atMs - b.atMs);
+export function drawPlan(seed: number, options: PlanOptions): Fault[] {
+  const { crashes = "none" } = options;
+  const otherFaults = crashes === "only" ? [] : drawOtherFaults(seed, options);
+  const crashFaults = crashes === "none" ? [] : drawCrashes(seed, options);
+  return [...otherFaults, ...crashFaults].sort((a, b) => a.atMs - b.atMs);
 }
 
-function drawOthers(seed: number, size: PlanSize): Fault[] {
+function drawOtherFaults(seed: number, options: PlanOptions): Fault[] {
   const random = new Random(seed);
   const faults: Fault[] = [];
   for (
     let atMs = 200;
-    atMs < size.faultsMs;
-    atMs += random.next() * 2 * GAP_MS
+    atMs < options.faultsMs;
+    atMs += random.next() * 2 * MEAN_GAP_MS
   ) {
-    const times = random.next() < SERIES_SHARE
-      ? 2 + random.int(MOST_IN_SERIES - 1)
+    const seriesLength = random.next() < SERIES_SHARE
+      ? 2 + random.int(MAX_SERIES_LENGTH - 1)
       : 1;
-    const first = drawFault(random, size, Math.round(atMs));
-    for (let nth = 0; nth < times; nth++) {
-      faults.push(again(first, nth, size));
+    const first = drawFault(random, options, Math.round(atMs));
+    for (let nth = 0; nth < seriesLength; nth++) {
+      faults.push(repeatFault(first, nth, options));
     }
   }
   return faults;
 }
 
-function drawCrashes(seed: number, { faultsMs }: PlanSize): Fault[] {
+function drawCrashes(seed: number, { faultsMs }: PlanOptions): Fault[] {
   const random = new Random(seed ^ CRASH_SEED);
   const faults: Fault[] = [];
   for (
     let atMs = 200;
     atMs < faultsMs;
-    atMs += random.next() * 2 * CRASH_GAP_MS
+    atMs += random.next() * 2 * MEAN_CRASH_GAP_MS
   ) {
-    const forMs = CRASH_TIMES *
-      (SHORTEST_MS + random.int(LONGEST_MS - SHORTEST_MS));
+    const forMs = CRASH_DURATION_FACTOR *
+      (MIN_FAULT_MS + random.int(MAX_FAULT_MS - MIN_FAULT_MS));
     faults.push({ kind: "crash", atMs: Math.round(atMs), forMs });
   }
   return faults;
 }
 
 /** The same fault a moment later, on the next VM or upstream. */
-function again(fault: Fault, nth: number, size: PlanSize): Fault {
+function repeatFault(fault: Fault, nth: number, options: PlanOptions): Fault {
   const atMs = fault.atMs + nth * SERIES_GAP_MS;
   if ("vm" in fault) {
-    return { ...fault, atMs, vm: (fault.vm + nth) % size.vms };
+    return { ...fault, atMs, vm: (fault.vm + nth) % options.vms };
   }
   if ("runner" in fault) {
-    return { ...fault, atMs, runner: (fault.runner + nth) % size.runners };
+    return { ...fault, atMs, runner: (fault.runner + nth) % options.runners };
   }
   return { ...fault, atMs };
 }
 
-function drawFault(random: Random, size: PlanSize, atMs: number): Fault {
-  const kind = random.pick(size.plannedOnly ? PLANNED : KINDS);
-  const when = {
+function drawFault(random: Random, options: PlanOptions, atMs: number): Fault {
+  const kind = random.pick(options.plannedOnly ? PLANNED_KINDS : KINDS);
+  const timing = {
     atMs,
-    forMs: SHORTEST_MS + random.int(LONGEST_MS - SHORTEST_MS),
+    forMs: MIN_FAULT_MS + random.int(MAX_FAULT_MS - MIN_FAULT_MS),
   };
-  const vm = random.int(size.vms);
-  const runner = random.int(size.runners);
+  const vm = random.int(options.vms);
+  const runner = random.int(options.runners);
   switch (kind) {
     case "link":
       return {
-        ...when,
+        ...timing,
         kind,
         vm,
-        link: random.pick(LINKS),
+        link: random.pick(VM_LINKS),
         mode: random.pick(LINK_MODES),
       };
     case "store":
-      return { ...when, kind, how: random.pick(STORE_WAYS) };
+      return { ...timing, kind, how: random.pick(STORE_FAULTS) };
     case "mood":
-      return { ...when, kind, runner, mood: random.pick(MOODS) };
+      return { ...timing, kind, runner, mood: random.pick(BEHAVIORS) };
     case "runnerLink":
-      return { ...when, kind, runner, mode: random.pick(LINK_MODES) };
+      return { ...timing, kind, runner, mode: random.pick(LINK_MODES) };
     case "rebirth":
     case "reuse":
     case "drain":
-      return { ...when, kind, runner };
+      return { ...timing, kind, runner };
     case "config":
-      return { ...when, kind };
+      return { ...timing, kind };
     case "evacuate":
-      return { ...when, kind, domain: random.int(size.domains) };
+      return { ...timing, kind, domain: random.int(options.domains) };
     default:
-      return { ...when, kind, vm };
+      return { ...timing, kind, vm };
   }
 }
