--- a/soak/proxy.ts
+++ b/soak/proxy.ts
@@ -12,19 +12,19 @@
 const DELAY_MS = 120;
 
 /** `IP:PORT` in parts. */
-export interface Place {
+export interface Endpoint {
   readonly host: string;
   readonly port: number;
 }
 
 /** Both ends of a connection through the proxy. */
-interface Pair {
+interface ProxiedConnection {
   readonly near: Socket;
   readonly far: Socket;
 }
 
 /** One direction of a connection: what comes later never overtakes, also when the delay ends in between. */
-class DelayLine {
+class DelayQueue {
   readonly #waiting: { readonly dueMs: number; readonly run: () => void }[] =
     [];
 
@@ -47,14 +47,14 @@
 /** See the module. Ends of half-open connections and resets are passed on as such. */
 export class FaultProxy {
   /** Where connections go to; a change holds for new ones. */
-  target: Place;
+  target: Endpoint;
   readonly #server: Server;
-  readonly #pairs = new Set<Pair>();
+  readonly #connections = new Set<ProxiedConnection>();
   readonly #host: string;
-  #shutPort = 0;
+  #lastPort = 0;
   #mode: LinkMode = "pass";
 
-  private constructor(host: string, target: Place) {
+  private constructor(host: string, target: Endpoint) {
     this.#host = host;
     this.target = target;
     this.#server = createServer(
@@ -64,7 +64,7 @@
   }
 
   /** Listens at `listen`; port 0 takes any. */
-  static async open(listen: Place, target: Place): Promise<FaultProxy> {
+  static async open(listen: Endpoint, target: Endpoint): Promise<FaultProxy> {
     const proxy = new FaultProxy(listen.host, target);
     proxy.#server.listen(listen.port, listen.host);
     await once(proxy.#server, "listening");
@@ -74,35 +74,35 @@
   /** The port it listens at. */
   get port(): number {
     const address = this.#server.address() as { port: number } | null;
-    return address?.port ?? this.#shutPort;
+    return address?.port ?? this.#lastPort;
   }
 
   /** Treats open and new connections this way from now on. */
   setMode(mode: LinkMode): void {
     this.#mode = mode;
-    for (const pair of this.#pairs) {
-      if (mode === "reset") reset(pair);
-      else this.#hold(pair);
+    for (const pair of this.#connections) {
+      if (mode === "reset") resetConnection(pair);
+      else this.#applyMode(pair);
     }
   }
 
   /** Refuses connections, as the address of a program that has ended. */
-  shut(): void {
+  refuseAll(): void {
     if (!this.#server.listening) return;
-    this.#shutPort = this.port;
+    this.#lastPort = this.port;
     this.#server.close();
-    for (const pair of this.#pairs) reset(pair);
+    for (const pair of this.#connections) resetConnection(pair);
   }
 
   /** Takes connections again. */
   async reopen(): Promise<void> {
     if (this.#server.listening) return;
-    this.#server.listen(this.#shutPort, this.#host);
+    this.#server.listen(this.#lastPort, this.#host);
     await once(this.#server, "listening");
   }
 
   async close(): Promise<void> {
-    for (const pair of this.#pairs) reset(pair);
+    for (const pair of this.#connections) resetConnection(pair);
     if (!this.#server.listening) return;
     await new Promise((resolve) => this.#server.close(resolve));
   }
@@ -111,14 +111,14 @@
     if (this.#mode === "reset") return void near.resetAndDestroy();
     const far = connect({ ...this.target, allowHalfOpen: true, noDelay: true });
     const pair = { near, far };
-    this.#pairs.add(pair);
-    this.#pass(pair, near, far);
-    this.#pass(pair, far, near);
-    this.#hold(pair);
+    this.#connections.add(pair);
+    this.#forward(pair, near, far);
+    this.#forward(pair, far, near);
+    this.#applyMode(pair);
   }
 
-  #pass(pair: Pair, from: Socket, to: Socket): void {
-    const line = new DelayLine();
+  #forward(pair: ProxiedConnection, from: Socket, to: Socket): void {
+    const line = new DelayQueue();
     const later = (run: () => void) =>
       line.add(this.#mode === "delay" ? DELAY_MS : 0, run);
     from.on(
@@ -126,16 +126,16 @@
       (chunk: Buffer) => later(() => void (to.destroyed || to.write(chunk))),
     );
     from.on("end", () => later(() => void (to.destroyed || to.end())));
-    from.on("error", () => reset(pair));
+    from.on("error", () => resetConnection(pair));
     from.on("close", () => {
-      if (to.destroyed) this.#pairs.delete(pair);
+      if (to.destroyed) this.#connections.delete(pair);
       // A side that is gone altogether takes the other with it, once what it sent has left.
       else to.destroySoon();
     });
   }
 
   /** A silent direction is not read: its bytes wait, as behind a cut cable, and go on when it is mended. */
-  #hold({ near, far }: Pair): void {
+  #applyMode({ near, far }: ProxiedConnection): void {
     if (this.#mode === "silentIn") near.pause();
     else near.resume();
     if (this.#mode === "silentOut") far.pause();
@@ -143,7 +143,7 @@
   }
 }
 
-function reset(pair: Pair): void {
+function resetConnection(pair: ProxiedConnection): void {
   for (const socket of [pair.near, pair.far]) {
     if (socket.destroyed) continue;
     // A socket that is reset while it still connects never closes its handle.
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -9,9 +9,9 @@
 import { sleep } from "../test/cluster.ts";
 import { Caller } from "./callers.ts";
 import { isFatal } from "./crashes.ts";
-import { Injector } from "./faults.ts";
+import { FaultInjector } from "./faults.ts";
 import { type Arrival, type Breach, type Evidence, Judge } from "./judge.ts";
-import { type Crashes, drawPlan, type Fault } from "./plan.ts";
+import { type CrashMode, drawPlan, type Fault } from "./plan.ts";
 import { REGIONS, World } from "./world.ts";
 
 /** Settings of a run. */
@@ -24,11 +24,11 @@
   /** Whether only planned work happens. */
   readonly plannedOnly?: boolean;
   /** When requests that crash upstreams come. */
-  readonly crashes?: Crashes;
+  readonly crashes?: CrashMode;
   /** Where the logs of a run that broke a promise are kept; absent: nowhere. */
-  readonly keepIn?: string;
+  readonly logFolder?: string;
   /** Changes the evidence before it is judged: a planted fault that the judge must find. */
-  readonly plant?: (evidence: Evidence) => Evidence;
+  readonly changeEvidence?: (evidence: Evidence) => Evidence;
 }
 
 /** What came of a run. */
@@ -42,11 +42,11 @@
 
 /** From the last fault until all must be served again: entries return within 2.3 s, a stop takes 3 s. */
 const RECOVERY_MS = 6_000;
-const CALM_MS = 2_500;
+const FINAL_TRAFFIC_MS = 2_500;
 /** For what is under way at the end. */
 const SETTLE_MS = 300;
 
-function arrivalsOf(world: World): Arrival[] {
+function collectArrivals(world: World): Arrival[] {
   return world.instances.flatMap(({ runner, region, service, leftMs }) =>
     runner.arrivals.map(({ headers, method, target, body, arrivedMonoMs }) => ({
       attempt: String(headers["attempt-id"]),
@@ -62,7 +62,7 @@
   );
 }
 
-function keep(
+function saveRun(
   folder: string,
   world: World,
   plan: readonly Fault[],
@@ -98,23 +98,23 @@
     const lastMs = Math.max(faultsMs, ...plan.map((f) => f.atMs + f.forMs));
     const recoveredMs = world.nowMs() + lastMs + RECOVERY_MS;
     const traffic = Promise.all(
-      callers.map((caller) => caller.run(recoveredMs + CALM_MS)),
+      callers.map((caller) => caller.run(recoveredMs + FINAL_TRAFFIC_MS)),
     );
-    await new Injector(world, seed).play(plan);
+    await new FaultInjector(world, seed).injectAll(plan);
     await traffic;
     await sleep(SETTLE_MS);
     const attempts = callers.flatMap((caller) => caller.attempts);
-    const all = arrivalsOf(world);
-    const seen: Evidence = {
+    const allArrivals = collectArrivals(world);
+    const observed: Evidence = {
       attempts,
-      arrivals: all.filter(({ body }) => !isFatal(body)),
-      fatalArrivals: all.filter(({ body }) => isFatal(body)),
+      arrivals: allArrivals.filter(({ body }) => !isFatal(body)),
+      fatalArrivals: allArrivals.filter(({ body }) => isFatal(body)),
       troubles: world.troubles,
       configs: world.configs,
       processFaults: world.processFaults,
       recoveredMs,
     };
-    const evidence = options.plant?.(seen) ?? seen;
+    const evidence = options.changeEvidence?.(observed) ?? observed;
     const result = {
       seed,
       attempts: attempts.length,
@@ -123,8 +123,8 @@
       faults: plan.length,
       breaches: new Judge(evidence).breaches(),
     };
-    if (result.breaches.length > 0 && options.keepIn) {
-      keep(join(options.keepIn, `seed-${seed}`), world, plan, result);
+    if (result.breaches.length > 0 && options.logFolder) {
+      saveRun(join(options.logFolder, `seed-${seed}`), world, plan, result);
     }
     return result;
   } finally {
--- a/soak/runner_place.ts
+++ b/soak/runner_place.ts
@@ -8,10 +8,10 @@
 import { sleep } from "../test/cluster.ts";
 import { isFatal } from "./crashes.ts";
 import { FaultProxy } from "./proxy.ts";
-import { domainOf, REGIONS, type World } from "./world.ts";
+import { getFailureDomain, REGIONS, type World } from "./world.ts";
 
 /** One start of an upstream. */
-export interface Instance {
+export interface RunnerInstance {
   readonly runner: Runner;
   readonly region: string;
   readonly service: string;
@@ -20,26 +20,26 @@
 }
 
 /** How long an upstream that leaves serves on; the gateways' bound is 4 s. */
-const LEAVING_MS = 4_500;
+const DRAIN_MS = 4_500;
 /** How long an address lies idle before another upstream takes it. */
-const IDLE_MS = 300;
+const ADDRESS_IDLE_MS = 300;
 const SLOTS = 8;
 /** How long an upstream is away that a request has ended, and how long that tells on others. */
 const DOWN_MS = 800;
-const AFTERMATH_MS = 2_500;
+const AFTER_EFFECT_MS = 2_500;
 const LOOPBACK = "127.0.0.1";
 
 /** See the module. */
-export class RunnerPlace {
+export class RunnerHost {
   readonly proxy: FaultProxy;
   readonly region: string;
   readonly #world: World;
   readonly #index: number;
   /** The service whose upstreams belong here; `s` has three in four. */
   readonly #service: string;
-  #instance: Instance | undefined;
+  #instance: RunnerInstance | undefined;
   #starts = 0;
-  #busy = false;
+  #isBusy = false;
 
   private constructor(world: World, index: number, proxy: FaultProxy) {
     this.#world = world;
@@ -50,38 +50,38 @@
   }
 
   /** Opens the place with an upstream in it. */
-  static async open(world: World, index: number): Promise<RunnerPlace> {
+  static async open(world: World, index: number): Promise<RunnerHost> {
     const listen = { host: LOOPBACK, port: 0 };
     const proxy = await FaultProxy.open(listen, listen);
-    const place = new RunnerPlace(world, index, proxy);
-    await place.#begin(place.#newId(), place.#service);
-    return place;
+    const host = new RunnerHost(world, index, proxy);
+    await host.#startRunner(host.#nextId(), host.#service);
+    return host;
   }
 
   /** The upstream that runs now. */
-  get instance(): Instance | undefined {
+  get instance(): RunnerInstance | undefined {
     return this.#instance;
   }
 
   /** It crashes and starts again under its id, knowing nothing. */
-  rebirth(): Promise<void> {
-    return this.#alone(async () => {
+  restart(): Promise<void> {
+    return this.#runExclusively(async () => {
       const id = this.#instance!.runner.id;
-      await this.#end();
-      await this.#begin(id, this.#service);
+      await this.#stopRunner();
+      await this.#startRunner(id, this.#service);
     });
   }
 
   /** It is lost, and its address goes to an upstream of the other service for a time. */
-  reuse(forMs: number): Promise<void> {
-    return this.#alone(async () => {
+  reuseAddress(forMs: number): Promise<void> {
+    return this.#runExclusively(async () => {
       for (
         const service of [this.#service === "s" ? "t" : "s", this.#service]
       ) {
-        this.#forget();
-        await this.#end();
-        await sleep(IDLE_MS);
-        await this.#begin(this.#newId(), service);
+        this.#unregister();
+        await this.#stopRunner();
+        await sleep(ADDRESS_IDLE_MS);
+        await this.#startRunner(this.#nextId(), service);
         if (service !== this.#service) await sleep(forMs);
       }
     });
@@ -89,15 +89,15 @@
 
   /** It says that it leaves, serves on for its time and goes; a new one comes. */
   drain(): Promise<void> {
-    return this.#alone(async () => {
+    return this.#runExclusively(async () => {
       const { runner } = this.#instance!;
       this.#register("draining");
       this.#instance!.leftMs = this.#world.nowMs();
       runner.isDraining = true;
-      await sleep(LEAVING_MS);
-      this.#forget();
-      await this.#end();
-      await this.#begin(this.#newId(), this.#service);
+      await sleep(DRAIN_MS);
+      this.#unregister();
+      await this.#stopRunner();
+      await this.#startRunner(this.#nextId(), this.#service);
     });
   }
 
@@ -107,24 +107,24 @@
   }
 
   /** Runs one change at a time; a second one meanwhile is left out. */
-  async #alone(change: () => Promise<void>): Promise<void> {
-    if (this.#busy) return;
-    this.#busy = true;
+  async #runExclusively(change: () => Promise<void>): Promise<void> {
+    if (this.#isBusy) return;
+    this.#isBusy = true;
     await change();
-    this.#busy = false;
+    this.#isBusy = false;
   }
 
-  #newId(): string {
+  #nextId(): string {
     return `i-${this.#index}-${this.#starts}`;
   }
 
-  async #begin(id: string, service: string): Promise<void> {
+  async #startRunner(id: string, service: string): Promise<void> {
     this.#starts++;
     const runner = await Runner.open(id);
     runner.isFatal = isFatal;
     runner.downMs = DOWN_MS;
-    runner.onEnd = () => this.#crashed(runner);
-    runner.onBack = () => void this.#cameBack(runner);
+    runner.onCrash = () => this.#handleCrash(runner);
+    runner.onRestart = () => void this.#handleRestart(runner);
     await this.proxy.reopen();
     const [host, port] = runner.address.split(":");
     this.proxy.target = { host, port: Number(port) };
@@ -139,12 +139,12 @@
   }
 
   /** A request ended the program: its address refuses connections until it is back. */
-  #crashed({ id }: Runner): void {
-    this.#world.trouble(id, DOWN_MS + AFTERMATH_MS);
-    this.proxy.shut();
+  #handleCrash({ id }: Runner): void {
+    this.#world.addTrouble(id, DOWN_MS + AFTER_EFFECT_MS);
+    this.proxy.refuseAll();
   }
 
-  async #cameBack(runner: Runner): Promise<void> {
+  async #handleRestart(runner: Runner): Promise<void> {
     if (this.#instance?.runner !== runner) return;
     const [host, port] = runner.address.split(":");
     this.proxy.target = { host, port: Number(port) };
@@ -153,7 +153,7 @@
     this.#register(runner.isDraining ? "draining" : "ready");
   }
 
-  async #end(): Promise<void> {
+  async #stopRunner(): Promise<void> {
     const { runner } = this.#instance!;
     this.#instance!.leftMs = Math.min(
       this.#instance!.leftMs,
@@ -167,7 +167,7 @@
     this.#world.store.put(`servers/${runner.id}`, {
       service,
       address: `${LOOPBACK}:${this.proxy.port}`,
-      zone: domainOf(this.region),
+      zone: getFailureDomain(this.region),
       slots: SLOTS,
       state,
       cold_left_ms: 0,
@@ -176,7 +176,7 @@
     });
   }
 
-  #forget(): void {
+  #unregister(): void {
     this.#world.store.remove(`servers/${this.#instance!.runner.id}`);
   }
 }
--- a/soak/soak_test.ts
+++ b/soak/soak_test.ts
@@ -4,13 +4,22 @@
 import { describe, itAlone as it } from "../src/base/describe.ts";
 
 const SCRIPT = fileURLToPath(new URL("./main.js", import.meta.url));
-const SMALL = ["--vms", "4", "--runners", "6", "--callers", "8", "--jobs", "1"];
+const SMALL_RUN = [
+  "--vms",
+  "4",
+  "--runners",
+  "6",
+  "--callers",
+  "8",
+  "--jobs",
+  "1",
+];
 
 /** Runs the soak; returns its exit code and what it printed. */
-async function soak(
+async function runSoak(
   ...args: string[]
 ): Promise<{ code: number; printed: string }> {
-  const child = spawn(process.execPath, [SCRIPT, ...SMALL, ...args], {
+  const child = spawn(process.execPath, [SCRIPT, ...SMALL_RUN, ...args], {
     stdio: ["ignore", "pipe", "inherit"],
   });
   let printed = "";
@@ -21,7 +30,7 @@
 
 describe("soak", () => {
   it("keeps all promises on a short run", async (t) => {
-    const { code, printed } = await soak(
+    const { code, printed } = await runSoak(
       "--first",
       "7",
       "--seeds",
@@ -33,7 +42,7 @@
   });
 
   it("keeps all promises beside requests that crash upstreams", async (t) => {
-    const { code, printed } = await soak(
+    const { code, printed } = await runSoak(
       "--first",
       "3",
       "--seeds",
@@ -50,15 +59,15 @@
   it("keeps all promises beside a second soak", async (t) => {
     const args = ["--seeds", "1", "--seconds", "1", "--planned"];
     const runs = await Promise.all([
-      soak("--first", "1", ...args),
-      soak("--first", "2", ...args),
+      runSoak("--first", "1", ...args),
+      runSoak("--first", "2", ...args),
     ]);
     for (const { code, printed } of runs) t.is(code, 0, printed);
   });
 
   // The gateway is honest, so a run alone cannot show that the judge reads its evidence right.
   it("finds a second run that was planted in a real run", async (t) => {
-    const { code, printed } = await soak(
+    const { code, printed } = await runSoak(
       "--first",
       "8",
       "--seeds",
--- a/soak/world.ts
+++ b/soak/world.ts
@@ -9,12 +9,12 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import type { GatewaySettings } from "../src/gateway/mod.ts";
-import { KvServer, routeRow } from "../src/standins/mod.ts";
+import { KvServer, makeRoute } from "../src/standins/mod.ts";
 import { Proc, sleep } from "../test/cluster.ts";
-import { Block } from "./block.ts";
-import { FaultProxy, type Place } from "./proxy.ts";
+import { AddressBlock } from "./block.ts";
+import { type Endpoint, FaultProxy } from "./proxy.ts";
 import type { VmLink } from "./plan.ts";
-import { type Instance, RunnerPlace } from "./runner_place.ts";
+import { RunnerHost, type RunnerInstance } from "./runner_place.ts";
 
 /** Ports of every VM, the same on each, as on the platform. */
 const PORTS = {
@@ -27,12 +27,12 @@
 };
 const GRACE_MS = 3_000;
 /** A process that ended starts again after this long. */
-const RESTART_MS = 300;
+const RESTART_DELAY_MS = 300;
 const LEASE_MS = 1_000;
 /** The regions, each of one failure domain. */
 export const REGIONS = ["north", "south"] as const;
 /** Name of a region's only failure domain. */
-export function domainOf(region: string): string {
+export function getFailureDomain(region: string): string {
   return `${region}-a`;
 }
 
@@ -44,7 +44,7 @@
 }
 
 /** A version of the configuration: where plain requests go since then. */
-export interface ConfigInForce {
+export interface ConfigVersion {
   readonly version: number;
   readonly sinceMs: number;
   readonly plainService: string;
@@ -59,11 +59,11 @@
   readonly proxies: Readonly<Record<VmLink, FaultProxy>>;
   proc: Proc;
   /** Output of earlier processes. */
-  earlier: string;
+  earlierOutput: string;
 }
 
 /** Size of a world. */
-export interface WorldSize {
+export interface WorldOptions {
   readonly vms: number;
   readonly runners: number;
   readonly seed: number;
@@ -73,24 +73,24 @@
 export class World {
   readonly store = new KvServer({ readsPerS: 10_000, writesPerS: 10_000 });
   readonly vms: SoakVm[] = [];
-  readonly runners: RunnerPlace[] = [];
-  readonly instances: Instance[] = [];
+  readonly runnerHosts: RunnerHost[] = [];
+  readonly instances: RunnerInstance[] = [];
   readonly troubles: Trouble[] = [];
-  readonly configs: ConfigInForce[] = [];
+  readonly configs: ConfigVersion[] = [];
   /** What a process did that it must not: ended by itself, or did not stop in time. */
   readonly processFaults: string[] = [];
-  readonly #size: WorldSize;
+  readonly #options: WorldOptions;
   readonly #dir = mkdtempSync(join(tmpdir(), "ibisgap-soak-"));
-  #block!: Block;
-  #closing = false;
+  #block!: AddressBlock;
+  #isClosing = false;
 
-  private constructor(size: WorldSize) {
-    this.#size = size;
+  private constructor(options: WorldOptions) {
+    this.#options = options;
   }
 
   /** Opens all and waits until every VM is ready. */
-  static async open(size: WorldSize): Promise<World> {
-    const world = new World(size);
+  static async open(options: WorldOptions): Promise<World> {
+    const world = new World(options);
     try {
       await world.#start();
     } catch (error) {
@@ -106,7 +106,7 @@
   }
 
   /** Notes that something unplanned happens to `who`; the caller sets its end. */
-  trouble(who: string, forMs: number): Trouble {
+  addTrouble(who: string, forMs: number): Trouble {
     const fromMs = this.nowMs();
     const trouble = { who, fromMs, toMs: fromMs + forMs };
     this.troubles.push(trouble);
@@ -114,25 +114,25 @@
   }
 
   /** Writes a newer configuration in which plain requests go to `plainService`. */
-  configure(plainService: string): void {
+  writeConfig(plainService: string): void {
     const version = (this.configs.at(-1)?.version ?? 0) + 3;
     const service = { max_conns: 100, cold_s: 0, cold_rate_s: 0 };
     this.store.put("op/config", {
       version,
       routes: [
-        routeRow({ service: plainService }),
-        routeRow({ path_prefix: "/once/", kind: "unsafe" }),
-        routeRow({
+        makeRoute({ service: plainService }),
+        makeRoute({ path_prefix: "/once/", kind: "unsafe" }),
+        makeRoute({
           path_prefix: "/stream/",
           kind: "streaming",
           resumable: true,
         }),
-        routeRow({
+        makeRoute({
           path_prefix: "/streamonce/",
           kind: "streaming",
           max_attempts: 1,
         }),
-        routeRow({
+        makeRoute({
           path_prefix: "/south/",
           kind: "unsafe",
           home_regions: ["south"],
@@ -163,7 +163,7 @@
       sleep(GRACE_MS).then(() => false),
     ]);
     // A process that was frozen meanwhile could not end; that is no fault of its own.
-    if (ended || this.isTroubled(`vm:${index}`, this.nowMs() - GRACE_MS)) {
+    if (ended || this.hasTroubleSince(`vm:${index}`, this.nowMs() - GRACE_MS)) {
       return;
     }
     this.processFaults.push(`vm ${index} did not stop in time`);
@@ -171,7 +171,7 @@
   }
 
   /** Whether something unplanned happened to `who` since then. */
-  isTroubled(who: string, sinceMs: number): boolean {
+  hasTroubleSince(who: string, sinceMs: number): boolean {
     return this.troubles.some((trouble) =>
       trouble.who === who && trouble.toMs >= sinceMs
     );
@@ -179,50 +179,57 @@
 
   /** Writes the logs of all processes to a folder. */
   saveLogs(folder: string): void {
-    for (const { index, earlier, proc } of this.vms) {
-      writeFileSync(join(folder, `vm-${index}.log`), earlier + proc.output);
+    for (const { index, earlierOutput, proc } of this.vms) {
+      writeFileSync(
+        join(folder, `vm-${index}.log`),
+        earlierOutput + proc.output,
+      );
     }
   }
 
   async close(): Promise<void> {
-    this.#closing = true;
+    this.#isClosing = true;
     for (const { proc } of this.vms) await proc.end();
     for (const { proxies } of this.vms) {
       for (const proxy of Object.values(proxies)) await proxy.close();
     }
-    for (const place of this.runners) await place.close();
+    for (const host of this.runnerHosts) await host.close();
     await this.store.close();
     await this.#block?.close();
     rmSync(this.#dir, { recursive: true, force: true });
   }
 
   async #start(): Promise<void> {
-    this.#block = await Block.open();
-    this.configure("s");
-    for (let index = 0; index < this.#size.runners; index++) {
-      this.runners.push(await RunnerPlace.open(this, index));
+    this.#block = await AddressBlock.open();
+    this.writeConfig("s");
+    for (let index = 0; index < this.#options.runners; index++) {
+      this.runnerHosts.push(await RunnerHost.open(this, index));
     }
-    for (let index = 0; index < this.#size.vms; index++) {
-      this.vms.push(await this.#addVm(index));
+    for (let index = 0; index < this.#options.vms; index++) {
+      this.vms.push(await this.#startVm(index));
     }
     for (const { proc } of this.vms) await proc.said(/event=started/);
   }
 
-  async #addVm(index: number): Promise<SoakVm> {
-    const ip = this.#block.ip(index);
-    const ownIp = this.#block.ownIp(index);
-    const at = (host: string, port: number): Place => ({ host, port });
-    const [storeHost, storePort] = (await this.store.addressFor(`vm-${index}`))
-      .split(":");
+  async #startVm(index: number): Promise<SoakVm> {
+    const proxyIp = this.#block.proxyIp(index);
+    const vmIp = this.#block.vmIp(index);
+    const endpoint = (host: string, port: number): Endpoint => ({ host, port });
+    const [storeHost, storePort] =
+      (await this.store.openAddressFor(`vm-${index}`))
+        .split(":");
     const proxies = {
       callers: await FaultProxy.open(
-        at(ip, PORTS.callers),
-        at(ownIp, PORTS.callers),
+        endpoint(proxyIp, PORTS.callers),
+        endpoint(vmIp, PORTS.callers),
+      ),
+      peers: await FaultProxy.open(
+        endpoint(proxyIp, PORTS.peers),
+        endpoint(vmIp, PORTS.peers),
       ),
-      peers: await FaultProxy.open(at(ip, PORTS.peers), at(ownIp, PORTS.peers)),
       store: await FaultProxy.open(
-        at(ownIp, 0),
-        at(storeHost, Number(storePort)),
+        endpoint(vmIp, 0),
+        endpoint(storeHost, Number(storePort)),
       ),
     };
     const settingsPath = join(this.#dir, `vm-${index}.json`);
@@ -230,28 +237,28 @@
     const settings: GatewaySettings = {
       vm: {
         id: `vm-${index}`,
-        ip,
+        ip: proxyIp,
         region,
-        failureDomain: domainOf(region),
+        failureDomain: getFailureDomain(region),
         memoryMb: 350,
         mostDescriptors: 4_000,
         coreShare: 1,
         coreSpeed: 1,
       },
       listen: {
-        callers: `${ownIp}:${PORTS.callers}`,
-        ready: `${ownIp}:${PORTS.ready}`,
-        directory: `${ownIp}:${PORTS.directory}`,
-        peers: `${ownIp}:${PORTS.peers}`,
+        callers: `${vmIp}:${PORTS.callers}`,
+        ready: `${vmIp}:${PORTS.ready}`,
+        directory: `${vmIp}:${PORTS.directory}`,
+        peers: `${vmIp}:${PORTS.peers}`,
         beats: PORTS.beats,
         metrics: PORTS.metrics,
       },
       seeds: this.vms.map((vm) => `${vm.ip}:${PORTS.peers}`),
       failureDomains: Object.fromEntries(
-        REGIONS.map((name) => [domainOf(name), name]),
+        REGIONS.map((name) => [getFailureDomain(name), name]),
       ),
       store: {
-        address: `${ownIp}:${proxies.store.port}`,
+        address: `${vmIp}:${proxies.store.port}`,
         leastLeaseMs: LEASE_MS,
       },
       bounds: {
@@ -266,12 +273,20 @@
       },
     };
     writeFileSync(settingsPath, JSON.stringify(settings));
-    const proc = this.#run(index, settingsPath, 0);
-    return { index, region, ip, settingsPath, proxies, proc, earlier: "" };
+    const proc = this.#startProcess(index, settingsPath, 0);
+    return {
+      index,
+      region,
+      ip: proxyIp,
+      settingsPath,
+      proxies,
+      proc,
+      earlierOutput: "",
+    };
   }
 
-  #run(index: number, settingsPath: string, start: number): Proc {
-    const clockSeed = this.#size.seed * 1_000 + index * 100 + start;
+  #startProcess(index: number, settingsPath: string, start: number): Proc {
+    const clockSeed = this.#options.seed * 1_000 + index * 100 + start;
     const proc = new Proc(
       `vm-${index}`,
       "src/gateway/main.js",
@@ -279,30 +294,30 @@
       ["--import", new URL("./skewed_clock.js", import.meta.url).href],
       { SOAK_CLOCK_SEED: String(clockSeed) },
     );
-    void proc.exited.then((code) => this.#restart(index, start, code));
+    void proc.exited.then((code) => this.#restartProcess(index, start, code));
     return proc;
   }
 
-  async #restart(
+  async #restartProcess(
     index: number,
     start: number,
     code: number | null,
   ): Promise<void> {
     // A signal has no code, a planned stop has 0; anything else is a crash.
-    if (code !== null && code !== 0 && !this.#closing) {
+    if (code !== null && code !== 0 && !this.#isClosing) {
       this.processFaults.push(`vm ${index} ended by itself with code ${code}`);
     }
-    await sleep(RESTART_MS);
-    if (this.#closing) return;
+    await sleep(RESTART_DELAY_MS);
+    if (this.#isClosing) return;
     const vm = this.vms[index];
-    vm.earlier += vm.proc.output;
-    vm.proc = this.#run(index, vm.settingsPath, start + 1);
+    vm.earlierOutput += vm.proc.output;
+    vm.proc = this.#startProcess(index, vm.settingsPath, start + 1);
   }
 
   /** Where callers ask which VMs to use. */
   directoryUrl(vm: SoakVm): string {
     return `http://${
-      this.#block.ownIp(vm.index)
+      this.#block.vmIp(vm.index)
     }:${PORTS.directory}/api/lookup?region=`;
   }
 }
--- a/src/cli/replay.ts
+++ b/src/cli/replay.ts
@@ -7,17 +7,17 @@
 import { readFileSync } from "node:fs";
 import { defineCommand } from "citty";
 import {
-  defaultKey,
-  judge,
+  buildDefaultKey,
+  buildReportJson,
+  checkOutcomes,
+  formatReport,
   type Outcome,
   parseTargets,
-  printReport,
-  type Progress,
   readOutcomes,
   readTrace,
   type RecordSource,
   replay,
-  reportJson,
+  type ReplayProgress,
 } from "../replay/mod.ts";
 
 /** Exit code when a stated outcome did not hold. */
@@ -57,15 +57,15 @@
     const statedOutcomes: Outcome[] = outcomes?.isOk() ? outcomes.value : [];
     const report = await replay(trace.value, {
       targets: parseTargets(args.target),
-      keyOf: readKeys(args.keys),
-      records: args.records ? parseRecords(args.records) : undefined,
+      getKey: readKeys(args.keys),
+      recordSources: args.records ? parseRecords(args.records) : undefined,
       onProgress: process.stderr.isTTY ? showProgress : undefined,
     });
-    const results = judge(report, statedOutcomes);
+    const results = checkOutcomes(report, statedOutcomes);
     console.log(
       args.json
-        ? JSON.stringify(reportJson(trace.value, report, results), null, 2)
-        : printReport(trace.value, report, results),
+        ? JSON.stringify(buildReportJson(trace.value, report, results), null, 2)
+        : formatReport(trace.value, report, results),
     );
     if (results.some((result) => !result.held)) {
       process.exitCode = EXIT_OUTCOME_FAILED;
@@ -79,9 +79,9 @@
 }
 
 function readKeys(path: string | undefined): (workspace: string) => string {
-  if (!path) return defaultKey;
+  if (!path) return buildDefaultKey;
   const keys = JSON.parse(readFileSync(path, "utf8")) as Record<string, string>;
-  return (workspace) => keys[workspace] ?? defaultKey(workspace);
+  return (workspace) => keys[workspace] ?? buildDefaultKey(workspace);
 }
 
 function parseRecords(text: string): RecordSource[] {
@@ -93,7 +93,7 @@
 }
 
 /** Shows the progress on a terminal, in one line that each call overwrites. */
-export function showProgress(progress: Progress): void {
+export function showProgress(progress: ReplayProgress): void {
   const { nowMs, endMs, sent, open, total } = progress;
   const line =
     `${(nowMs / 1000).toFixed(1)} of ${(endMs / 1000).toFixed(1)} s` +
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -6,7 +6,7 @@
 
 import { writeFileSync } from "node:fs";
 import { defineCommand } from "citty";
-import { days, generateTrace, traceText } from "../replay/mod.ts";
+import { dayFactories, generateTrace, serializeTrace } from "../replay/mod.ts";
 
 /** The command `ibisgap trace`; see docs/TRACE.md. */
 export const traceCommand = defineCommand({
@@ -15,7 +15,7 @@
     day: {
       type: "positional",
       required: true,
-      description: Object.keys(days).join(" or "),
+      description: Object.keys(dayFactories).join(" or "),
     },
     seed: { type: "string", default: "1", description: "Seed of the arrivals" },
     out: {
@@ -24,15 +24,17 @@
     },
   },
   run({ args }) {
-    const day = days[args.day];
+    const day = dayFactories[args.day];
     if (!day) {
       console.error(
-        `ibisgap trace: day is "${args.day}"; allowed: ${Object.keys(days)}`,
+        `ibisgap trace: day is "${args.day}"; allowed: ${
+          Object.keys(dayFactories)
+        }`,
       );
       process.exitCode = 2;
       return;
     }
-    const text = traceText(generateTrace(day(), Number(args.seed)));
+    const text = serializeTrace(generateTrace(day(), Number(args.seed)));
     if (args.out) writeFileSync(args.out, text);
     else process.stdout.write(text);
   },
--- a/src/daemon/embedded.ts
+++ b/src/daemon/embedded.ts
@@ -10,7 +10,7 @@
 import { Random, secretDigest, systemClock } from "../base/mod.ts";
 import { Kernel, openLog } from "../kernel/mod.ts";
 import { TableEditor, TableService } from "../services/mod.ts";
-import { openEngine, openPlain, openPlatform } from "../standins/mod.ts";
+import { openEngine, openPlainService, openPlatform } from "../standins/mod.ts";
 import { type Daemon, openDaemon } from "./daemon.ts";
 import { checkSettings, type Settings } from "./settings.ts";
 
@@ -35,7 +35,7 @@
 ): Promise<EmbeddedGateway> {
   const platform = await openPlatform();
   const engine = await openEngine({ model: "demo" });
-  const plain = await openPlain({ name: "ledger" });
+  const plain = await openPlainService({ name: "ledger" });
   await seedTable(platform.url, embeddedRows(engine.url, plain.url));
   const daemon = await openDaemon(embeddedSettings(port, platform.url), stop);
   const close = async () => {
--- a/src/edge/answer.ts
+++ b/src/edge/answer.ts
@@ -9,13 +9,13 @@
 import { codes, type Failure } from "../base/mod.ts";
 
 /** Which VM and region answers; sent with every answer. */
-export interface Place {
+export interface VmIdentity {
   readonly vmId: string;
   readonly region: string;
 }
 
 /** The JSON body of a failure. */
-export function failureBody(
+export function buildFailureBody(
   failure: Failure,
 ): { readonly error: Record<string, unknown> } {
   const info = codes[failure.code];
@@ -35,9 +35,9 @@
 }
 
 /** Marks an answer with the region and VM that serve it. */
-export function setPlace(response: ServerResponse, place: Place): void {
-  response.setHeader("x-ibisgap-region", place.region);
-  response.setHeader("x-ibisgap-vm", place.vmId);
+export function setVmHeaders(response: ServerResponse, vm: VmIdentity): void {
+  response.setHeader("x-ibisgap-region", vm.region);
+  response.setHeader("x-ibisgap-vm", vm.vmId);
 }
 
 /** Sends a failure; its body and headers are final and leave at once. */
@@ -60,7 +60,7 @@
   if (failure.goTo?.length && info.httpStatus === 421) {
     response.setHeader("location", failure.goTo[0]);
   }
-  response.end(JSON.stringify(failureBody(failure)));
+  response.end(JSON.stringify(buildFailureBody(failure)));
 }
 
 /** Sends a value as JSON. */
--- a/src/edge/attempts.ts
+++ b/src/edge/attempts.ts
@@ -11,7 +11,7 @@
 import type { EdgeContext } from "./context.ts";
 
 /** What placing a request needs, besides its {@link Call}. */
-export interface Demand {
+export interface SlotDemand {
   readonly service: string;
   readonly deadlineMs: number;
   readonly promptTokens: number;
@@ -20,7 +20,7 @@
 }
 
 /** What was seen of an attempt. */
-export interface AttemptSeen {
+export interface AttemptStats {
   readonly firstTokenAtMs?: number;
   readonly outputTokens?: number;
   readonly cachedTokens?: number;
@@ -32,7 +32,7 @@
   readonly startedAtMs: number;
   readonly #context: EdgeContext;
   readonly #service: string;
-  #ended = false;
+  #hasEnded = false;
 
   constructor(context: EdgeContext, service: string, grant: SlotGrant) {
     this.#context = context;
@@ -42,38 +42,41 @@
   }
 
   /** The first token came: the lead learns of a slow upstream now and not at the answer's end. */
-  started(firstTokenAtMs: number): void {
+  reportStarted(firstTokenAtMs: number): void {
     void this.#context.slots.ask(
       "report",
-      this.#report("started", { firstTokenAtMs }),
+      this.#buildReport("started", { firstTokenAtMs }),
     );
   }
 
   /** Frees the slot and tells the lead how the upstream did. */
-  report(outcome: SlotReport["outcome"], seen: AttemptSeen = {}): void {
-    if (this.#ended) return;
-    this.#ended = true;
-    void this.#context.slots.ask("report", this.#report(outcome, seen));
+  report(outcome: SlotReport["outcome"], stats: AttemptStats = {}): void {
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
+    void this.#context.slots.ask("report", this.#buildReport(outcome, stats));
   }
 
   /** Gives the slot back unused. */
   cancel(): void {
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     void this.#context.slots.ask("cancel", {
       attemptId: this.grant.attemptId,
       service: this.#service,
     });
   }
 
-  #report(outcome: SlotReport["outcome"], seen: AttemptSeen): SlotReport {
-    const { firstTokenAtMs, cachedTokens } = seen;
+  #buildReport(
+    outcome: SlotReport["outcome"],
+    stats: AttemptStats,
+  ): SlotReport {
+    const { firstTokenAtMs, cachedTokens } = stats;
     return {
       attemptId: this.grant.attemptId,
       service: this.#service,
       upstreamId: this.grant.upstreamId,
       outcome,
-      outputTokens: seen.outputTokens ?? 0,
+      outputTokens: stats.outputTokens ?? 0,
       totalMs: this.#context.clock.nowMs() - this.startedAtMs,
       ...(cachedTokens === undefined ? {} : { cachedTokens }),
       ...(firstTokenAtMs === undefined
@@ -84,41 +87,42 @@
 }
 
 /** Asks for slots for one request, never for an upstream it was already at. */
-export class Attempts {
+export class AttemptIterator {
   readonly #context: EdgeContext;
   readonly #call: Call;
-  readonly #demand: Demand;
-  readonly #visited: string[] = [];
-  #moved = false;
+  readonly #demand: SlotDemand;
+  readonly #triedUpstreamIds: string[] = [];
+  #usedRemoteRegion = false;
 
-  constructor(context: EdgeContext, call: Call, demand: Demand) {
+  constructor(context: EdgeContext, call: Call, demand: SlotDemand) {
     this.#context = context;
     this.#call = call;
     this.#demand = demand;
   }
 
   /** Whether another attempt is allowed: a request that fails everywhere must not go round for ever. */
-  get left(): boolean {
-    return this.#visited.length < this.#context.limits.attempts &&
+  get hasNext(): boolean {
+    return this.#triedUpstreamIds.length < this.#context.limits.attempts &&
       this.#context.clock.nowMs() < this.#demand.deadlineMs;
   }
 
   /** Waits for a slot. Fails with the lead's refusal, or `canceled` when the caller has gone. */
   async next(): Promise<Result<Attempt, Failure>> {
-    const attemptId = this.#context.newAttemptId();
+    const attemptId = this.#context.createAttemptId();
     const service = this.#demand.service;
-    const giveUp = () =>
+    const cancelAcquire = () =>
       void this.#context.slots.ask("cancel", { attemptId, service });
-    this.#call.signal.addEventListener("abort", giveUp, { once: true });
+    this.#call.signal.addEventListener("abort", cancelAcquire, { once: true });
     const answer = await this.#context.slots.ask(
       "acquire",
-      this.#request(attemptId),
+      this.#buildSlotRequest(attemptId),
     );
-    this.#call.signal.removeEventListener("abort", giveUp);
+    this.#call.signal.removeEventListener("abort", cancelAcquire);
     if (answer.type === "grant") {
       const attempt = new Attempt(this.#context, service, answer);
-      this.#visited.push(answer.upstreamId);
-      this.#moved ||= this.#regionOf(answer) !== this.#context.place.region;
+      this.#triedUpstreamIds.push(answer.upstreamId);
+      this.#usedRemoteRegion ||=
+        this.#findRegion(answer) !== this.#context.vm.region;
       if (!this.#call.signal.aborted) return ok(attempt);
       attempt.cancel();
       return err(failure("canceled", { ran: "no" }));
@@ -131,22 +135,22 @@
     );
   }
 
-  #request(attemptId: string): SlotRequest {
+  #buildSlotRequest(attemptId: string): SlotRequest {
     return {
       attemptId,
       ...this.#demand,
       workspace: this.#call.workspace.id,
       priority: this.#call.headers.priority,
       arrivedAtMs: this.#call.arrivedAtMs,
-      exclude: [...this.#visited],
+      exclude: [...this.#triedUpstreamIds],
       boundByCaller: isBound(this.#call.workspace, this.#call.headers),
-      ...(this.#moved ? { stayHome: true } : {}),
+      ...(this.#usedRemoteRegion ? { stayHome: true } : {}),
       tableVersion: this.#call.table.version,
     };
   }
 
-  #regionOf(grant: SlotGrant): string {
+  #findRegion(grant: SlotGrant): string {
     const row = this.#call.table.get(`upstream/${grant.upstreamId}`)?.row;
-    return row?.kind === "upstream" ? row.region : this.#context.place.region;
+    return row?.kind === "upstream" ? row.region : this.#context.vm.region;
   }
 }
--- a/src/edge/body.ts
+++ b/src/edge/body.ts
@@ -24,11 +24,13 @@
   limits: BodyLimits,
   clock: Clock,
 ): Promise<Result<Buffer, Failure>> {
-  const declared = Number(request.headers["content-length"] ?? 0);
-  if (declared > limits.bodyBytes) return Promise.resolve(tooLarge(limits));
+  const declaredBytes = Number(request.headers["content-length"] ?? 0);
+  if (declaredBytes > limits.bodyBytes) {
+    return Promise.resolve(createTooLargeError(limits));
+  }
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
-    let size = 0;
+    let sizeBytes = 0;
     const timer = clock.after(
       limits.bodyWaitMs,
       () => settle(err(failure("bodyTimeout"))),
@@ -39,8 +41,10 @@
       resolve(result);
     };
     request.on("data", (chunk: Buffer) => {
-      size += chunk.length;
-      if (size > limits.bodyBytes) return settle(tooLarge(limits));
+      sizeBytes += chunk.length;
+      if (sizeBytes > limits.bodyBytes) {
+        return settle(createTooLargeError(limits));
+      }
       chunks.push(chunk);
     });
     request.once("end", () => settle(ok(Buffer.concat(chunks))));
@@ -55,7 +59,7 @@
   });
 }
 
-function tooLarge(limits: BodyLimits): Result<never, Failure> {
+function createTooLargeError(limits: BodyLimits): Result<never, Failure> {
   return err(
     failure("bodyTooLarge", {
       message: `the body exceeds ${limits.bodyBytes} bytes`,
@@ -64,16 +68,18 @@
 }
 
 /** A whole answer that is not passed on as it comes may be this long. */
-const ANSWER_BYTES = 32 << 20;
+const MAX_ANSWER_BYTES = 32 << 20;
 
 /** The whole body of an upstream's answer; `undefined` if it broke off or is too long to hold. */
-export async function readAnswer(body: Readable): Promise<Buffer | undefined> {
+export async function readAnswerBody(
+  body: Readable,
+): Promise<Buffer | undefined> {
   const chunks: Buffer[] = [];
-  let size = 0;
+  let sizeBytes = 0;
   try {
     for await (const chunk of body) {
-      size += (chunk as Buffer).length;
-      if (size > ANSWER_BYTES) return undefined;
+      sizeBytes += (chunk as Buffer).length;
+      if (sizeBytes > MAX_ANSWER_BYTES) return undefined;
       chunks.push(chunk as Buffer);
     }
   } catch {
--- a/src/edge/call.ts
+++ b/src/edge/call.ts
@@ -14,9 +14,9 @@
 import { type Failure, failure } from "../base/mod.ts";
 
 /** Lowest and highest priority a caller may ask for; 0 is the default. */
-const PRIORITY_RANGE = { least: -10, most: 10 };
+const PRIORITY_LIMITS = { min: -10, max: 10 };
 
-const KEY_PATTERN = /^[\x21-\x7e]{1,255}$/;
+const IDEMPOTENCY_KEY_PATTERN = /^[\x21-\x7e]{1,255}$/;
 
 /** What the headers say. */
 export interface CallHeaders {
@@ -41,27 +41,32 @@
 }
 
 /** Reads and checks the headers that steer a request. */
-export function readHeaders(
+export function parseCallHeaders(
   headers: IncomingHttpHeaders,
   nowMs: number,
 ): Result<CallHeaders, Failure> {
-  const priority = integer(headers["x-ibisgap-priority"], 0);
+  const priority = parseInteger(headers["x-ibisgap-priority"], 0);
   if (
-    priority === undefined || priority < PRIORITY_RANGE.least ||
-    priority > PRIORITY_RANGE.most
+    priority === undefined || priority < PRIORITY_LIMITS.min ||
+    priority > PRIORITY_LIMITS.max
   ) {
-    return bad(
-      `x-ibisgap-priority must be a whole number from ${PRIORITY_RANGE.least} to ${PRIORITY_RANGE.most}`,
+    return createBadRequest(
+      `x-ibisgap-priority must be a whole number from ${PRIORITY_LIMITS.min} to ${PRIORITY_LIMITS.max}`,
     );
   }
-  const deadlineMs = integer(headers["x-ibisgap-deadline"], Number.NaN);
+  const deadlineMs = parseInteger(headers["x-ibisgap-deadline"], Number.NaN);
   if (deadlineMs === undefined) {
-    return bad("x-ibisgap-deadline must be whole milliseconds since the epoch");
+    return createBadRequest(
+      "x-ibisgap-deadline must be whole milliseconds since the epoch",
+    );
   }
   if (deadlineMs <= nowMs) return err(failure("deadlinePassed"));
   const idempotencyKey = headers["idempotency-key"] as string | undefined;
-  if (idempotencyKey !== undefined && !KEY_PATTERN.test(idempotencyKey)) {
-    return bad(
+  if (
+    idempotencyKey !== undefined &&
+    !IDEMPOTENCY_KEY_PATTERN.test(idempotencyKey)
+  ) {
+    return createBadRequest(
       "Idempotency-Key must be 1 to 255 printable ASCII characters without spaces",
     );
   }
@@ -74,7 +79,7 @@
 }
 
 /** The time by which the answer must begin. */
-export function deadlineOf(call: Call, service: ServiceRow): number {
+export function getDeadlineMs(call: Call, service: ServiceRow): number {
   return call.headers.deadlineMs ??
     call.arrivedAtMs + service.defaultDeadlineMs;
 }
@@ -88,16 +93,16 @@
 }
 
 /** A whole number; `undefined` if the text is not one. */
-function integer(
+function parseInteger(
   text: string | string[] | undefined,
-  ifAbsent: number,
+  defaultValue: number,
 ): number | undefined {
-  if (text === undefined) return ifAbsent;
+  if (text === undefined) return defaultValue;
   return typeof text === "string" && /^-?\d{1,15}$/.test(text)
     ? Number(text)
     : undefined;
 }
 
-function bad(message: string): Result<never, Failure> {
+function createBadRequest(message: string): Result<never, Failure> {
   return err(failure("badRequest", { message }));
 }
--- a/src/edge/context.ts
+++ b/src/edge/context.ts
@@ -17,7 +17,7 @@
   SuspectsMessages,
   TableMessages,
 } from "../services/mod.ts";
-import type { Place } from "./answer.ts";
+import type { VmIdentity } from "./answer.ts";
 
 /** Limits of the edge; the daemon's settings have the same fields. */
 export interface EdgeLimits {
@@ -33,7 +33,7 @@
 
 /** The services, clients and limits that a request needs. */
 export interface EdgeContext {
-  readonly place: Place;
+  readonly vm: VmIdentity;
   readonly limits: EdgeLimits;
   readonly clock: Clock;
   readonly log: Log;
@@ -46,5 +46,5 @@
   readonly suspects: TaskPort<SuspectsMessages>;
   readonly metrics: TaskPort<MetricsMessages>;
   /** A new id for an attempt, unlike any other's. */
-  newAttemptId(): string;
+  createAttemptId(): string;
 }
--- a/src/edge/edge.ts
+++ b/src/edge/edge.ts
@@ -12,13 +12,13 @@
 import { HttpUpstreamClient } from "../adapters/mod.ts";
 import { type Kernel, Task } from "../kernel/mod.ts";
 import type { VmInfo } from "../services/mod.ts";
-import { sendFailure, sendJson, setPlace } from "./answer.ts";
-import { type Call, isBound, readHeaders } from "./call.ts";
+import { sendFailure, sendJson, setVmHeaders } from "./answer.ts";
+import { type Call, isBound, parseCallHeaders } from "./call.ts";
 import type { EdgeContext, EdgeLimits } from "./context.ts";
-import { bearer, identify } from "./identity.ts";
+import { authenticate, readBearerToken } from "./identity.ts";
 import type { CallerListener } from "./listener.ts";
-import { ModelCall } from "./model_call.ts";
-import { PlainCall } from "./plain_call.ts";
+import { ModelCallHandler } from "./model_call.ts";
+import { PlainCallHandler } from "./plain_call.ts";
 import type { ModelPath } from "./prompt.ts";
 
 /** How the edge is set up. */
@@ -40,18 +40,18 @@
 };
 
 /** How often a drain looks whether it is done. */
-const DRAIN_STEP_MS = 20;
+const DRAIN_POLL_MS = 20;
 
 /** See {@link EdgeMessages}. */
 export class Edge extends Task<EdgeMessages> {
   readonly name = "edge";
   readonly #options: EdgeOptions;
   readonly #upstreams: HttpUpstreamClient;
-  readonly #open = new Set<AbortController>();
+  readonly #active = new Set<AbortController>();
   #kernel!: Kernel;
   #context!: EdgeContext;
   #draining = false;
-  #served = 0;
+  #servedCount = 0;
 
   protected readonly handlers = {
     address: () => this.#options.listener.address,
@@ -72,7 +72,7 @@
     const { vmId, region, limits } = this.#options;
     this.#kernel = kernel;
     this.#context = {
-      place: { vmId, region },
+      vm: { vmId, region },
       limits,
       clock: kernel.clock,
       log: kernel.log,
@@ -84,37 +84,37 @@
       directory: kernel.get("directory"),
       suspects: kernel.get("suspects"),
       metrics: kernel.get("metrics"),
-      newAttemptId: randomUUID,
+      createAttemptId: randomUUID,
     };
-    this.#options.listener.attach(this.#app().callback());
+    this.#options.listener.setHandler(this.#createApp().callback());
     return Promise.resolve();
   }
 
   async close(deadlineMs: number): Promise<void> {
     await this.#drain(deadlineMs);
-    for (const abort of this.#open) abort.abort();
+    for (const controller of this.#active) controller.abort();
     await this.#options.listener.close();
     await this.#upstreams.close();
   }
 
   dump(): unknown {
     return {
-      open: this.#open.size,
-      served: this.#served,
+      open: this.#active.size,
+      served: this.#servedCount,
       draining: this.#draining,
     };
   }
 
   async #drain(deadlineMs: number): Promise<number> {
     this.#draining = true;
-    this.#options.listener.closeIdle();
-    while (this.#open.size > 0 && this.#context.clock.nowMs() < deadlineMs) {
-      await this.#context.clock.sleep(DRAIN_STEP_MS);
+    this.#options.listener.closeIdleConnections();
+    while (this.#active.size > 0 && this.#context.clock.nowMs() < deadlineMs) {
+      await this.#context.clock.sleep(DRAIN_POLL_MS);
     }
-    return this.#open.size;
+    return this.#active.size;
   }
 
-  #app(): Koa {
+  #createApp(): Koa {
     const app = new Koa();
     app.silent = true;
     const router = new Router();
@@ -128,29 +128,29 @@
     for (const path of ["/v1/chat/completions", "/v1/completions"] as const) {
       router.post(
         path,
-        (ctx) => this.#handle(ctx, (call) => this.#model(call, path)),
+        (ctx) => this.#handle(ctx, (call) => this.#runModel(call, path)),
       );
     }
     router.get(
       "/v1/models",
-      (ctx) => this.#handle(ctx, (call) => this.#models(call)),
+      (ctx) => this.#handle(ctx, (call) => this.#listModels(call)),
     );
     router.get(
       "/v1/requests/:key",
-      (ctx) => this.#handle(ctx, (call) => this.#lookup(call, ctx.params.key)),
+      (ctx) => this.#handle(ctx, (call) => this.#lookUp(call, ctx.params.key)),
     );
     router.get(
       "/v1/directory",
-      (ctx) => this.#handle(ctx, (call) => this.#directory(call)),
+      (ctx) => this.#handle(ctx, (call) => this.#findVms(call)),
     );
     router.all(
       "/services/:name{/*rest}",
-      (ctx) => this.#handle(ctx, (call) => this.#plain(call, ctx.params.name)),
+      (ctx) => this.#handle(ctx, (call) => this.#proxy(call, ctx.params.name)),
     );
-    app.use((ctx, next) => this.#guard(ctx, next));
+    app.use((ctx, next) => this.#runGuarded(ctx, next));
     app.use(router.routes());
-    for (const admin of this.#options.adminRoutes?.(this.#kernel) ?? []) {
-      app.use(admin.routes());
+    for (const adminRouter of this.#options.adminRoutes?.(this.#kernel) ?? []) {
+      app.use(adminRouter.routes());
     }
     app.use((ctx) =>
       this.#raw(ctx, (response) => this.#refuse(response, failure("notFound")))
@@ -159,14 +159,14 @@
   }
 
   /** Operators' paths need an operator's token; every answer says who gave it; a fault of ours is said so. */
-  async #guard(ctx: Koa.Context, next: Koa.Next): Promise<void> {
-    setPlace(ctx.res, this.#context.place);
+  async #runGuarded(ctx: Koa.Context, next: Koa.Next): Promise<void> {
+    setVmHeaders(ctx.res, this.#context.vm);
     if (this.#draining) ctx.res.setHeader("connection", "close");
     try {
       if (ctx.path === "/admin" || ctx.path.startsWith("/admin/")) {
-        const refused = this.#checkOperator(ctx);
-        if (refused) {
-          return this.#raw(ctx, (response) => this.#refuse(response, refused));
+        const refusal = this.#checkOperator(ctx);
+        if (refusal) {
+          return this.#raw(ctx, (response) => this.#refuse(response, refusal));
         }
       }
       await next();
@@ -180,22 +180,22 @@
   }
 
   #checkOperator(ctx: Koa.Context): Failure | undefined {
-    const token = bearer(ctx.req.headers);
+    const token = readBearerToken(ctx.req.headers);
     if (!token) {
       return failure("unauthenticated", {
         message: "send an operator's token as 'Authorization: Bearer'",
       });
     }
-    const known = this.#options.operatorTokenDigests.some((digest) =>
+    const isKnown = this.#options.operatorTokenDigests.some((digest) =>
       secretMatches(token, digest)
     );
-    return known ? undefined : failure("forbidden");
+    return isKnown ? undefined : failure("forbidden");
   }
 
   /** Answers by hand: the calls write to the socket themselves, for back-pressure and exact ends. */
-  #raw(ctx: Koa.Context, answer: (response: ServerResponse) => void): void {
+  #raw(ctx: Koa.Context, respond: (response: ServerResponse) => void): void {
     ctx.respond = false;
-    answer(ctx.res);
+    respond(ctx.res);
   }
 
   async #handle(
@@ -203,36 +203,36 @@
     run: (call: Call) => Promise<void> | void,
   ): Promise<void> {
     ctx.respond = false;
-    const abort = new AbortController();
+    const controller = new AbortController();
     ctx.res.once("close", () => {
-      if (!ctx.res.writableFinished) abort.abort();
+      if (!ctx.res.writableFinished) controller.abort();
     });
-    const call = await this.#accept(ctx.req, ctx.res, abort.signal);
+    const call = await this.#admit(ctx.req, ctx.res, controller.signal);
     if (!call) return;
-    this.#open.add(abort);
+    this.#active.add(controller);
     try {
       await run(call);
-      this.#served++;
+      this.#servedCount++;
     } finally {
-      this.#open.delete(abort);
+      this.#active.delete(controller);
     }
   }
 
   /** Everything that can be refused before the body is read. */
-  async #accept(
+  async #admit(
     request: IncomingMessage,
     response: ServerResponse,
     signal: AbortSignal,
   ): Promise<Call | undefined> {
     const nowMs = this.#context.clock.nowMs();
     if (this.#draining) {
-      const goTo = await this.#callerUrls(this.#options.region);
+      const goTo = await this.#findOtherVmUrls(this.#options.region);
       return this.#refuse(
         response,
         failure("draining", { goTo, retryAtMs: nowMs }),
       );
     }
-    if (this.#open.size >= this.#context.limits.openRequests) {
+    if (this.#active.size >= this.#context.limits.openRequests) {
       return this.#refuse(
         response,
         failure("queueFull", { retryAtMs: nowMs + 1000 }),
@@ -245,9 +245,9 @@
         failure("noTable", { retryAtMs: nowMs + 1000 }),
       );
     }
-    const workspace = identify(table, request.headers);
+    const workspace = authenticate(table, request.headers);
     if (workspace.isErr()) return this.#refuse(response, workspace.error);
-    const headers = readHeaders(request.headers, nowMs);
+    const headers = parseCallHeaders(request.headers, nowMs);
     if (headers.isErr()) return this.#refuse(response, headers.error);
     const call = {
       request,
@@ -257,11 +257,11 @@
       headers: headers.value,
       signal,
     };
-    const elsewhere = await this.#homeElsewhere({
+    const refusal = await this.#checkHomeRegion({
       ...call,
       arrivedAtMs: nowMs,
     });
-    if (elsewhere) return this.#refuse(response, elsewhere);
+    if (refusal) return this.#refuse(response, refusal);
     return { ...call, arrivedAtMs: nowMs };
   }
 
@@ -269,43 +269,43 @@
    * A manifest or scan must not leave its region, and reading it here would already be that. So the head alone decides,
    * and the connection is closed on a body that is still being sent.
    */
-  async #homeElsewhere(call: Call): Promise<Failure | undefined> {
+  async #checkHomeRegion(call: Call): Promise<Failure | undefined> {
     const { home } = call.workspace;
-    const carriesData = call.request.method !== "GET" ||
+    const mayCarryData = call.request.method !== "GET" ||
       call.request.url!.startsWith("/services/");
     if (
-      home === this.#options.region || !carriesData ||
+      home === this.#options.region || !mayCarryData ||
       !isBound(call.workspace, call.headers)
     ) return undefined;
     return failure("homeElsewhere", {
       message:
         `requests of workspace "${call.workspace.id}" are bound to region "${home}"`,
-      goTo: await this.#callerUrls(home),
+      goTo: await this.#findOtherVmUrls(home),
     });
   }
 
   /** Base URLs of the other live VMs of a region. */
-  async #callerUrls(region: string): Promise<string[]> {
+  async #findOtherVmUrls(region: string): Promise<string[]> {
     const vms = region === this.#options.region
       ? await this.#context.members.ask("region", undefined)
       : (await this.#context.members.ask("others", undefined)).get(region) ??
         [];
-    const usable = (vm: VmInfo) =>
+    const isUsable = (vm: VmInfo) =>
       vm.state === "live" && vm.id !== this.#options.vmId;
-    return vms.filter(usable).map((vm) => vm.callerUrl);
+    return vms.filter(isUsable).map((vm) => vm.callerUrl);
   }
 
-  #refuse(response: ServerResponse, refused: Failure): undefined {
+  #refuse(response: ServerResponse, refusal: Failure): undefined {
     response.setHeader("connection", "close");
-    sendFailure(response, refused, this.#context.clock.nowMs());
+    sendFailure(response, refusal, this.#context.clock.nowMs());
     return undefined;
   }
 
-  #model(call: Call, path: ModelPath): Promise<void> {
-    return new ModelCall(this.#context, call, path).run();
+  #runModel(call: Call, path: ModelPath): Promise<void> {
+    return new ModelCallHandler(this.#context, call, path).run();
   }
 
-  #models(call: Call): void {
+  #listModels(call: Call): void {
     const data = [];
     for (const { row } of call.table.rows()) {
       if (row.kind === "service" && row.type === "model") {
@@ -317,7 +317,7 @@
     sendJson(call.response, 200, { object: "list", data });
   }
 
-  async #plain(call: Call, name: string): Promise<void> {
+  async #proxy(call: Call, name: string): Promise<void> {
     const service = call.table.service(name);
     if (service?.type !== "plain") {
       sendFailure(
@@ -328,7 +328,7 @@
       return;
     }
     const path = call.request.url!.slice(`/services/${name}`.length) || "/";
-    await new PlainCall(
+    await new PlainCallHandler(
       this.#context,
       call,
       service,
@@ -337,7 +337,7 @@
   }
 
   /** What became of a request that may not be repeated: `?service=NAME` names its service. */
-  async #lookup(call: Call, key: string): Promise<void> {
+  async #lookUp(call: Call, key: string): Promise<void> {
     const service = new URL(call.request.url!, "http://vm").searchParams.get(
       "service",
     );
@@ -372,7 +372,7 @@
   }
 
   /** Which VMs to use. The `workspace` query is that of the key; another is refused when the key is checked. */
-  async #directory(call: Call): Promise<void> {
+  async #findVms(call: Call): Promise<void> {
     const named = new URL(call.request.url!, "http://vm").searchParams.get(
       "workspace",
     );
--- a/src/edge/headers.ts
+++ b/src/edge/headers.ts
@@ -7,7 +7,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 
 /** Headers of one connection, by HTTP's definition, and those the edge sets anew. */
-const HOP_BY_HOP = new Set([
+const DROPPED_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -29,19 +29,20 @@
  * The headers of `headers` that go on to the other side. Names that the gateway itself gives a meaning to are dropped:
  * a caller that sends them must not pass for the gateway.
  */
-export function endToEnd(
+export function selectForwardedHeaders(
   headers: IncomingHttpHeaders | Readonly<Record<string, string>>,
 ): Record<string, string> {
-  const named = new Set(
+  const connectionHeaders = new Set(
     (String(headers.connection ?? "")).toLowerCase().split(/\s*,\s*/),
   );
-  const kept: Record<string, string> = {};
+  const forwarded: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
     if (
-      value === undefined || HOP_BY_HOP.has(name) || named.has(name) ||
+      value === undefined || DROPPED_HEADERS.has(name) ||
+      connectionHeaders.has(name) ||
       name.startsWith("x-ibisgap-")
     ) continue;
-    kept[name] = Array.isArray(value) ? value.join(", ") : value as string;
+    forwarded[name] = Array.isArray(value) ? value.join(", ") : value as string;
   }
-  return kept;
+  return forwarded;
 }
--- a/src/edge/listener.ts
+++ b/src/edge/listener.ts
@@ -12,9 +12,9 @@
 import { sendFailure } from "./answer.ts";
 
 /** A head must be whole by then; Node closes the connection otherwise. */
-const HEAD_WAIT_MS = 10_000;
+const HEADERS_TIMEOUT_MS = 10_000;
 /** Longer than common clients keep idle connections, so that it is they who close: no request meets a closing end. */
-const IDLE_MS = 65_000;
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
 /** Where to listen, and for how large heads. */
 export interface ListenerOptions {
@@ -27,7 +27,7 @@
 /** An open listener; see {@link openListener}. */
 export class CallerListener {
   readonly #server: Server;
-  #serve: RequestListener = (_request, response) => {
+  #handler: RequestListener = (_request, response) => {
     response.setHeader("connection", "close");
     sendFailure(
       response,
@@ -40,15 +40,15 @@
   constructor(headerBytes: number) {
     const settings = {
       maxHeaderSize: headerBytes,
-      headersTimeout: HEAD_WAIT_MS,
+      headersTimeout: HEADERS_TIMEOUT_MS,
       requestTimeout: 0,
-      keepAliveTimeout: IDLE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     };
     this.#server = createServer(
       settings,
-      (request, response) => this.#serve(request, response),
+      (request, response) => this.#handler(request, response),
     );
-    this.#server.on("clientError", refuseHead);
+    this.#server.on("clientError", rejectUnreadableRequest);
   }
 
   /** `host` and `port` it listens on. */
@@ -58,12 +58,12 @@
   }
 
   /** From now on `serve` answers. */
-  attach(serve: RequestListener): void {
-    this.#serve = serve;
+  setHandler(handler: RequestListener): void {
+    this.#handler = handler;
   }
 
   /** Closes connections on which no request is open. */
-  closeIdle(): void {
+  closeIdleConnections(): void {
     this.#server.closeIdleConnections();
   }
 
@@ -94,13 +94,16 @@
 }
 
 /** A head that cannot be read gets a numbered answer too. */
-function refuseHead(error: NodeJS.ErrnoException, socket: Duplex): void {
+function rejectUnreadableRequest(
+  error: NodeJS.ErrnoException,
+  socket: Duplex,
+): void {
   if (!socket.writable) return void socket.destroy();
-  const tooLarge = error.code === "HPE_HEADER_OVERFLOW";
-  const status = tooLarge
+  const isTooLarge = error.code === "HPE_HEADER_OVERFLOW";
+  const status = isTooLarge
     ? "431 Request Header Fields Too Large"
     : "400 Bad Request";
-  const code = tooLarge ? 2013 : 2001;
+  const code = isTooLarge ? 2013 : 2001;
   const body = JSON.stringify({
     error: { message: error.message, code, ran: "no" },
   });
--- a/src/edge/model_call.ts
+++ b/src/edge/model_call.ts
@@ -7,32 +7,32 @@
 import { failure } from "../base/mod.ts";
 import type { UpstreamAnswer, UpstreamError } from "../adapters/mod.ts";
 import type { ServiceRow } from "../agreement/mod.ts";
-import { failureBody } from "./answer.ts";
-import { type Attempt, Attempts } from "./attempts.ts";
-import { readAnswer, readBody } from "./body.ts";
-import { type Call, deadlineOf } from "./call.ts";
-import { CallRun, type Step } from "./call_run.ts";
+import { buildFailureBody } from "./answer.ts";
+import { type Attempt, AttemptIterator } from "./attempts.ts";
+import { readAnswerBody, readBody } from "./body.ts";
+import { type Call, getDeadlineMs } from "./call.ts";
+import { type AttemptResult, CallHandler } from "./call_run.ts";
 import type { EdgeContext } from "./context.ts";
 import {
   type ModelPath,
   type ModelRequest,
-  readModelRequest,
+  parseModelRequest,
   withPriority,
 } from "./prompt.ts";
-import { relay, type RelayEnd } from "./relay.ts";
+import { type RelayResult, relayStream } from "./relay.ts";
 import { StreamCheck } from "./stream_check.ts";
-import type { Suspicion } from "./suspicion.ts";
+import type { SuspectCheck } from "./suspicion.ts";
 
 /** Reconnections to one engine for one broken stream: an engine that cuts again and again is not waited for. */
-const RESUMES = 3;
+const MAX_RESUMES = 3;
 /** Engines answer so when they take no more work; by their contract nothing was run. */
-const REFUSALS = new Set([429, 503]);
+const REFUSAL_STATUSES = new Set([429, 503]);
 
 /** See the module's comment; `run` once. */
-export class ModelCall extends CallRun {
+export class ModelCallHandler extends CallHandler {
   readonly #path: ModelPath;
-  readonly #check = new StreamCheck();
-  #suspicion!: Suspicion;
+  readonly #streamCheck = new StreamCheck();
+  #suspectCheck!: SuspectCheck;
 
   constructor(context: EdgeContext, call: Call, path: ModelPath) {
     super(context, call);
@@ -48,87 +48,103 @@
       this.context.clock,
     );
     if (body.isErr()) return this.fail(body.error);
-    const model = readModelRequest(this.#path, body.value);
-    if (model.isErr()) return this.fail(model.error);
-    const service = table.serviceOfModel(model.value.model);
+    const modelRequest = parseModelRequest(this.#path, body.value);
+    if (modelRequest.isErr()) return this.fail(modelRequest.error);
+    const service = table.serviceOfModel(modelRequest.value.model);
     if (!service) {
       return this.fail(
         failure("unknownService", {
-          message: `there is no model "${model.value.model}"`,
+          message: `there is no model "${modelRequest.value.model}"`,
         }),
       );
     }
-    this.seen.service = service.id;
-    await this.#tryAll(body.value, model.value, service);
+    this.stats.service = service.id;
+    await this.#runAttempts(body.value, modelRequest.value, service);
   }
 
-  async #tryAll(
+  async #runAttempts(
     body: Buffer,
-    model: ModelRequest,
+    modelRequest: ModelRequest,
     service: ServiceRow,
   ): Promise<void> {
-    const deadlineMs = deadlineOf(this.call, service);
-    const attempts = new Attempts(this.context, this.call, {
-      ...model,
+    const deadlineMs = getDeadlineMs(this.call, service);
+    const attempts = new AttemptIterator(this.context, this.call, {
+      ...modelRequest,
       service: service.id,
       deadlineMs,
     });
-    this.#suspicion = this.suspicionOf(body);
-    while (attempts.left) {
-      const refused = await this.#suspicion.refusal();
-      if (refused) return this.fail(this.worst(refused));
+    this.#suspectCheck = this.createSuspectCheck(body);
+    while (attempts.hasNext) {
+      const refusal = await this.#suspectCheck.findRefusal();
+      if (refusal) return this.fail(this.keepRan(refusal));
       const attempt = await attempts.next();
-      if (attempt.isErr()) return this.fail(this.worst(attempt.error));
-      this.seen.granted(attempt.value);
-      const step = await this.#attempt(attempt.value, body, model, deadlineMs);
-      if (step === "answered") return;
+      if (attempt.isErr()) return this.fail(this.keepRan(attempt.error));
+      this.stats.recordGrant(attempt.value);
+      const result = await this.#runAttempt(
+        attempt.value,
+        body,
+        modelRequest,
+        deadlineMs,
+      );
+      if (result === "answered") return;
     }
-    const late = this.context.clock.nowMs() >= deadlineMs;
+    const isLate = this.context.clock.nowMs() >= deadlineMs;
     this.fail(
-      late ? failure("upstreamTimeout", { ran: this.ran }) : this.last,
+      isLate ? failure("upstreamTimeout", { ran: this.ran }) : this.lastFailure,
     );
   }
 
   /** Runs one attempt under a signal that the caller's going and the deadline of the first byte abort. */
-  async #attempt(
+  async #runAttempt(
     attempt: Attempt,
-    bytes: Buffer,
-    model: ModelRequest,
+    originalBody: Buffer,
+    modelRequest: ModelRequest,
     deadlineMs: number,
-  ): Promise<Step> {
-    const body = withPriority(model, bytes, attempt.grant.enginePriority ?? 0);
-    const abort = new AbortController();
-    const stop = () => abort.abort();
-    this.call.signal.addEventListener("abort", stop, { once: true });
+  ): Promise<AttemptResult> {
+    const body = withPriority(
+      modelRequest,
+      originalBody,
+      attempt.grant.enginePriority ?? 0,
+    );
+    const controller = new AbortController();
+    const abort = () => controller.abort();
+    this.call.signal.addEventListener("abort", abort, { once: true });
     const timer = this.context.clock.after(
       deadlineMs - this.context.clock.nowMs(),
       () => {
-        if (!this.seen.begun) stop();
+        if (!this.stats.hasStarted) abort();
       },
     );
     try {
-      const answer = await this.#open(attempt, body, abort.signal);
-      if (answer.isErr()) return await this.#noAnswer(attempt, answer.error);
+      const answer = await this.#openUpstream(attempt, body, controller.signal);
+      if (answer.isErr()) {
+        return await this.#handleUpstreamError(attempt, answer.error);
+      }
       if (answer.value.httpStatus !== 200) {
-        return await this.#notOk(attempt, answer.value);
+        return await this.#handleErrorStatus(attempt, answer.value);
       }
-      return model.stream
-        ? await this.#stream(attempt, answer.value, body, abort.signal)
-        : await this.#whole(attempt, answer.value);
+      return modelRequest.stream
+        ? await this.#streamAnswer(
+          attempt,
+          answer.value,
+          body,
+          controller.signal,
+        )
+        : await this.#sendWholeAnswer(attempt, answer.value);
     } finally {
       timer.close();
-      this.call.signal.removeEventListener("abort", stop);
+      this.call.signal.removeEventListener("abort", abort);
     }
   }
 
-  #open(attempt: Attempt, body: Buffer, signal: AbortSignal) {
-    const after = this.#check.lastPlace;
+  #openUpstream(attempt: Attempt, body: Buffer, signal: AbortSignal) {
+    const lastEventNumber = this.#streamCheck.lastEventNumber;
     const headers: Record<string, string> = {
       "content-type": "application/json",
       "x-request-id": attempt.grant.attemptId,
     };
-    if (this.seen.begun && after !== undefined) {
-      headers["last-event-id"] = String(after);
+    if (this.stats.hasStarted && lastEventNumber !== undefined) {
+      headers["last-event-id"] = String(lastEventNumber);
     }
     return this.context.upstreams.open(
       {
@@ -142,17 +158,22 @@
     );
   }
 
-  async #noAnswer(attempt: Attempt, error: UpstreamError): Promise<Step> {
+  async #handleUpstreamError(
+    attempt: Attempt,
+    error: UpstreamError,
+  ): Promise<AttemptResult> {
     if (error.kind === "unreachable") {
-      return this.notRun(attempt, "unreachable");
+      return this.handleNotRun(attempt, "unreachable");
     }
     if (error.kind === "withdrawn") {
       attempt.report("canceled");
       return this.call.signal.aborted ? "answered" : "retry";
     }
-    if (error.kind === "lost") await this.#suspicion.noteLost(attempt);
+    if (error.kind === "lost") {
+      await this.#suspectCheck.reportBrokenConnection(attempt);
+    }
     this.ran = "unknown";
-    this.last = failure("upstreamFailed", { message: error.message });
+    this.lastFailure = failure("upstreamFailed", { message: error.message });
     attempt.report(
       error.kind === "canceled" && this.call.signal.aborted
         ? "canceled"
@@ -161,40 +182,43 @@
     return this.call.signal.aborted ? "answered" : "retry";
   }
 
-  async #notOk(attempt: Attempt, answer: UpstreamAnswer): Promise<Step> {
-    if (REFUSALS.has(answer.httpStatus)) {
+  async #handleErrorStatus(
+    attempt: Attempt,
+    answer: UpstreamAnswer,
+  ): Promise<AttemptResult> {
+    if (REFUSAL_STATUSES.has(answer.httpStatus)) {
       answer.body.destroy();
-      return this.notRun(attempt, "refused");
+      return this.handleNotRun(attempt, "refused");
     }
     if (answer.httpStatus >= 500) {
       answer.body.destroy();
       attempt.report("failed");
       this.ran = "unknown";
-      this.last = failure("upstreamFailed", {
+      this.lastFailure = failure("upstreamFailed", {
         message: `the engine answered ${answer.httpStatus}`,
       });
       return "retry";
     }
-    return await this.#whole(attempt, answer);
+    return await this.#sendWholeAnswer(attempt, answer);
   }
 
-  async #stream(
+  async #streamAnswer(
     attempt: Attempt,
     first: UpstreamAnswer,
     body: Buffer,
     signal: AbortSignal,
-  ): Promise<Step> {
+  ): Promise<AttemptResult> {
     let answer = first;
     for (let resumes = 0;; resumes++) {
-      const end = await this.#relay(attempt, answer);
+      const end = await this.#relayAnswer(attempt, answer);
       if (end.type === "whole") {
         this.call.response.end();
-        this.#suspicion.noteServed();
-        this.end(attempt, "done", 0);
+        this.#suspectCheck.reportServed();
+        this.finish(attempt, "done", 0);
         return "answered";
       }
       if (end.type === "gone" || this.call.signal.aborted) {
-        this.end(attempt, "canceled", 4007);
+        this.finish(attempt, "canceled", 4007);
         return "answered";
       }
       this.context.log.warn("stream broken", {
@@ -202,44 +226,47 @@
         upstream: attempt.grant.upstreamId,
         reason: end.reason,
       });
-      await this.#suspicion.noteLost(attempt);
-      const again = resumes < RESUMES
+      await this.#suspectCheck.reportBrokenConnection(attempt);
+      const resumed = resumes < MAX_RESUMES
         ? await this.#resume(attempt, body, signal)
         : undefined;
-      if (!again) return this.#broken(attempt, end.reason);
-      answer = again;
+      if (!resumed) return this.#handleBrokenStream(attempt, end.reason);
+      answer = resumed;
     }
   }
 
-  async #relay(attempt: Attempt, answer: UpstreamAnswer): Promise<RelayEnd> {
+  async #relayAnswer(
+    attempt: Attempt,
+    answer: UpstreamAnswer,
+  ): Promise<RelayResult> {
     const { clock, limits } = this.context;
-    if (!this.isOwn(attempt, answer.headers)) {
+    if (!this.isOwnAnswer(attempt, answer.headers)) {
       answer.body.destroy();
       return {
         type: "broken",
         reason: "the answer belongs to another attempt",
       };
     }
-    const echoed = answer.headers["x-request-id"] !== undefined;
-    this.#check.begin(attempt.grant.attemptId, echoed);
-    return await relay(answer.body, this.call.response, {
+    const hasEchoedId = answer.headers["x-request-id"] !== undefined;
+    this.#streamCheck.startAttempt(attempt.grant.attemptId, hasEchoedId);
+    return await relayStream(answer.body, this.call.response, {
       clock,
-      check: this.#check,
+      check: this.#streamCheck,
       upstreamStallMs: limits.upstreamStallMs,
       stalledCallerMs: limits.stalledCallerMs,
       onEvent: (atMs) => {
-        if (!this.seen.begun) {
-          this.#beginStream(attempt);
-          attempt.started(atMs);
+        if (!this.stats.hasStarted) {
+          this.#startResponse(attempt);
+          attempt.reportStarted(atMs);
         }
-        this.seen.event(atMs);
+        this.stats.recordEvent(atMs);
       },
     });
   }
 
-  #beginStream(attempt: Attempt): void {
+  #startResponse(attempt: Attempt): void {
     const { response } = this.call;
-    this.seen.setServed(attempt);
+    this.stats.setServingUpstream(attempt);
     response.statusCode = 200;
     response.setHeader("content-type", "text/event-stream; charset=utf-8");
     response.setHeader("cache-control", "no-cache");
@@ -251,11 +278,12 @@
     body: Buffer,
     signal: AbortSignal,
   ): Promise<UpstreamAnswer | undefined> {
-    const row = this.seen.upstreamRow(attempt);
+    const row = this.stats.findUpstreamRow(attempt);
     if (
-      !row?.resumes || this.#check.lastPlace === undefined || signal.aborted
+      !row?.resumes || this.#streamCheck.lastEventNumber === undefined ||
+      signal.aborted
     ) return undefined;
-    const answer = await this.#open(attempt, body, signal);
+    const answer = await this.#openUpstream(attempt, body, signal);
     if (answer.isErr()) return undefined;
     if (answer.value.httpStatus === 200) return answer.value;
     answer.value.body.destroy();
@@ -263,58 +291,65 @@
   }
 
   /** Nothing passed on yet: another engine may answer. Otherwise the caller is told in the stream itself. */
-  #broken(attempt: Attempt, reason: string): Step {
+  #handleBrokenStream(attempt: Attempt, reason: string): AttemptResult {
     this.ran = "yes";
-    this.last = failure("streamBroken", {
+    this.lastFailure = failure("streamBroken", {
       message: `the stream broke: ${reason}`,
     });
-    if (!this.seen.begun) {
+    if (!this.stats.hasStarted) {
       attempt.report("failed");
       return "retry";
     }
     const { response } = this.call;
-    response.write(`data: ${JSON.stringify(failureBody(this.last))}\n\n`);
+    response.write(
+      `data: ${JSON.stringify(buildFailureBody(this.lastFailure))}\n\n`,
+    );
     response.end();
-    this.end(attempt, "failed", 4004);
+    this.finish(attempt, "failed", 4004);
     return "answered";
   }
 
-  async #whole(attempt: Attempt, answer: UpstreamAnswer): Promise<Step> {
-    const text = await readAnswer(answer.body);
-    const own = this.isOwn(attempt, answer.headers);
-    if (text === undefined || !own || !isJson(text)) {
+  async #sendWholeAnswer(
+    attempt: Attempt,
+    answer: UpstreamAnswer,
+  ): Promise<AttemptResult> {
+    const body = await readAnswerBody(answer.body);
+    const isOwn = this.isOwnAnswer(attempt, answer.headers);
+    if (body === undefined || !isOwn || !isValidJson(body)) {
       if (this.call.signal.aborted) {
-        this.end(attempt, "canceled", 4007);
+        this.finish(attempt, "canceled", 4007);
         return "answered";
       }
       attempt.report("failed");
-      if (text === undefined) await this.#suspicion.noteLost(attempt);
+      if (body === undefined) {
+        await this.#suspectCheck.reportBrokenConnection(attempt);
+      }
       this.ran = "yes";
-      this.last = failure("upstreamFailed", {
+      this.lastFailure = failure("upstreamFailed", {
         ran: "yes",
-        message: own
+        message: isOwn
           ? "the answer was cut short"
           : "the answer belongs to another attempt",
       });
       return "retry";
     }
     const { response } = this.call;
-    this.seen.setServed(attempt);
-    this.seen.event(this.context.clock.nowMs());
+    this.stats.setServingUpstream(attempt);
+    this.stats.recordEvent(this.context.clock.nowMs());
     response.statusCode = answer.httpStatus;
     response.setHeader(
       "content-type",
       answer.headers["content-type"] ?? "application/json",
     );
-    response.end(text);
-    if (answer.httpStatus < 500) this.#suspicion.noteServed();
-    this.seen.usage(JSON.parse(text.toString("utf8")).usage);
-    this.end(attempt, "done", 0);
+    response.end(body);
+    if (answer.httpStatus < 500) this.#suspectCheck.reportServed();
+    this.stats.recordUsage(JSON.parse(body.toString("utf8")).usage);
+    this.finish(attempt, "done", 0);
     return "answered";
   }
 }
 
-function isJson(text: Buffer): boolean {
+function isValidJson(text: Buffer): boolean {
   try {
     JSON.parse(text.toString("utf8"));
     return true;
--- a/src/edge/plain_call.ts
+++ b/src/edge/plain_call.ts
@@ -9,29 +9,29 @@
 import { type Failure, failure } from "../base/mod.ts";
 import type { UpstreamAnswer, UpstreamError } from "../adapters/mod.ts";
 import type { ClaimAnswer, ClaimKey, ServiceRow } from "../agreement/mod.ts";
-import { type Attempt, Attempts } from "./attempts.ts";
-import { readAnswer, readBody } from "./body.ts";
-import { type Call, deadlineOf } from "./call.ts";
-import { CallRun, type Step } from "./call_run.ts";
+import { type Attempt, AttemptIterator } from "./attempts.ts";
+import { readAnswerBody, readBody } from "./body.ts";
+import { type Call, getDeadlineMs } from "./call.ts";
+import { type AttemptResult, CallHandler } from "./call_run.ts";
 import type { EdgeContext } from "./context.ts";
-import { endToEnd } from "./headers.ts";
-import type { Suspicion } from "./suspicion.ts";
+import { selectForwardedHeaders } from "./headers.ts";
+import type { SuspectCheck } from "./suspicion.ts";
 
 /** Methods that change nothing, by HTTP's own definition: they need no claim and may be sent again. */
 const SAFE_METHODS = new Set(["GET", "HEAD", "OPTIONS"]);
 /** Methods whose repetition changes nothing more; without `atMostOnce` they may be sent again too. */
 const IDEMPOTENT_METHODS = new Set([...SAFE_METHODS, "PUT", "DELETE"]);
 /** Longest answer kept for repeats; a longer one is told to have been left out. */
-const KEPT_ANSWER_BYTES = 16 << 10;
+const MAX_KEPT_ANSWER_BYTES = 16 << 10;
 /** Work counted for a plain call, in tokens: it prefills nothing and its length is not known. */
-const PLAIN_WORK = {
+const PLAIN_DEMAND = {
   promptTokens: 1,
   expectedOutputTokens: 1,
   prefixHashes: [],
 };
 
 /** Answers that mean "not run", but only where the service says so itself by `x-ran: no`. */
-const REFUSALS = new Set([429, 503]);
+const REFUSAL_STATUSES = new Set([429, 503]);
 
 /** The claim a call runs under. */
 interface HeldClaim extends ClaimKey {
@@ -40,13 +40,13 @@
 }
 
 /** See the module's comment; `run` once. */
-export class PlainCall extends CallRun {
+export class PlainCallHandler extends CallHandler {
   readonly #service: ServiceRow;
   readonly #path: string;
-  readonly #atMostOnce: boolean;
-  readonly #mayRepeat: boolean;
+  readonly #needsClaim: boolean;
+  readonly #isRepeatable: boolean;
   #claim: HeldClaim | undefined;
-  #suspicion!: Suspicion;
+  #suspectCheck!: SuspectCheck;
 
   /** `path` is what follows the service's name, with its query. */
   constructor(
@@ -58,15 +58,15 @@
     super(context, call);
     this.#service = service;
     this.#path = path;
-    this.seen.service = service.id;
+    this.stats.service = service.id;
     const method = call.request.method ?? "GET";
-    this.#atMostOnce = service.atMostOnce && !SAFE_METHODS.has(method);
-    this.#mayRepeat = !this.#atMostOnce && IDEMPOTENT_METHODS.has(method);
+    this.#needsClaim = service.atMostOnce && !SAFE_METHODS.has(method);
+    this.#isRepeatable = !this.#needsClaim && IDEMPOTENT_METHODS.has(method);
   }
 
   /** Answers the caller. */
   override async run(): Promise<void> {
-    if (this.#atMostOnce && this.call.headers.idempotencyKey === undefined) {
+    if (this.#needsClaim && this.call.headers.idempotencyKey === undefined) {
       return this.fail(failure("keyRequired"));
     }
     const body = await readBody(
@@ -75,54 +75,60 @@
       this.context.clock,
     );
     if (body.isErr()) return this.fail(body.error);
-    const deadlineMs = deadlineOf(this.call, this.#service);
-    const demand = { ...PLAIN_WORK, service: this.#service.id, deadlineMs };
-    const attempts = new Attempts(this.context, this.call, demand);
-    this.#suspicion = this.suspicionOf(body.value);
-    while (attempts.left) {
-      const refused = await this.#suspicion.refusal();
-      if (refused) return await this.#giveUp(this.worst(refused));
+    const deadlineMs = getDeadlineMs(this.call, this.#service);
+    const demand = { ...PLAIN_DEMAND, service: this.#service.id, deadlineMs };
+    const attempts = new AttemptIterator(this.context, this.call, demand);
+    this.#suspectCheck = this.createSuspectCheck(body.value);
+    while (attempts.hasNext) {
+      const refusal = await this.#suspectCheck.findRefusal();
+      if (refusal) return await this.#finishWithFailure(this.keepRan(refusal));
       const attempt = await attempts.next();
       if (attempt.isErr()) {
-        return await this.#giveUp(this.worst(attempt.error));
+        return await this.#finishWithFailure(this.keepRan(attempt.error));
       }
-      this.seen.granted(attempt.value);
-      const step = await this.#attempt(attempt.value, body.value, deadlineMs);
-      if (step === "answered") return;
+      this.stats.recordGrant(attempt.value);
+      const result = await this.#runAttempt(
+        attempt.value,
+        body.value,
+        deadlineMs,
+      );
+      if (result === "answered") return;
     }
-    await this.#giveUp(this.last);
+    await this.#finishWithFailure(this.lastFailure);
   }
 
-  async #attempt(
+  async #runAttempt(
     attempt: Attempt,
     body: Buffer,
     deadlineMs: number,
-  ): Promise<Step> {
-    if (this.#atMostOnce && !this.#claim) {
-      const claimed = await this.#takeClaim(body, deadlineMs);
-      if (!claimed) {
+  ): Promise<AttemptResult> {
+    if (this.#needsClaim && !this.#claim) {
+      const hasClaim = await this.#acquireClaim(body, deadlineMs);
+      if (!hasClaim) {
         attempt.cancel();
         return "answered";
       }
     }
-    const abort = new AbortController();
-    const stop = () => abort.abort();
+    const controller = new AbortController();
+    const abort = () => controller.abort();
     // A call under a claim goes on when its caller has gone: its answer is kept for the caller's next try.
-    if (!this.#atMostOnce) {
-      this.call.signal.addEventListener("abort", stop, { once: true });
+    if (!this.#needsClaim) {
+      this.call.signal.addEventListener("abort", abort, { once: true });
     }
     const timer = this.context.clock.after(
       deadlineMs - this.context.clock.nowMs(),
-      stop,
+      abort,
     );
-    const answer = await this.#dispatch(attempt, body, abort.signal);
+    const answer = await this.#dispatch(attempt, body, controller.signal);
     timer.close();
     try {
       if (answer === undefined) return "answered";
-      if (answer.isErr()) return await this.#noAnswer(attempt, answer.error);
-      return await this.#passOn(attempt, answer.value);
+      if (answer.isErr()) {
+        return await this.#handleUpstreamError(attempt, answer.error);
+      }
+      return await this.#forwardAnswer(attempt, answer.value);
     } finally {
-      this.call.signal.removeEventListener("abort", stop);
+      this.call.signal.removeEventListener("abort", abort);
     }
   }
 
@@ -133,11 +139,11 @@
   async #dispatch(attempt: Attempt, body: Buffer, signal: AbortSignal) {
     const { grant } = attempt;
     const claim = this.#claim;
-    const headers = endToEnd(this.call.request.headers);
+    const headers = selectForwardedHeaders(this.call.request.headers);
     headers["x-request-id"] = grant.attemptId;
     if (claim && this.context.clock.monoMs() >= claim.dispatchBeforeMonoMs) {
       attempt.cancel();
-      await this.#giveUp(
+      await this.#finishWithFailure(
         failure("claimUnavailable", {
           retryAtMs: this.context.clock.nowMs() + 1000,
         }),
@@ -155,15 +161,15 @@
   }
 
   /** Records the claim; otherwise answers the caller with what the key stands for, and returns false. */
-  async #takeClaim(body: Buffer, deadlineMs: number): Promise<boolean> {
+  async #acquireClaim(body: Buffer, deadlineMs: number): Promise<boolean> {
     const key: ClaimKey = {
       service: this.#service.id,
       workspace: this.call.workspace.id,
       key: this.call.headers.idempotencyKey!,
     };
-    const digest = createHash("sha256");
-    digest.update(`${this.call.request.method} ${this.#path}\n`);
-    const bodyDigest = digest.update(body).digest("hex");
+    const hash = createHash("sha256");
+    hash.update(`${this.call.request.method} ${this.#path}\n`);
+    const bodyDigest = hash.update(body).digest("hex");
     const verdict = await this.context.claims.ask("claim", {
       ...key,
       bodyDigest,
@@ -175,7 +181,7 @@
         this.#claim = { ...key, ...verdict };
         return true;
       case "answered":
-        this.#repeat(verdict.answer);
+        this.#sendStoredAnswer(verdict.answer);
         return false;
       case "running":
         this.fail(failure("stillRunning", { retryAtMs }));
@@ -193,7 +199,7 @@
   }
 
   /** Gives a second arrival the first one's answer. */
-  #repeat(answer: ClaimAnswer): void {
+  #sendStoredAnswer(answer: ClaimAnswer): void {
     const { response } = this.call;
     response.setHeader("x-ibisgap-repeated", "true");
     if (answer.truncated) {
@@ -202,49 +208,60 @@
     response.statusCode = answer.httpStatus;
     response.setHeader("content-type", answer.contentType);
     response.end(Buffer.from(answer.bodyBase64, "base64"));
-    this.seen.finish(0);
+    this.stats.finish(0);
   }
 
-  async #noAnswer(attempt: Attempt, error: UpstreamError): Promise<Step> {
+  async #handleUpstreamError(
+    attempt: Attempt,
+    error: UpstreamError,
+  ): Promise<AttemptResult> {
     if (error.kind === "unreachable") {
-      return this.notRun(attempt, "unreachable");
+      return this.handleNotRun(attempt, "unreachable");
     }
     const isLost = error.kind === "lost";
     attempt.report(isLost ? "failed" : "canceled");
-    if (isLost) await this.#suspicion.noteLost(attempt);
+    if (isLost) await this.#suspectCheck.reportBrokenConnection(attempt);
     if (error.kind !== "withdrawn") this.ran = "unknown";
-    this.last = isLost
+    this.lastFailure = isLost
       ? failure("upstreamFailed", { message: error.message })
       : failure("upstreamTimeout", { ran: this.ran });
-    if (this.#mayRepeat && !this.call.signal.aborted) return "retry";
-    await this.#giveUp(this.last);
+    if (this.#isRepeatable && !this.call.signal.aborted) return "retry";
+    await this.#finishWithFailure(this.lastFailure);
     return "answered";
   }
 
-  async #passOn(attempt: Attempt, answer: UpstreamAnswer): Promise<Step> {
+  async #forwardAnswer(
+    attempt: Attempt,
+    answer: UpstreamAnswer,
+  ): Promise<AttemptResult> {
     const { response } = this.call;
-    if (!this.isOwn(attempt, answer.headers)) {
+    if (!this.isOwnAnswer(attempt, answer.headers)) {
       answer.body.destroy();
-      return await this.#noAnswer(attempt, {
+      return await this.#handleUpstreamError(attempt, {
         kind: "lost",
         message: "the answer belongs to another attempt",
       });
     }
-    if (REFUSALS.has(answer.httpStatus) && answer.headers["x-ran"] === "no") {
+    if (
+      REFUSAL_STATUSES.has(answer.httpStatus) &&
+      answer.headers["x-ran"] === "no"
+    ) {
       answer.body.destroy();
-      return this.notRun(attempt, "refused");
+      return this.handleNotRun(attempt, "refused");
     }
-    if (this.#claim) return await this.#passOnClaimed(attempt, answer);
-    this.#begin(attempt, answer);
+    if (this.#claim) return await this.#storeAndForwardAnswer(attempt, answer);
+    this.#startResponse(attempt, answer);
     try {
       await pipeline(answer.body, response);
-      if (answer.httpStatus < 500) this.#suspicion.noteServed();
-      this.end(attempt, "done", 0);
+      if (answer.httpStatus < 500) this.#suspectCheck.reportServed();
+      this.finish(attempt, "done", 0);
     } catch {
-      if (!this.call.signal.aborted) void this.#suspicion.noteLost(attempt);
+      if (!this.call.signal.aborted) {
+        void this.#suspectCheck.reportBrokenConnection(attempt);
+      }
       // Its length or last chunk is missing, so the caller's client sees that the answer was cut.
       response.destroy();
-      this.end(
+      this.finish(
         attempt,
         this.call.signal.aborted ? "canceled" : "failed",
         4004,
@@ -254,16 +271,19 @@
   }
 
   /** Keeps the answer for repeats before it is passed on: what one caller has seen, a repeat must see too. */
-  async #passOnClaimed(
+  async #storeAndForwardAnswer(
     attempt: Attempt,
     answer: UpstreamAnswer,
-  ): Promise<Step> {
-    const body = await readAnswer(answer.body);
+  ): Promise<AttemptResult> {
+    const body = await readAnswerBody(answer.body);
     if (body === undefined) {
       const message = "the answer was cut short, or is too long";
-      return await this.#noAnswer(attempt, { kind: "lost", message });
+      return await this.#handleUpstreamError(attempt, {
+        kind: "lost",
+        message,
+      });
     }
-    const truncated = body.length > KEPT_ANSWER_BYTES;
+    const truncated = body.length > MAX_KEPT_ANSWER_BYTES;
     const claim = this.#claim!;
     await this.context.claims.ask("finish", {
       ...claim,
@@ -275,32 +295,36 @@
         truncated,
       },
     });
-    this.#begin(attempt, answer);
-    if (answer.httpStatus < 500) this.#suspicion.noteServed();
+    this.#startResponse(attempt, answer);
+    if (answer.httpStatus < 500) this.#suspectCheck.reportServed();
     this.call.response.end(body);
-    this.end(attempt, "done", 0);
+    this.finish(attempt, "done", 0);
     return "answered";
   }
 
-  #begin(attempt: Attempt, answer: UpstreamAnswer): void {
+  #startResponse(attempt: Attempt, answer: UpstreamAnswer): void {
     const { response } = this.call;
-    this.seen.setServed(attempt);
-    this.seen.event(this.context.clock.nowMs());
+    this.stats.setServingUpstream(attempt);
+    this.stats.recordEvent(this.context.clock.nowMs());
     response.statusCode = answer.httpStatus;
-    for (const [name, value] of Object.entries(endToEnd(answer.headers))) {
+    for (
+      const [name, value] of Object.entries(
+        selectForwardedHeaders(answer.headers),
+      )
+    ) {
       response.setHeader(name, value);
     }
   }
 
   /** The final answer after no attempt succeeded; the claim is given back only if no byte went out. */
-  async #giveUp(failed: Failure): Promise<void> {
+  async #finishWithFailure(error: Failure): Promise<void> {
     const claim = this.#claim;
     if (claim) {
       await this.context.claims.ask(
-        failed.ran === "no" ? "release" : "abandon",
+        error.ran === "no" ? "release" : "abandon",
         claim,
       );
     }
-    this.fail(failed);
+    this.fail(error);
   }
 }
--- a/src/edge/prompt.ts
+++ b/src/edge/prompt.ts
@@ -9,29 +9,29 @@
 import { type Failure, failure, hash32 } from "../base/mod.ts";
 
 /** Characters of one prefix block. Engines cache blocks of about 16 tokens; a coarser block keeps the list short. */
-const BLOCK_CHARS = 512;
+const PREFIX_BLOCK_CHARS = 512;
 /** Most blocks hashed: beyond this a longer shared prefix changes no placement. */
-const MOST_BLOCKS = 64;
+const MAX_PREFIX_BLOCKS = 64;
 /** Characters a token stands for, on average, in the users' languages. */
 const CHARS_PER_TOKEN = 4;
 /** Expected output of a call that sets no limit. */
 const DEFAULT_OUTPUT_TOKENS = 256;
 
-const content = z.union([
+const contentSchema = z.union([
   z.string(),
   z.null(),
   z.array(z.looseObject({ type: z.string() })),
 ]);
-const chatBody = z.looseObject({
+const chatBodySchema = z.looseObject({
   model: z.string().min(1),
   messages: z.array(
-    z.looseObject({ role: z.string(), content: content.optional() }),
+    z.looseObject({ role: z.string(), content: contentSchema.optional() }),
   ).min(1),
   stream: z.boolean().nullish(),
   max_tokens: z.number().int().min(1).nullish(),
   max_completion_tokens: z.number().int().min(1).nullish(),
 });
-const completionBody = z.looseObject({
+const completionBodySchema = z.looseObject({
   model: z.string().min(1),
   prompt: z.union([
     z.string(),
@@ -56,7 +56,7 @@
 }
 
 /** Checks the body of a model call. */
-export function readModelRequest(
+export function parseModelRequest(
   path: ModelPath,
   body: Uint8Array,
 ): Result<ModelRequest, Failure> {
@@ -67,8 +67,8 @@
     return err(failure("badRequest", { message: "the body is not JSON" }));
   }
   const parsed = path === "/v1/chat/completions"
-    ? chatBody.safeParse(value)
-    : completionBody.safeParse(value);
+    ? chatBodySchema.safeParse(value)
+    : completionBodySchema.safeParse(value);
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
     return err(
@@ -77,15 +77,16 @@
       }),
     );
   }
-  const text = promptText(parsed.data);
-  const asked = (parsed.data.max_completion_tokens as number | undefined) ??
-    parsed.data.max_tokens;
+  const text = extractPromptText(parsed.data);
+  const maxOutputTokens =
+    (parsed.data.max_completion_tokens as number | undefined) ??
+      parsed.data.max_tokens;
   return ok({
     model: parsed.data.model,
     stream: parsed.data.stream === true,
     promptTokens: Math.max(1, Math.ceil(text.length / CHARS_PER_TOKEN)),
-    expectedOutputTokens: asked ?? DEFAULT_OUTPUT_TOKENS,
-    prefixHashes: prefixHashes(text),
+    expectedOutputTokens: maxOutputTokens ?? DEFAULT_OUTPUT_TOKENS,
+    prefixHashes: hashPrefixBlocks(text),
     body: parsed.data,
   });
 }
@@ -100,30 +101,37 @@
   return Buffer.from(JSON.stringify({ ...request.body, priority }));
 }
 
-function promptText(
-  data: z.infer<typeof chatBody> | z.infer<typeof completionBody>,
+function extractPromptText(
+  data: z.infer<typeof chatBodySchema> | z.infer<typeof completionBodySchema>,
 ): string {
   if ("messages" in data && Array.isArray(data.messages)) {
-    const messages = data.messages as z.infer<typeof chatBody>["messages"];
-    return messages.map((m) => `${m.role}\n${asText(m.content)}`).join("\n");
+    const messages = data.messages as z.infer<
+      typeof chatBodySchema
+    >["messages"];
+    return messages.map((m) => `${m.role}\n${toText(m.content)}`).join("\n");
   }
-  return asText((data as z.infer<typeof completionBody>).prompt);
+  return toText((data as z.infer<typeof completionBodySchema>).prompt);
 }
 
-function asText(value: unknown): string {
+function toText(value: unknown): string {
   return typeof value === "string" ? value : JSON.stringify(value ?? "");
 }
 
 /** Hashes of the leading blocks, each over all text before it, so that equal hashes mean equal prefixes. */
-export function prefixHashes(text: string): number[] {
+export function hashPrefixBlocks(text: string): number[] {
   const hashes: number[] = [];
-  let previous = 0;
-  const blocks = Math.min(MOST_BLOCKS, Math.floor(text.length / BLOCK_CHARS));
-  for (let i = 0; i < blocks; i++) {
-    previous = hash32(
-      `${previous}:${text.slice(i * BLOCK_CHARS, (i + 1) * BLOCK_CHARS)}`,
+  let previousHash = 0;
+  const blockCount = Math.min(
+    MAX_PREFIX_BLOCKS,
+    Math.floor(text.length / PREFIX_BLOCK_CHARS),
+  );
+  for (let i = 0; i < blockCount; i++) {
+    previousHash = hash32(
+      `${previousHash}:${
+        text.slice(i * PREFIX_BLOCK_CHARS, (i + 1) * PREFIX_BLOCK_CHARS)
+      }`,
     );
-    hashes.push(previous);
+    hashes.push(previousHash);
   }
   return hashes;
 }
--- a/src/edge/relay.ts
+++ b/src/edge/relay.ts
@@ -11,7 +11,7 @@
 import type { StreamCheck, StreamEvent } from "./stream_check.ts";
 
 /** How the carrying of one attempt's stream ended. `broken` is the upstream's doing, `gone` the caller's. */
-export type RelayEnd =
+export type RelayResult =
   | { readonly type: "whole" }
   | { readonly type: "broken"; readonly reason: string }
   | { readonly type: "gone" };
@@ -27,35 +27,37 @@
 }
 
 /** Reads `body` to its end or first fault and writes what passes the check to the caller. */
-export async function relay(
+export async function relayStream(
   body: Readable,
   response: ServerResponse,
   options: RelayOptions,
-): Promise<RelayEnd> {
+): Promise<RelayResult> {
   const events: StreamEvent[] = [];
   const parser = createParser({
     onEvent: (event) => events.push({ id: event.id, data: event.data }),
   });
   const decoder = new TextDecoder();
-  const stall = watchStall(body, options);
+  const stallTimer = startStallTimer(body, options);
   try {
     for await (const chunk of body) {
       parser.feed(decoder.decode(chunk as Uint8Array, { stream: true }));
       // While the caller is slow this loop does not read, so the engine's connection fills and the engine waits too;
       // that wait is not the engine's stall.
-      stall.pause();
-      const end = await passOn(events.splice(0), response, options);
-      if (end) return end;
-      stall.resume();
+      stallTimer.pause();
+      const result = await forwardEvents(events.splice(0), response, options);
+      if (result) return result;
+      stallTimer.resume();
     }
   } catch (error) {
     if (response.destroyed) return { type: "gone" };
     return {
       type: "broken",
-      reason: stall.fired ? "the engine stalled" : (error as Error).message,
+      reason: stallTimer.hasFired
+        ? "the engine stalled"
+        : (error as Error).message,
     };
   } finally {
-    stall.close();
+    stallTimer.close();
     body.destroy();
   }
   // An engine that dies may close its connection in good order; only its own end mark says that the answer is whole.
@@ -64,33 +66,35 @@
     : { type: "broken", reason: "the stream ended before its end mark" };
 }
 
-async function passOn(
+async function forwardEvents(
   events: readonly StreamEvent[],
   response: ServerResponse,
   options: RelayOptions,
-): Promise<RelayEnd | undefined> {
+): Promise<RelayResult | undefined> {
   let text = "";
-  let end: RelayEnd | undefined;
+  let result: RelayResult | undefined;
   for (const event of events) {
     const verdict = options.check.next(event);
     if (verdict.type === "skip") continue;
     if (verdict.type === "broken") {
-      end = verdict;
+      result = verdict;
       break;
     }
     options.onEvent(options.clock.nowMs());
     text += `data: ${event.data}\n\n`;
     if (verdict.type === "end") {
-      end = { type: "whole" };
+      result = { type: "whole" };
       break;
     }
   }
-  if (text && !await write(response, text, options)) return { type: "gone" };
-  return end;
+  if (text && !await writeWithBackpressure(response, text, options)) {
+    return { type: "gone" };
+  }
+  return result;
 }
 
 /** Writes and waits until the caller's connection takes more; false when the caller is gone or takes nothing. */
-function write(
+function writeWithBackpressure(
   response: ServerResponse,
   text: string,
   options: RelayOptions,
@@ -102,12 +106,12 @@
       options.stalledCallerMs,
       () => done(false),
     );
-    const done = (alive: boolean) => {
+    const done = (isAlive: boolean) => {
       timer.close();
       response.off("drain", onDrain);
       response.off("close", onClose);
-      if (!alive) response.destroy();
-      resolve(alive);
+      if (!isAlive) response.destroy();
+      resolve(isAlive);
     };
     const onDrain = () => done(true);
     const onClose = () => done(false);
@@ -124,14 +128,14 @@
  * paused, or its loop was busy, a clock would show a long wait while the engine's events lie unread in the socket, and
  * healthy streams would break all at once. A late timer ticks once, and the events are read before its next tick.
  */
-function watchStall(body: Readable, options: RelayOptions) {
+function startStallTimer(body: Readable, options: RelayOptions) {
   let ticks = 0;
-  let paused = false;
-  const watch = {
-    fired: false,
-    pause: () => void (paused = true),
+  let isPaused = false;
+  const handle = {
+    hasFired: false,
+    pause: () => void (isPaused = true),
     resume: () => {
-      paused = false;
+      isPaused = false;
       ticks = 0;
     },
     close: () => timer.close(),
@@ -139,10 +143,10 @@
   const timer = options.clock.every(
     Math.max(5, options.upstreamStallMs / STALL_TICKS),
     () => {
-      if (paused || ++ticks <= STALL_TICKS) return;
-      watch.fired = true;
+      if (isPaused || ++ticks <= STALL_TICKS) return;
+      handle.hasFired = true;
       body.destroy(new Error("stalled"));
     },
   );
-  return watch;
+  return handle;
 }
--- a/src/edge/seen.ts
+++ b/src/edge/seen.ts
@@ -6,16 +6,16 @@
 
 import type { UpstreamRow } from "../agreement/mod.ts";
 import { codes, type Failure } from "../base/mod.ts";
-import { setPlace } from "./answer.ts";
+import { setVmHeaders } from "./answer.ts";
 import type { Attempt } from "./attempts.ts";
 import type { Call } from "./call.ts";
 import type { EdgeContext } from "./context.ts";
 
 /** Gaps kept of one answer: enough for its percentiles, bounded for long answers. */
-const MOST_GAPS = 512;
+const MAX_GAPS = 512;
 
 /** The record of one request. */
-export class Seen {
+export class RequestStats {
   service = "";
   outputTokens = 0;
   firstTokenAtMs?: number;
@@ -30,39 +30,39 @@
   constructor(context: EdgeContext, call: Call) {
     this.#context = context;
     this.#call = call;
-    this.#region = context.place.region;
+    this.#region = context.vm.region;
   }
 
   /** Whether anything of an answer was passed on to the caller. */
-  get begun(): boolean {
+  get hasStarted(): boolean {
     return this.firstTokenAtMs !== undefined;
   }
 
   /** A slot was granted. */
-  granted(attempt: Attempt): void {
+  recordGrant(attempt: Attempt): void {
     this.#queuedMs = attempt.grant.queuedMs;
   }
 
   /** The row of the attempt's upstream, in the version this request is decided on. */
-  upstreamRow(attempt: Attempt): UpstreamRow | undefined {
+  findUpstreamRow(attempt: Attempt): UpstreamRow | undefined {
     return this.#call.table.get(`upstream/${attempt.grant.upstreamId}`)?.row as
       | UpstreamRow
       | undefined;
   }
 
   /** Marks the answer with the region of the upstream that gives it. */
-  setServed(attempt: Attempt): void {
-    this.#region = this.upstreamRow(attempt)?.region ?? this.#region;
-    setPlace(this.#call.response, {
-      ...this.#context.place,
+  setServingUpstream(attempt: Attempt): void {
+    this.#region = this.findUpstreamRow(attempt)?.region ?? this.#region;
+    setVmHeaders(this.#call.response, {
+      ...this.#context.vm,
       region: this.#region,
     });
   }
 
   /** One event, or the whole answer, passes on. */
-  event(atMs: number): void {
+  recordEvent(atMs: number): void {
     if (this.firstTokenAtMs === undefined) this.firstTokenAtMs = atMs;
-    else if (this.#gapsMs.length < MOST_GAPS) {
+    else if (this.#gapsMs.length < MAX_GAPS) {
       this.#gapsMs.push(atMs - this.#lastAtMs);
     }
     this.#lastAtMs = atMs;
@@ -70,7 +70,7 @@
   }
 
   /** What the engine says of its answer's tokens, where it says it. */
-  usage(value: unknown): void {
+  recordUsage(value: unknown): void {
     const usage = value as {
       completion_tokens?: unknown;
       prompt_tokens_details?: { cached_tokens?: unknown };
@@ -83,8 +83,8 @@
   }
 
   /** The request ended with a failure that the caller was told. */
-  fail(failed: Failure): void {
-    this.finish(codes[failed.code].code);
+  fail(error: Failure): void {
+    this.finish(codes[error.code].code);
   }
 
   /** The request ended; `code` is 0 for success. */
@@ -95,7 +95,7 @@
       code,
       outputTokens: this.outputTokens,
       gapsMs: this.#gapsMs,
-      servedElsewhere: this.#region !== this.#context.place.region,
+      servedElsewhere: this.#region !== this.#context.vm.region,
       ...(this.#queuedMs === undefined ? {} : { queuedMs: this.#queuedMs }),
       ...(this.firstTokenAtMs === undefined
         ? {}
--- a/src/edge/stream_check.ts
+++ b/src/edge/stream_check.ts
@@ -23,7 +23,7 @@
 
 const PASS: StreamVerdict = { type: "pass" };
 const SKIP: StreamVerdict = { type: "skip" };
-const FOREIGN: StreamVerdict = {
+const FOREIGN_EVENT: StreamVerdict = {
   type: "broken",
   reason: "an event belongs to another answer",
 };
@@ -32,40 +32,40 @@
 export class StreamCheck {
   #attemptId = "";
   #answerId: string | undefined;
-  #named = false;
-  #mustName = false;
-  #lastPlace: number | undefined;
-  #ended = false;
+  #hasAttemptId = false;
+  #mustHaveAttemptId = false;
+  #lastEventNumber: number | undefined;
+  #hasEnded = false;
 
   /** Whether the engine said that the answer is whole. */
-  get ended(): boolean {
-    return this.#ended;
+  get hasEnded(): boolean {
+    return this.#hasEnded;
   }
   /** Place of the last event passed, where the engine numbers them; a resumed stream goes on after it. */
-  get lastPlace(): number | undefined {
-    return this.#lastPlace;
+  get lastEventNumber(): number | undefined {
+    return this.#lastEventNumber;
   }
 
   /**
    * A new attempt begins, or a resumed one. `echoed` says that the engine repeated the attempt's id in its headers: it
    * then names its answers by that id too, and one that it names otherwise is another request's.
    */
-  begin(attemptId: string, echoed: boolean): void {
+  startAttempt(attemptId: string, hasEchoedId: boolean): void {
     this.#attemptId = attemptId;
-    this.#mustName = echoed;
+    this.#mustHaveAttemptId = hasEchoedId;
     this.#answerId = undefined;
-    this.#named = false;
+    this.#hasAttemptId = false;
   }
 
   /** Decides on the attempt's next event. */
   next(event: StreamEvent): StreamVerdict {
-    if (this.#ended) return SKIP;
+    if (this.#hasEnded) return SKIP;
     if (event.data === "[DONE]") {
-      this.#ended = true;
+      this.#hasEnded = true;
       return { type: "end" };
     }
-    const owner = this.#checkOwner(event.data);
-    return owner ?? this.#checkPlace(event.id);
+    const ownerVerdict = this.#checkOwner(event.data);
+    return ownerVerdict ?? this.#checkOrder(event.id);
   }
 
   /**
@@ -74,13 +74,13 @@
    * not the attempt's, or that changes, ends the stream before the event is passed on.
    */
   #checkOwner(data: string): StreamVerdict | undefined {
-    if (this.#named && data.includes(this.#attemptId)) return undefined;
+    if (this.#hasAttemptId && data.includes(this.#attemptId)) return undefined;
     const value = parse(data);
     if (!value) return { type: "broken", reason: "an event is not JSON" };
     if (value.error !== undefined) {
       return {
         type: "broken",
-        reason: `the engine reported ${engineError(value.error)}`,
+        reason: `the engine reported ${describeEngineError(value.error)}`,
       };
     }
     if (typeof value.id !== "string") {
@@ -88,23 +88,31 @@
     }
     if (this.#answerId === undefined) {
       this.#answerId = value.id;
-      this.#named = value.id.includes(this.#attemptId);
-      return this.#named || !this.#mustName ? undefined : FOREIGN;
+      this.#hasAttemptId = value.id.includes(this.#attemptId);
+      return this.#hasAttemptId || !this.#mustHaveAttemptId
+        ? undefined
+        : FOREIGN_EVENT;
     }
-    return value.id === this.#answerId ? undefined : FOREIGN;
+    return value.id === this.#answerId ? undefined : FOREIGN_EVENT;
   }
 
-  #checkPlace(id: string | undefined): StreamVerdict {
+  #checkOrder(id: string | undefined): StreamVerdict {
     if (id === undefined || !/^\d+$/.test(id)) return PASS;
-    const place = Number(id);
-    if (this.#lastPlace !== undefined && place <= this.#lastPlace) return SKIP;
-    if (this.#lastPlace !== undefined && place !== this.#lastPlace + 1) {
+    const eventNumber = Number(id);
+    if (
+      this.#lastEventNumber !== undefined &&
+      eventNumber <= this.#lastEventNumber
+    ) return SKIP;
+    if (
+      this.#lastEventNumber !== undefined &&
+      eventNumber !== this.#lastEventNumber + 1
+    ) {
       return {
         type: "broken",
-        reason: `event ${this.#lastPlace + 1} is missing`,
+        reason: `event ${this.#lastEventNumber + 1} is missing`,
       };
     }
-    this.#lastPlace = place;
+    this.#lastEventNumber = eventNumber;
     return PASS;
   }
 }
@@ -118,7 +126,7 @@
   }
 }
 
-function engineError(error: unknown): string {
+function describeEngineError(error: unknown): string {
   const message = (error as { message?: unknown })?.message;
   return `an error: ${
     typeof message === "string" ? message.slice(0, 200) : "no message"
--- a/src/edge/suspicion.ts
+++ b/src/edge/suspicion.ts
@@ -9,18 +9,23 @@
 import type { Attempt } from "./attempts.ts";
 import type { Call } from "./call.ts";
 import type { EdgeContext } from "./context.ts";
-import type { Seen } from "./seen.ts";
+import type { RequestStats } from "./seen.ts";
 
 /** See the module. */
-export class Suspicion {
+export class SuspectCheck {
   readonly #context: EdgeContext;
-  readonly #seen: Seen;
+  readonly #stats: RequestStats;
   readonly #digest: string;
-  #hasLeave = false;
+  #isTrialRun = false;
 
-  constructor(context: EdgeContext, call: Call, seen: Seen, body: Buffer) {
+  constructor(
+    context: EdgeContext,
+    call: Call,
+    stats: RequestStats,
+    body: Buffer,
+  ) {
     this.#context = context;
-    this.#seen = seen;
+    this.#stats = stats;
     this.#digest = requestDigest({
       host: "",
       target: call.request.url ?? "/",
@@ -30,13 +35,13 @@
   }
 
   /** Why the call may not run now; `undefined` if it may. */
-  async refusal(): Promise<Failure | undefined> {
+  async findRefusal(): Promise<Failure | undefined> {
     const verdict = await this.#context.suspects.ask("judge", {
       digest: this.#digest,
-      hasLeave: this.#hasLeave,
+      hasLeave: this.#isTrialRun,
     });
     if (verdict.type === "runs") {
-      this.#hasLeave = verdict.hasLeave;
+      this.#isTrialRun = verdict.hasLeave;
       return undefined;
     }
     const retryAtMs = this.#context.clock.nowMs() + verdict.comeBackMs;
@@ -44,9 +49,9 @@
   }
 
   /** An attempt's connection broke. Waits until it is known whether its upstream ended. */
-  async noteLost({ grant, startedAtMs }: Attempt): Promise<void> {
+  async reportBrokenConnection({ grant, startedAtMs }: Attempt): Promise<void> {
     const nowMs = this.#context.clock.nowMs();
-    const { firstTokenAtMs } = this.#seen;
+    const { firstTokenAtMs } = this.#stats;
     await this.#context.suspects.ask("lost", {
       digest: this.#digest,
       upstreamId: grant.upstreamId,
@@ -59,7 +64,7 @@
   }
 
   /** The call was answered. */
-  noteServed(): void {
+  reportServed(): void {
     void this.#context.suspects.ask("served", { digest: this.#digest });
   }
 }
--- a/src/platform/platform_test.ts
+++ b/src/platform/platform_test.ts
@@ -364,7 +364,7 @@
   describe("store", () => {
     it("joins pages into one listing", async (t) => {
       const server = new KvServer();
-      const store = new PlatformKeyValue(await server.addressFor("a"));
+      const store = new PlatformKeyValue(await server.openAddressFor("a"));
       t.teardown(async () => {
         await store.close();
         await server.close();
@@ -379,7 +379,7 @@
 
     it("distinguishes a compacted history from the rate limit", async (t) => {
       const server = new KvServer({ readsPerS: 2 });
-      const store = new PlatformKeyValue(await server.addressFor("a"));
+      const store = new PlatformKeyValue(await server.openAddressFor("a"));
       t.teardown(async () => {
         await store.close();
         await server.close();
--- a/src/replay/attempt.ts
+++ b/src/replay/attempt.ts
@@ -9,8 +9,8 @@
 import got, { type Request } from "got";
 import { type Ran, secretDigest } from "../base/mod.ts";
 import { checkAnswer } from "../standins/mod.ts";
-import { promptOf } from "./prompt.ts";
-import type { Attempt } from "./seen.ts";
+import { buildPrompt } from "./prompt.ts";
+import type { AttemptRecord } from "./seen.ts";
 import type { TraceRequest } from "./trace.ts";
 
 /** What an attempt needs besides its request. */
@@ -36,7 +36,7 @@
 const agent = new Agent({ keepAlive: true, maxSockets: Infinity });
 
 /** The body of a plain call: it follows from the key, so that a repeat has the same. */
-export function plainBody(request: TraceRequest): string {
+export function buildPlainBody(request: TraceRequest): string {
   const seed = request.idempotencyKey ?? `${request.arrivalMs}`;
   return JSON.stringify({
     entry: seed,
@@ -45,13 +45,15 @@
 }
 
 /** Makes one attempt; never throws. */
-export async function attempt(
+export async function makeAttempt(
   request: TraceRequest,
   options: AttemptOptions,
-): Promise<Attempt> {
+): Promise<AttemptRecord> {
   const isChat = request.kind === "chat";
-  const body = isChat ? chatBody(request, options.nonce) : plainBody(request);
-  const result: Attempt = {
+  const body = isChat
+    ? buildChatBody(request, options.nonce)
+    : buildPlainBody(request);
+  const result: AttemptRecord = {
     nonce: isChat ? options.nonce : secretDigest(body),
     url: options.url,
     sentAtMs: Date.now(),
@@ -64,7 +66,7 @@
     : `/services/${request.service}/entries`;
   const stream = got.stream.post(options.url + path, {
     body,
-    headers: headersOf(request, options),
+    headers: buildHeaders(request, options),
     agent: { http: agent },
     retry: { limit: 0 },
     throwHttpErrors: false,
@@ -76,7 +78,7 @@
     stream.destroy();
   }, Math.max(1, options.hangUpAtMs - Date.now()));
   try {
-    await read(stream, result);
+    await readResponse(stream, result);
   } catch {
     // The connection broke: `end` says so already.
   }
@@ -85,16 +87,16 @@
   return result;
 }
 
-function chatBody(request: TraceRequest, nonce: string): string {
+function buildChatBody(request: TraceRequest, nonce: string): string {
   return JSON.stringify({
     model: request.service,
-    messages: [{ role: "user", content: promptOf(request, nonce) }],
+    messages: [{ role: "user", content: buildPrompt(request, nonce) }],
     max_tokens: request.outputTokens,
     stream: true,
   });
 }
 
-function headersOf(
+function buildHeaders(
   request: TraceRequest,
   options: AttemptOptions,
 ): Record<string, string> {
@@ -110,38 +112,46 @@
   };
 }
 
-async function read(stream: Request, result: Attempt): Promise<void> {
+async function readResponse(
+  stream: Request,
+  result: AttemptRecord,
+): Promise<void> {
   stream.on("response", (response) => {
     result.httpStatus = response.statusCode;
     result.region = response.headers["x-ibisgap-region"];
     result.vm = response.headers["x-ibisgap-vm"];
   });
-  const events = new AnswerEvents(result);
+  const events = new StreamedAnswer(result);
   let raw = "";
   for await (const chunk of stream) {
     const text = chunk.toString();
-    if (isEvents(stream)) events.feed(text);
+    if (isEventStream(stream)) events.feed(text);
     else raw += text;
   }
-  if (isEvents(stream)) events.end();
-  else readWhole(raw, result);
+  if (isEventStream(stream)) events.end();
+  else readWholeAnswer(raw, result);
 }
 
-function isEvents(stream: Request): boolean {
+function isEventStream(stream: Request): boolean {
   const type = stream.response?.headers["content-type"] ?? "";
   return type.startsWith("text/event-stream");
 }
 
 /** Reads an answer that came whole: a plain service's, or an error. */
-function readWhole(raw: string, result: Attempt): void {
-  const body = parse(raw);
-  if (result.httpStatus >= 400) return fail(body?.error as ErrorBody, result);
+function readWholeAnswer(raw: string, result: AttemptRecord): void {
+  const body = parseJson(raw);
+  if (result.httpStatus >= 400) {
+    return recordFailure(body?.error as ErrorBody, result);
+  }
   result.end = "answered";
   result.firstTokenAtMs = Date.now();
   result.check = body?.bodyDigest === result.nonce ? "complete" : "foreign";
 }
 
-function fail(error: ErrorBody | undefined, result: Attempt): void {
+function recordFailure(
+  error: ErrorBody | undefined,
+  result: AttemptRecord,
+): void {
   result.end = "failed";
   result.code = Number(error?.code ?? 0);
   if (error?.ran !== undefined) result.ran = error.ran as Ran;
@@ -149,7 +159,7 @@
   if (Array.isArray(error?.goTo)) result.goTo = error.goTo;
 }
 
-function parse(text: string): Record<string, unknown> | undefined {
+function parseJson(text: string): Record<string, unknown> | undefined {
   try {
     return JSON.parse(text);
   } catch {
@@ -158,13 +168,15 @@
 }
 
 /** Reads a streamed answer. */
-class AnswerEvents {
-  readonly #result: Attempt;
-  readonly #parser = createParser({ onEvent: (e) => this.#take(e.data) });
+class StreamedAnswer {
+  readonly #result: AttemptRecord;
+  readonly #parser = createParser({
+    onEvent: (e) => this.#handleEvent(e.data),
+  });
   #text = "";
-  #done = false;
+  #hasDoneEvent = false;
 
-  constructor(result: Attempt) {
+  constructor(result: AttemptRecord) {
     this.#result = result;
   }
 
@@ -177,13 +189,17 @@
     if (this.#result.end === "failed") return;
     this.#result.end = "answered";
     const check = checkAnswer(this.#text, this.#result.nonce);
-    this.#result.check = this.#done || check === "foreign" ? check : "cut";
+    this.#result.check = this.#hasDoneEvent || check === "foreign"
+      ? check
+      : "cut";
   }
 
-  #take(data: string): void {
-    if (data === "[DONE]") return void (this.#done = true);
-    const event = parse(data);
-    if (event?.error) return fail(event.error as ErrorBody, this.#result);
+  #handleEvent(data: string): void {
+    if (data === "[DONE]") return void (this.#hasDoneEvent = true);
+    const event = parseJson(data);
+    if (event?.error) {
+      return recordFailure(event.error as ErrorBody, this.#result);
+    }
     const [choice] = (event?.choices ?? []) as {
       delta?: { content?: string };
     }[];
--- a/src/replay/caller.ts
+++ b/src/replay/caller.ts
@@ -6,78 +6,88 @@
  */
 
 import { codes } from "../base/mod.ts";
-import { attempt } from "./attempt.ts";
-import type { Directory } from "./directory.ts";
-import type { Attempt, Seen } from "./seen.ts";
+import { makeAttempt } from "./attempt.ts";
+import type { DirectoryClient } from "./directory.ts";
+import type { AttemptRecord, RequestRecord } from "./seen.ts";
 import type { TraceRequest } from "./trace.ts";
 
 /** What callers of a replay share. */
 export interface CallerOptions {
-  readonly directory: Directory;
+  readonly directory: DirectoryClient;
   /** The key that a workspace's callers present. */
-  readonly keyOf: (workspace: string) => string;
+  readonly getKey: (workspace: string) => string;
   /** Number of the request in the trace, for its nonces. */
   readonly index: number;
   /** Tells the nonces of one replay from those of another. */
   readonly runId: string;
 }
 
-const MOST_ATTEMPTS = 12;
-const RETRY_MS = 150;
+const ATTEMPT_LIMIT = 12;
+const DEFAULT_RETRY_MS = 150;
 /** A caller waits this much beyond its deadline, to see whether the final answer comes. */
-const PATIENCE_MS = 2000;
+const HANG_UP_AFTER_DEADLINE_MS = 2000;
 
-const retryable = new Set<number>(
+const retryableCodes = new Set<number>(
   Object.values(codes).filter((row) => row.retryable).map((row) => row.code),
 );
 
 /** Makes one request of the trace; `arrivedAtMs` is the wall-clock time of its arrival. */
-export async function callOnce(
+export async function makeRequest(
   request: TraceRequest,
   arrivedAtMs: number,
   options: CallerOptions,
-): Promise<Seen> {
-  const attempts: Attempt[] = [];
+): Promise<RequestRecord> {
+  const attempts: AttemptRecord[] = [];
   const deadlineMs = arrivedAtMs + request.deadlineMs - request.arrivalMs;
   const { workspace, region } = request;
-  const key = options.keyOf(workspace);
+  const key = options.getKey(workspace);
   let goTo: readonly string[] | undefined;
-  while (attempts.length < MOST_ATTEMPTS) {
-    const urls = goTo ?? await options.directory.urls(workspace, region, key);
-    const last = await attempt(request, {
-      url: pick(urls, attempts),
+  while (attempts.length < ATTEMPT_LIMIT) {
+    const urls = goTo ??
+      await options.directory.findUrls(workspace, region, key);
+    const last = await makeAttempt(request, {
+      url: pickUrl(urls, attempts),
       key,
       nonce: `${options.runId}-${options.index}-${attempts.length}`,
       deadlineMs,
-      hangUpAtMs: deadlineMs + PATIENCE_MS,
+      hangUpAtMs: deadlineMs + HANG_UP_AFTER_DEADLINE_MS,
     });
     attempts.push(last);
     if (last.end === "broken") options.directory.forget(workspace, region);
-    const againAtMs = nextTryAtMs(request, last);
-    if (againAtMs === undefined || againAtMs >= deadlineMs) break;
+    const retryAtMs = getRetryAtMs(request, last);
+    if (retryAtMs === undefined || retryAtMs >= deadlineMs) break;
     goTo = last.goTo;
-    await sleepUntil(againAtMs);
+    await sleepUntil(retryAtMs);
   }
   return { request, arrivedAtMs, attempts };
 }
 
 /** The first VM that did not just break a connection, or the first of all. */
-function pick(urls: readonly string[], attempts: readonly Attempt[]): string {
-  const broken = new Set(
+function pickUrl(
+  urls: readonly string[],
+  attempts: readonly AttemptRecord[],
+): string {
+  const brokenUrls = new Set(
     attempts.filter((a) => a.end === "broken").map((a) => a.url),
   );
-  return urls.find((url) => !broken.has(url)) ?? urls[0];
+  return urls.find((url) => !brokenUrls.has(url)) ?? urls[0];
 }
 
 /** When to try again, wall clock; undefined if the outcome is final. */
-function nextTryAtMs(request: TraceRequest, last: Attempt): number | undefined {
-  const isSafe = request.repeatable || request.idempotencyKey !== undefined;
-  if (last.end === "broken" && isSafe) return Date.now() + RETRY_MS;
+function getRetryAtMs(
+  request: TraceRequest,
+  last: AttemptRecord,
+): number | undefined {
+  const isRetrySafe = request.repeatable ||
+    request.idempotencyKey !== undefined;
+  if (last.end === "broken" && isRetrySafe) {
+    return Date.now() + DEFAULT_RETRY_MS;
+  }
   if (last.end !== "failed") return undefined;
   if (last.goTo && last.ran === "no") return Date.now();
-  if (!retryable.has(last.code ?? 0)) return undefined;
-  if (last.ran !== "no" && !isSafe) return undefined;
-  return last.retryAtMs ?? Date.now() + RETRY_MS;
+  if (!retryableCodes.has(last.code ?? 0)) return undefined;
+  if (last.ran !== "no" && !isRetrySafe) return undefined;
+  return last.retryAtMs ?? Date.now() + DEFAULT_RETRY_MS;
 }
 
 function sleepUntil(atMs: number): Promise<void> {
--- a/src/replay/days.ts
+++ b/src/replay/days.ts
@@ -5,15 +5,15 @@
  */
 
 import { type ServiceRow, serviceRow } from "../agreement/mod.ts";
-import type { Day, Demand } from "./generate.ts";
+import type { DayProfile, Demand } from "./generate.ts";
 import type { TraceFault, TraceHeader } from "./trace.ts";
 
 type Topology = TraceHeader["topology"];
-type Service = Topology["services"][number];
+type TraceService = Topology["services"][number];
 
 const DURATION_MS = 30_000;
 
-const questions: Demand = {
+const QUESTIONS: Demand = {
   group: "question",
   service: "",
   kind: "chat",
@@ -23,39 +23,39 @@
   repeatable: true,
   promptTokens: 60,
   outputTokens: 20,
-  prefixes: 0,
+  prefixCount: 0,
   prefixTokens: 0,
   priority: 1,
-  withinMs: 4000,
+  timeoutMs: 4000,
 };
 
-const documents: Demand = {
-  ...questions,
+const DOCUMENTS: Demand = {
+  ...QUESTIONS,
   group: "document",
   peakPerS: 1,
   bound: true,
   promptTokens: 800,
   outputTokens: 80,
-  prefixes: 3,
+  prefixCount: 3,
   prefixTokens: 2048,
   priority: 0,
-  withinMs: 10_000,
+  timeoutMs: 10_000,
 };
 
-const entries: Demand = {
-  ...documents,
+const ENTRIES: Demand = {
+  ...DOCUMENTS,
   group: "entry",
   kind: "plain",
   peakPerS: 2,
   repeatable: false,
   promptTokens: 200,
   outputTokens: 0,
-  prefixes: 0,
+  prefixCount: 0,
   prefixTokens: 0,
-  withinMs: 6000,
+  timeoutMs: 6000,
 };
 
-function regionsOf(
+function buildRegions(
   vms: Readonly<Record<string, number>>,
   linkMs: number,
 ): Topology["regions"] {
@@ -69,11 +69,11 @@
   }));
 }
 
-function model(
+function buildModelService(
   id: string,
   upstreams: Record<string, number>,
   objective: ServiceRow["objective"],
-): Service {
+): TraceService {
   const ids = Object.keys(upstreams);
   return {
     row: serviceRow.parse({ kind: "service", id, type: "model", objective }),
@@ -90,9 +90,16 @@
   };
 }
 
-function plain(id: string, upstreams: Record<string, number>): Service {
+function buildPlainService(
+  id: string,
+  upstreams: Record<string, number>,
+): TraceService {
   return {
-    ...model(id, upstreams, { latencyWeight: 1, costWeight: 0, awayWeight: 0 }),
+    ...buildModelService(id, upstreams, {
+      latencyWeight: 1,
+      costWeight: 0,
+      awayWeight: 0,
+    }),
     row: serviceRow.parse({
       kind: "service",
       id,
@@ -105,7 +112,7 @@
   };
 }
 
-function workspacesOf(
+function buildWorkspaces(
   regions: Topology["regions"],
   demands: readonly Demand[],
 ): Topology["workspaces"] {
@@ -119,7 +126,7 @@
   );
 }
 
-function upstreamFault(
+function buildUpstreamFault(
   atMs: number,
   upstream: string,
   ...faults: Record<string, unknown>[]
@@ -128,12 +135,12 @@
 }
 
 /** The cooperative's day: tail latency weighs most. */
-export function cooperativeDay(): Day {
-  const regions = regionsOf({ casablanca: 3, marrakech: 2, agadir: 2 }, 15);
+export function createCooperativeDay(): DayProfile {
+  const regions = buildRegions({ casablanca: 3, marrakech: 2, agadir: 2 }, 15);
   const demands = [
-    { ...questions, service: "route-plan", workspace: "drivers" },
-    { ...documents, service: "route-plan", workspace: "dispatch" },
-    { ...entries, service: "ledger", workspace: "clerks" },
+    { ...QUESTIONS, service: "route-plan", workspace: "drivers" },
+    { ...DOCUMENTS, service: "route-plan", workspace: "dispatch" },
+    { ...ENTRIES, service: "ledger", workspace: "clerks" },
   ];
   return {
     name: "cooperative",
@@ -141,17 +148,21 @@
     topology: {
       regions,
       services: [
-        model("route-plan", { casablanca: 5, marrakech: 4, agadir: 4 }, {
+        buildModelService("route-plan", {
+          casablanca: 5,
+          marrakech: 4,
+          agadir: 4,
+        }, {
           latencyWeight: 1,
           costWeight: 0.1,
           awayWeight: 0.1,
         }),
-        plain("ledger", { casablanca: 1, marrakech: 1, agadir: 1 }),
+        buildPlainService("ledger", { casablanca: 1, marrakech: 1, agadir: 1 }),
       ],
-      workspaces: workspacesOf(regions, demands),
+      workspaces: buildWorkspaces(regions, demands),
     },
-    peakAt: { casablanca: 0.3, marrakech: 0.5, agadir: 0.7 },
-    holiday: [],
+    peakTimes: { casablanca: 0.3, marrakech: 0.5, agadir: 0.7 },
+    holidayRegions: [],
     demands,
     bursts: [{
       group: "question",
@@ -161,18 +172,18 @@
       factor: 5,
     }],
     faults: [
-      upstreamFault(3000, "route-plan-casablanca-0", {
+      buildUpstreamFault(3000, "route-plan-casablanca-0", {
         type: "cut",
         afterTokens: 9,
         times: 3,
       }),
-      upstreamFault(6000, "route-plan-agadir-0", { type: "dead" }),
-      upstreamFault(9000, "route-plan-agadir-0"),
-      upstreamFault(9500, "route-plan-marrakech-1", {
+      buildUpstreamFault(6000, "route-plan-agadir-0", { type: "dead" }),
+      buildUpstreamFault(9000, "route-plan-agadir-0"),
+      buildUpstreamFault(9500, "route-plan-marrakech-1", {
         type: "slow",
         factor: 10,
       }),
-      upstreamFault(12_500, "route-plan-marrakech-1"),
+      buildUpstreamFault(12_500, "route-plan-marrakech-1"),
       {
         type: "fault",
         atMs: 15_000,
@@ -187,7 +198,7 @@
         vm: "marrakech-1",
         action: "start",
       },
-      upstreamFault(20_000, "ledger-casablanca-0", {
+      buildUpstreamFault(20_000, "ledger-casablanca-0", {
         type: "cutAfterRun",
         times: 1,
       }),
@@ -198,12 +209,12 @@
 }
 
 /** The directorate's day: cost and the share sent away weigh most; Salalah has a holiday. */
-export function directorateDay(): Day {
-  const regions = regionsOf({ muscat: 2, salalah: 2, sohar: 2 }, 15);
+export function createDirectorateDay(): DayProfile {
+  const regions = buildRegions({ muscat: 2, salalah: 2, sohar: 2 }, 15);
   const demands = [
-    { ...questions, service: "dossier", workspace: "archivists" },
-    { ...documents, service: "dossier", workspace: "restorers" },
-    { ...entries, service: "portal", workspace: "families" },
+    { ...QUESTIONS, service: "dossier", workspace: "archivists" },
+    { ...DOCUMENTS, service: "dossier", workspace: "restorers" },
+    { ...ENTRIES, service: "portal", workspace: "families" },
   ];
   return {
     name: "directorate",
@@ -211,17 +222,17 @@
     topology: {
       regions,
       services: [
-        model("dossier", { muscat: 3, salalah: 2, sohar: 3 }, {
+        buildModelService("dossier", { muscat: 3, salalah: 2, sohar: 3 }, {
           latencyWeight: 0.3,
           costWeight: 1,
           awayWeight: 1,
         }),
-        plain("portal", { muscat: 1, salalah: 1, sohar: 1 }),
+        buildPlainService("portal", { muscat: 1, salalah: 1, sohar: 1 }),
       ],
-      workspaces: workspacesOf(regions, demands),
+      workspaces: buildWorkspaces(regions, demands),
     },
-    peakAt: { muscat: 0.35, salalah: 0.55, sohar: 0.6 },
-    holiday: ["salalah"],
+    peakTimes: { muscat: 0.35, salalah: 0.55, sohar: 0.6 },
+    holidayRegions: ["salalah"],
     demands,
     bursts: [{
       group: "document",
@@ -231,12 +242,12 @@
       factor: 3,
     }],
     faults: [
-      upstreamFault(2500, "dossier-muscat-0", {
+      buildUpstreamFault(2500, "dossier-muscat-0", {
         type: "crossed",
         times: 2,
       }),
-      upstreamFault(4500, "dossier-sohar-1", { type: "refuse", times: 4 }),
-      upstreamFault(5000, "portal-muscat-0", {
+      buildUpstreamFault(4500, "dossier-sohar-1", { type: "refuse", times: 4 }),
+      buildUpstreamFault(5000, "portal-muscat-0", {
         type: "failAfterRun",
         times: 1,
       }),
@@ -287,7 +298,7 @@
 }
 
 /** The days that ship, by name. */
-export const days: Readonly<Record<string, () => Day>> = {
-  cooperative: cooperativeDay,
-  directorate: directorateDay,
+export const dayFactories: Readonly<Record<string, () => DayProfile>> = {
+  cooperative: createCooperativeDay,
+  directorate: createDirectorateDay,
 };
--- a/src/replay/directory.ts
+++ b/src/replay/directory.ts
@@ -22,12 +22,12 @@
   readonly askAgainAtMs: number;
 }
 
-interface Kept {
+interface CachedVms {
   readonly urls: readonly string[];
   readonly askAgainAtMs: number;
 }
 
-const ASK_TIMEOUT_MS = 1500;
+const REQUEST_TIMEOUT_MS = 1500;
 
 /** Reads `REGION=URL` or `URL`, several parted by commas. */
 export function parseTargets(text: string): Target[] {
@@ -38,9 +38,9 @@
 }
 
 /** Finds VMs for callers. */
-export class Directory {
+export class DirectoryClient {
   readonly #targets: readonly Target[];
-  readonly #kept = new Map<string, Promise<Kept>>();
+  readonly #cache = new Map<string, Promise<CachedVms>>();
 
   /** Starts from these VMs. */
   constructor(targets: readonly Target[]) {
@@ -48,30 +48,36 @@
   }
 
   /** Base URLs for a caller of this workspace in this region, best first. */
-  async urls(
+  async findUrls(
     workspace: string,
     region: string,
     key: string,
   ): Promise<readonly string[]> {
-    const name = `${workspace} ${region}`;
-    const kept = await this.#kept.get(name);
-    if (kept && kept.askAgainAtMs > Date.now()) return kept.urls;
-    const asked = this.#ask(workspace, region, key);
-    this.#kept.set(name, asked);
-    return (await asked).urls;
+    const cacheKey = `${workspace} ${region}`;
+    const cached = await this.#cache.get(cacheKey);
+    if (cached && cached.askAgainAtMs > Date.now()) return cached.urls;
+    const query = this.#query(workspace, region, key);
+    this.#cache.set(cacheKey, query);
+    return (await query).urls;
   }
 
   /** Forgets what was kept, after a VM on the list did not answer. */
   forget(workspace: string, region: string): void {
-    this.#kept.delete(`${workspace} ${region}`);
+    this.#cache.delete(`${workspace} ${region}`);
   }
 
-  async #ask(workspace: string, region: string, key: string): Promise<Kept> {
-    const near = this.#targets.filter((t) => t.region === region);
-    const rest = this.#targets.filter((t) => t.region !== region);
-    const starts = [...near, ...rest].map((target) => target.url);
-    for (const url of starts) {
-      const answer = await askOne(url, workspace, key);
+  async #query(
+    workspace: string,
+    region: string,
+    key: string,
+  ): Promise<CachedVms> {
+    const ownRegion = this.#targets.filter((t) => t.region === region);
+    const otherRegions = this.#targets.filter((t) => t.region !== region);
+    const startUrls = [...ownRegion, ...otherRegions].map((target) =>
+      target.url
+    );
+    for (const url of startUrls) {
+      const answer = await queryVm(url, workspace, key);
       if (!answer) continue;
       // VMs of the caller's own region come first; the directory's order holds among them.
       const vms = [...answer.vms].sort((a, b) =>
@@ -80,11 +86,11 @@
       const urls = vms.map((vm) => vm.url);
       if (urls.length > 0) return { urls, askAgainAtMs: answer.askAgainAtMs };
     }
-    return { urls: starts, askAgainAtMs: 0 };
+    return { urls: startUrls, askAgainAtMs: 0 };
   }
 }
 
-async function askOne(
+async function queryVm(
   url: string,
   workspace: string,
   key: string,
@@ -93,7 +99,7 @@
     return await got(`${url}/v1/directory`, {
       searchParams: { workspace },
       headers: { authorization: `Bearer ${key}` },
-      timeout: { request: ASK_TIMEOUT_MS },
+      timeout: { request: REQUEST_TIMEOUT_MS },
       retry: { limit: 0 },
     }).json<DirectoryAnswer>();
   } catch {
--- a/src/replay/generate.ts
+++ b/src/replay/generate.ts
@@ -23,10 +23,10 @@
   readonly promptTokens: number;
   readonly outputTokens: number;
   /** Prompts share one of so many prefixes in each region. */
-  readonly prefixes: number;
+  readonly prefixCount: number;
   readonly prefixTokens: number;
   readonly priority: number;
-  readonly withinMs: number;
+  readonly timeoutMs: number;
 }
 
 /** Extra demand of one group in one region. */
@@ -39,26 +39,26 @@
 }
 
 /** A day, compressed to `durationMs`. */
-export interface Day {
+export interface DayProfile {
   readonly name: string;
   readonly durationMs: number;
   readonly topology: TraceHeader["topology"];
   /** When each region has its peak, as a share of the day. */
-  readonly peakAt: Readonly<Record<string, number>>;
+  readonly peakTimes: Readonly<Record<string, number>>;
   /** Regions that have a holiday: half the demand all day. */
-  readonly holiday: readonly string[];
+  readonly holidayRegions: readonly string[];
   readonly demands: readonly Demand[];
   readonly bursts: readonly Burst[];
   readonly faults: readonly TraceFault[];
 }
 
-const NIGHT_SHARE = 0.5;
+const LOW_DEMAND_SHARE = 0.5;
 
 /** Makes the trace of a day. */
-export function generateTrace(day: Day, seed: number): Trace {
+export function generateTrace(day: DayProfile, seed: number): Trace {
   const random = new Random(seed);
   const requests = day.topology.regions.flatMap(({ id }) =>
-    day.demands.flatMap((demand) => arrivals(day, id, demand, random))
+    day.demands.flatMap((demand) => generateArrivals(day, id, demand, random))
   );
   requests.sort((a, b) => a.arrivalMs - b.arrivalMs);
   const endMs = Math.max(...requests.map((request) => request.deadlineMs));
@@ -77,52 +77,61 @@
 }
 
 /** The trace as JSON lines. */
-export function traceText(trace: Trace): string {
+export function serializeTrace(trace: Trace): string {
   const lines = [trace.header, ...trace.faults, ...trace.requests];
   return lines.map((line) => JSON.stringify(line) + "\n").join("");
 }
 
 /** A Poisson process by thinning: drawn at the highest rate, kept with the share that the time of day has. */
-function arrivals(
-  day: Day,
+function generateArrivals(
+  day: DayProfile,
   region: string,
   demand: Demand,
   random: Random,
 ): TraceRequest[] {
   const factors = day.bursts.map((burst) => burst.factor);
-  const highest = demand.peakPerS * Math.max(1, ...factors);
+  const maxRatePerS = demand.peakPerS * Math.max(1, ...factors);
   const requests: TraceRequest[] = [];
   let atMs = 0;
   for (;;) {
-    atMs += random.exponential(1000 / highest);
+    atMs += random.exponential(1000 / maxRatePerS);
     if (atMs >= day.durationMs) return requests;
-    const rate = demand.peakPerS * factorAt(day, region, demand.group, atMs);
-    if (random.next() * highest >= rate) continue;
+    const ratePerS = demand.peakPerS *
+      getDemandFactor(day, region, demand.group, atMs);
+    if (random.next() * maxRatePerS >= ratePerS) continue;
     requests.push(
-      request(region, demand, Math.round(atMs), requests.length, random),
+      generateRequest(
+        region,
+        demand,
+        Math.round(atMs),
+        requests.length,
+        random,
+      ),
     );
   }
 }
 
 /** Demand at this time as a share of the peak. */
-function factorAt(
-  day: Day,
+function getDemandFactor(
+  day: DayProfile,
   region: string,
   group: string,
   atMs: number,
 ): number {
-  const turn = atMs / day.durationMs - (day.peakAt[region] ?? 0);
-  const daylight = (1 + Math.cos(2 * Math.PI * turn)) / 2;
-  const share = NIGHT_SHARE + (1 - NIGHT_SHARE) * daylight;
+  const phase = atMs / day.durationMs - (day.peakTimes[region] ?? 0);
+  const daylight = (1 + Math.cos(2 * Math.PI * phase)) / 2;
+  const share = LOW_DEMAND_SHARE + (1 - LOW_DEMAND_SHARE) * daylight;
   const burst = day.bursts.find((b) =>
     b.group === group && b.region === region && atMs >= b.fromMs &&
     atMs < b.toMs
   );
-  const holiday = day.holiday.includes(region) ? NIGHT_SHARE : 1;
-  return share * holiday * (burst?.factor ?? 1);
+  const holidayFactor = day.holidayRegions.includes(region)
+    ? LOW_DEMAND_SHARE
+    : 1;
+  return share * holidayFactor * (burst?.factor ?? 1);
 }
 
-function request(
+function generateRequest(
   region: string,
   demand: Demand,
   arrivalMs: number,
@@ -130,9 +139,9 @@
   random: Random,
 ): TraceRequest {
   const { group, service, kind, bound, repeatable, priority } = demand;
-  const own = around(demand.promptTokens, random);
-  const hasPrefix = demand.prefixes > 0;
-  const prefix = random.int(Math.max(1, demand.prefixes));
+  const ownTokens = drawAround(demand.promptTokens, random);
+  const hasPrefix = demand.prefixCount > 0;
+  const prefixIndex = random.int(Math.max(1, demand.prefixCount));
   return {
     type: "request",
     arrivalMs,
@@ -143,18 +152,18 @@
     group,
     kind,
     bound,
-    promptTokens: own + (hasPrefix ? demand.prefixTokens : 0),
-    ...(hasPrefix ? { prefixId: `${group}-${region}-${prefix}` } : {}),
+    promptTokens: ownTokens + (hasPrefix ? demand.prefixTokens : 0),
+    ...(hasPrefix ? { prefixId: `${group}-${region}-${prefixIndex}` } : {}),
     prefixTokens: hasPrefix ? demand.prefixTokens : 0,
-    outputTokens: kind === "chat" ? around(demand.outputTokens, random) : 0,
+    outputTokens: kind === "chat" ? drawAround(demand.outputTokens, random) : 0,
     priority,
-    deadlineMs: arrivalMs + demand.withinMs,
+    deadlineMs: arrivalMs + demand.timeoutMs,
     repeatable,
     ...(repeatable ? {} : { idempotencyKey: `${group}-${region}-${index}` }),
   };
 }
 
 /** Between half and one and a half times the mean, at least 4. */
-function around(mean: number, random: Random): number {
+function drawAround(mean: number, random: Random): number {
   return Math.max(4, Math.round(mean * (0.5 + random.next())));
 }
--- a/src/replay/outcomes.ts
+++ b/src/replay/outcomes.ts
@@ -9,7 +9,7 @@
 import { z } from "zod";
 import { type Measure, measureNames, type Report } from "./report.ts";
 
-const outcome = z.strictObject({
+const outcomeSchema = z.strictObject({
   measure: z.enum(measureNames),
   /** Only requests of this group. */
   group: z.string().optional(),
@@ -25,10 +25,12 @@
   "one of atMost and atLeast is needed",
 );
 
-const outcomesFile = z.strictObject({ outcomes: z.array(outcome).min(1) });
+const outcomesFileSchema = z.strictObject({
+  outcomes: z.array(outcomeSchema).min(1),
+});
 
 /** One stated outcome. */
-export type Outcome = z.infer<typeof outcome>;
+export type Outcome = z.infer<typeof outcomeSchema>;
 
 /** What became of a stated outcome; one that could not be measured is not held. */
 export interface OutcomeResult {
@@ -40,7 +42,7 @@
 /** Reads a file of outcomes. */
 export function readOutcomes(path: string): Result<Outcome[], string> {
   try {
-    const parsed = outcomesFile.safeParse(
+    const parsed = outcomesFileSchema.safeParse(
       JSON.parse(readFileSync(path, "utf8")),
     );
     if (parsed.success) return ok(parsed.data.outcomes);
@@ -52,15 +54,15 @@
 }
 
 /** Compares the report with what was stated. */
-export function judge(
+export function checkOutcomes(
   report: Report,
   outcomes: readonly Outcome[],
 ): OutcomeResult[] {
-  return outcomes.map((stated) => {
-    const value = report.measure(stated.measure as Measure, stated);
+  return outcomes.map((expected) => {
+    const value = report.measure(expected.measure as Measure, expected);
     const held = value !== undefined &&
-      value <= (stated.atMost ?? Infinity) &&
-      value >= (stated.atLeast ?? -Infinity);
-    return { outcome: stated, value, held };
+      value <= (expected.atMost ?? Infinity) &&
+      value >= (expected.atLeast ?? -Infinity);
+    return { outcome: expected, value, held };
   });
 }
--- a/src/replay/print.ts
+++ b/src/replay/print.ts
@@ -5,7 +5,7 @@
  */
 
 import type { OutcomeResult } from "./outcomes.ts";
-import type { Measure, Part, Report } from "./report.ts";
+import type { Measure, Report, RequestFilter } from "./report.ts";
 import type { Trace } from "./trace.ts";
 
 const columns: readonly Measure[] = [
@@ -22,7 +22,7 @@
 ];
 
 /** Rows with aligned columns; the first row is the head. */
-export function alignRows(rows: readonly (readonly string[])[]): string {
+export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = rows[0].map((_, column) =>
     Math.max(...rows.map((row) => row[column].length))
   );
@@ -35,35 +35,35 @@
 }
 
 /** The measures by group and region, the promises, and the outcomes. */
-export function printReport(
+export function formatReport(
   trace: Trace,
   report: Report,
   outcomes: readonly OutcomeResult[],
 ): string {
-  const parts = partsOf(trace, report);
+  const parts = listParts(trace, report);
   const rows = parts.map(({ name, part }) => [
     name,
-    ...columns.map((measure) => number(report.measure(measure, part))),
+    ...columns.map((measure) => formatNumber(report.measure(measure, part))),
   ]);
-  const judged = outcomes.map((result) => [
-    describeOutcome(result),
-    number(result.value),
+  const outcomeRows = outcomes.map((result) => [
+    formatOutcome(result),
+    formatNumber(result.value),
     result.held ? "held" : "FAILED",
   ]);
-  const answers = Object.entries(report.codeCounts())
+  const codeList = Object.entries(report.countCodes())
     .map(([code, count]) => `${code}: ${count}`).join(", ");
   return [
     `trace ${trace.header.name}, seed ${trace.header.seed}`,
-    alignRows([["part", ...columns], ...rows]),
-    `result codes seen: ${answers || "none"}`,
-    ...(judged.length > 0
-      ? [alignRows([["outcome", "measured", ""], ...judged])]
+    formatTable([["part", ...columns], ...rows]),
+    `result codes seen: ${codeList || "none"}`,
+    ...(outcomeRows.length > 0
+      ? [formatTable([["outcome", "measured", ""], ...outcomeRows])]
       : []),
   ].join("\n\n");
 }
 
 /** The report as one JSON value. */
-export function reportJson(
+export function buildReportJson(
   trace: Trace,
   report: Report,
   outcomes: readonly OutcomeResult[],
@@ -71,12 +71,12 @@
   return {
     trace: trace.header.name,
     seed: trace.header.seed,
-    parts: partsOf(trace, report).map(({ name, part }) => ({
+    parts: listParts(trace, report).map(({ name, part }) => ({
       name,
       ...part,
-      measures: report.all(part),
+      measures: report.measureAll(part),
     })),
-    codes: report.codeCounts(),
+    codes: report.countCodes(),
     outcomes: outcomes.map(({ outcome, value, held }) => ({
       ...outcome,
       value,
@@ -85,13 +85,13 @@
   };
 }
 
-function partsOf(
+function listParts(
   trace: Trace,
   report: Report,
-): readonly { name: string; part: Part }[] {
+): readonly { name: string; part: RequestFilter }[] {
   return [
     { name: "all", part: {} },
-    ...report.groups().map((group) => ({ name: group, part: { group } })),
+    ...report.listGroups().map((group) => ({ name: group, part: { group } })),
     ...trace.header.topology.regions.map(({ id }) => ({
       name: `in ${id}`,
       part: { region: id },
@@ -99,7 +99,7 @@
   ];
 }
 
-function describeOutcome({ outcome }: OutcomeResult): string {
+function formatOutcome({ outcome }: OutcomeResult): string {
   const { measure, group, region, fromMs, toMs, atMost, atLeast } = outcome;
   const span = fromMs === undefined && toMs === undefined
     ? []
@@ -112,7 +112,7 @@
     .filter((part) => part !== undefined).join(" ");
 }
 
-function number(value: number | undefined): string {
+function formatNumber(value: number | undefined): string {
   if (value === undefined) return "-";
   return Number.isInteger(value) ? String(value) : value.toFixed(3);
 }
--- a/src/replay/prompt.ts
+++ b/src/replay/prompt.ts
@@ -11,16 +11,16 @@
 const CHARS_PER_TOKEN = 4;
 
 /** Filler of `tokens` tokens that belongs to `id`. */
-function filler(id: string, tokens: number): string {
+function buildFiller(id: string, tokens: number): string {
   const chars = tokens * CHARS_PER_TOKEN;
   const word = `${hash32(id).toString(36).padStart(7, "0")} `;
   return word.repeat(Math.ceil(chars / word.length)).slice(0, chars);
 }
 
 /** The prompt of a request, tagged with the nonce of one attempt. */
-export function promptOf(request: TraceRequest, nonce: string): string {
+export function buildPrompt(request: TraceRequest, nonce: string): string {
   const { prefixId, prefixTokens, promptTokens } = request;
-  const shared = prefixId ? filler(prefixId, prefixTokens) : "";
-  const own = Math.max(0, promptTokens - (prefixId ? prefixTokens : 0));
-  return `${shared}${filler(nonce, own)} nonce:${nonce}`;
+  const shared = prefixId ? buildFiller(prefixId, prefixTokens) : "";
+  const ownTokens = Math.max(0, promptTokens - (prefixId ? prefixTokens : 0));
+  return `${shared}${buildFiller(nonce, ownTokens)} nonce:${nonce}`;
 }
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -4,11 +4,11 @@
  * @module
  */
 
-import { callOnce } from "./caller.ts";
-import { Directory, type Target } from "./directory.ts";
+import { makeRequest } from "./caller.ts";
+import { DirectoryClient, type Target } from "./directory.ts";
 import { Report } from "./report.ts";
-import { readRuns, type RecordSource, RunIndex } from "./runs.ts";
-import type { Seen } from "./seen.ts";
+import { fetchRuns, type RecordSource, RunIndex } from "./runs.ts";
+import type { RequestRecord } from "./seen.ts";
 import type { Trace, TraceFault } from "./trace.ts";
 
 /** Brings about the faults of a trace. */
@@ -20,16 +20,16 @@
 /** How a trace is replayed. */
 export interface ReplayOptions {
   readonly targets: readonly Target[];
-  readonly keyOf?: (workspace: string) => string;
+  readonly getKey?: (workspace: string) => string;
   /** Where to read what ran; without, measures that need it are left out. */
-  readonly records?: readonly RecordSource[];
+  readonly recordSources?: readonly RecordSource[];
   /** Without it, the trace's faults are left out. */
   readonly injector?: FaultInjector;
-  readonly onProgress?: (progress: Progress) => void;
+  readonly onProgress?: (progress: ReplayProgress) => void;
 }
 
 /** How far a replay has come. */
-export interface Progress {
+export interface ReplayProgress {
   readonly nowMs: number;
   readonly endMs: number;
   readonly sent: number;
@@ -42,7 +42,7 @@
 const SETTLE_MS = 500;
 
 /** The key that a workspace's callers present unless told otherwise. */
-export function defaultKey(workspace: string): string {
+export function buildDefaultKey(workspace: string): string {
   return `key-${workspace}`;
 }
 
@@ -51,83 +51,86 @@
   trace: Trace,
   options: ReplayOptions,
 ): Promise<Report> {
-  const run = new Replay(trace, options);
-  const seen = await run.run();
-  if (!options.records) return new Report(seen, undefined);
+  const replayer = new TraceReplayer(trace, options);
+  const records = await replayer.run();
+  if (!options.recordSources) return new Report(records, undefined);
   await sleep(SETTLE_MS);
-  const runs = await readRuns(options.records);
-  return new Report(seen, new RunIndex(runs));
+  const runs = await fetchRuns(options.recordSources);
+  return new Report(records, new RunIndex(runs));
 }
 
-class Replay {
+class TraceReplayer {
   readonly #trace: Trace;
   readonly #options: ReplayOptions;
-  readonly #directory: Directory;
+  readonly #directory: DirectoryClient;
   readonly #runId = Date.now().toString(36);
   #startedAtMs = 0;
-  #sent = 0;
-  #open = 0;
+  #sentCount = 0;
+  #openCount = 0;
 
   constructor(trace: Trace, options: ReplayOptions) {
     this.#trace = trace;
     this.#options = options;
-    this.#directory = new Directory(options.targets);
+    this.#directory = new DirectoryClient(options.targets);
   }
 
-  async run(): Promise<Seen[]> {
+  async run(): Promise<RequestRecord[]> {
     this.#startedAtMs = Date.now();
-    const ticker = setInterval(() => this.#progress(), PROGRESS_PERIOD_MS);
-    const faults = this.#injectAll();
-    const seen: Promise<Seen>[] = [];
+    const progressTimer = setInterval(
+      () => this.#reportProgress(),
+      PROGRESS_PERIOD_MS,
+    );
+    const faults = this.#injectFaults();
+    const records: Promise<RequestRecord>[] = [];
     for (const request of this.#trace.requests) {
-      await this.#until(request.arrivalMs);
-      seen.push(this.#call(seen.length));
+      await this.#waitUntil(request.arrivalMs);
+      records.push(this.#runRequest(records.length));
     }
-    const all = await Promise.all(seen);
+    const all = await Promise.all(records);
     await faults;
-    clearInterval(ticker);
-    this.#progress();
+    clearInterval(progressTimer);
+    this.#reportProgress();
     return all;
   }
 
-  async #call(index: number): Promise<Seen> {
+  async #runRequest(index: number): Promise<RequestRecord> {
     const request = this.#trace.requests[index];
-    this.#sent++;
-    this.#open++;
-    const seen = await callOnce(
+    this.#sentCount++;
+    this.#openCount++;
+    const record = await makeRequest(
       request,
       this.#startedAtMs + request.arrivalMs,
       {
         directory: this.#directory,
-        keyOf: this.#options.keyOf ?? defaultKey,
+        getKey: this.#options.getKey ?? buildDefaultKey,
         index,
         runId: this.#runId,
       },
     );
-    this.#open--;
-    return seen;
+    this.#openCount--;
+    return record;
   }
 
-  async #injectAll(): Promise<void> {
+  async #injectFaults(): Promise<void> {
     const { injector } = this.#options;
     if (!injector) return;
     for (const fault of this.#trace.faults) {
-      await this.#until(fault.atMs);
+      await this.#waitUntil(fault.atMs);
       await injector.inject(fault);
     }
   }
 
-  #progress(): void {
+  #reportProgress(): void {
     this.#options.onProgress?.({
       nowMs: Date.now() - this.#startedAtMs,
       endMs: this.#trace.header.endMs,
-      sent: this.#sent,
-      open: this.#open,
+      sent: this.#sentCount,
+      open: this.#openCount,
       total: this.#trace.requests.length,
     });
   }
 
-  async #until(atMs: number): Promise<void> {
+  async #waitUntil(atMs: number): Promise<void> {
     const waitMs = this.#startedAtMs + atMs - Date.now();
     if (waitMs > 0) await sleep(waitMs);
   }
--- a/src/replay/replay_test.ts
+++ b/src/replay/replay_test.ts
@@ -4,22 +4,22 @@
 import type { ExecutionContext } from "ava";
 import { describe, it } from "../base/describe.ts";
 import { secretDigest } from "../base/mod.ts";
-import { answerText, openEngine, openPlain } from "../standins/mod.ts";
+import { formatAnswer, openEngine, openPlainService } from "../standins/mod.ts";
 import {
-  cooperativeDay,
+  checkOutcomes,
+  createCooperativeDay,
   generateTrace,
-  judge,
   type Measure,
   parseTrace,
   type RecordSource,
   replay,
   type Report,
+  serializeTrace,
   type Trace,
-  traceText,
 } from "./mod.ts";
 
 /** What the gateway under test does wrong, if anything. */
-type Behavior =
+type GatewayBehavior =
   | "honest"
   | "wrongRegion"
   | "runsTwice"
@@ -29,7 +29,7 @@
   | "inventsAnAnswer"
   | "noAdvice";
 
-const header = generateTrace(cooperativeDay(), 1).header;
+const header = generateTrace(createCooperativeDay(), 1).header;
 
 function smallTrace(): Trace {
   const common = {
@@ -71,15 +71,19 @@
 /** Replays the small trace through a gateway with this behavior. */
 async function replayThrough(
   t: ExecutionContext,
-  behavior: Behavior,
+  behavior: GatewayBehavior,
 ): Promise<Report> {
-  const fast = { streamTokensPerS: 5000, decodeTokensPerS: 1e5, stepMs: 2 };
-  const home = await openEngine(fast);
-  const far = await openEngine(fast);
-  const ledger = await openPlain();
-  const engine = behavior === "wrongRegion" ? far : home;
+  const engineOptions = {
+    streamTokensPerS: 5000,
+    decodeTokensPerS: 1e5,
+    stepMs: 2,
+  };
+  const homeEngine = await openEngine(engineOptions);
+  const remoteEngine = await openEngine(engineOptions);
+  const ledger = await openPlainService();
+  const engine = behavior === "wrongRegion" ? remoteEngine : homeEngine;
   const server = createServer((req, res) => {
-    void answer(behavior, req, engine.url, ledger.url).then((answered) => {
+    void answerAs(behavior, req, engine.url, ledger.url).then((answered) => {
       res.writeHead(answered.status, {
         "content-type": answered.type,
         "x-ibisgap-region": "casablanca",
@@ -93,31 +97,35 @@
   t.teardown(async () => {
     server.closeAllConnections();
     server.close();
-    for (const part of [home, far, ledger]) await part.close();
+    for (const part of [homeEngine, remoteEngine, ledger]) await part.close();
   });
   const records: RecordSource[] = [
-    { upstream: "home", region: "casablanca", controlUrl: home.controlUrl },
-    { upstream: "far", region: "agadir", controlUrl: far.controlUrl },
+    {
+      upstream: "home",
+      region: "casablanca",
+      controlUrl: homeEngine.controlUrl,
+    },
+    { upstream: "far", region: "agadir", controlUrl: remoteEngine.controlUrl },
     { upstream: "ledger", region: "casablanca", controlUrl: ledger.controlUrl },
   ];
   return await replay(smallTrace(), {
     targets: [{ url: `http://127.0.0.1:${port}` }],
-    records,
+    recordSources: records,
   });
 }
 
-interface Answered {
+interface GatewayAnswer {
   readonly status: number;
   readonly type: string;
   readonly text: string;
 }
 
-async function answer(
-  behavior: Behavior,
+async function answerAs(
+  behavior: GatewayBehavior,
   req: IncomingMessage,
   engineUrl: string,
   ledgerUrl: string,
-): Promise<Answered> {
+): Promise<GatewayAnswer> {
   const chunks: Buffer[] = [];
   for await (const chunk of req) chunks.push(chunk);
   const body = Buffer.concat(chunks).toString();
@@ -148,22 +156,22 @@
     return { ...answered, text: answered.text.slice(0, -14) };
   }
   if (behavior === "foreignAnswer" && isChat) {
-    const content = answerText("someone-else", 8);
+    const content = formatAnswer("someone-else", 8);
     const event = JSON.stringify({ choices: [{ delta: { content } }] });
     return { ...answered, text: `data: ${event}\n\ndata: [DONE]\n\n` };
   }
   return answered;
 }
 
-function json(status: number, body: unknown): Answered {
+function json(status: number, body: unknown): GatewayAnswer {
   return { status, type: "application/json", text: JSON.stringify(body) };
 }
 
-function error(status: number, body: object): Answered {
+function error(status: number, body: object): GatewayAnswer {
   return json(status, { error: { message: "", type: "", ...body } });
 }
 
-const promises: readonly Measure[] = [
+const guaranteeMeasures: readonly Measure[] = [
   "foreignAnswers",
   "incompleteAnswers",
   "residencyViolations",
@@ -173,7 +181,7 @@
 ];
 
 /** Each fault of a gateway, and the measures that must show it. */
-const cases: readonly [Behavior, readonly Measure[]][] = [
+const cases: readonly [GatewayBehavior, readonly Measure[]][] = [
   ["honest", []],
   ["wrongRegion", ["residencyViolations"]],
   ["runsTwice", ["doubleRuns"]],
@@ -186,11 +194,13 @@
 describe("replay", () => {
   // A checker that catches nothing proves nothing: through an honest gateway no promise counts as broken, and through
   // one that breaks a single promise just the measure of that promise rises.
-  for (const [behavior, shown] of cases) {
+  for (const [behavior, expected] of cases) {
     it(`finds what a gateway does wrong: ${behavior}`, async (t) => {
       const report = await replayThrough(t, behavior);
-      const broken = promises.filter((name) => report.measure(name) !== 0);
-      t.deepEqual(broken, [...shown]);
+      const brokenGuarantees = guaranteeMeasures.filter((name) =>
+        report.measure(name) !== 0
+      );
+      t.deepEqual(brokenGuarantees, [...expected]);
       t.is(report.measure("requests"), 8);
     });
   }
@@ -204,13 +214,13 @@
 
   it("holds no outcome that could not be measured", async (t) => {
     const report = await replayThrough(t, "honest");
-    const [held, failed, missing] = judge(report, [
+    const [met, missed, unmeasured] = checkOutcomes(report, [
       { measure: "completeShare", atLeast: 1 },
       { measure: "completeShare", atMost: 0.5 },
       { measure: "completeShare", group: "none", atLeast: 0 },
     ]);
     t.deepEqual(
-      [held.held, failed.held, missing.held],
+      [met.held, missed.held, unmeasured.held],
       [true, false, false],
     );
   });
@@ -218,14 +228,22 @@
 
 describe("traces", () => {
   it("are the same for the same seed and read back as written", (t) => {
-    const trace = generateTrace(cooperativeDay(), 7);
-    t.is(traceText(trace), traceText(generateTrace(cooperativeDay(), 7)));
-    t.not(traceText(trace), traceText(generateTrace(cooperativeDay(), 8)));
-    t.deepEqual(parseTrace(traceText(trace))._unsafeUnwrap(), trace);
+    const trace = generateTrace(createCooperativeDay(), 7);
+    t.is(
+      serializeTrace(trace),
+      serializeTrace(generateTrace(createCooperativeDay(), 7)),
+    );
+    t.not(
+      serializeTrace(trace),
+      serializeTrace(generateTrace(createCooperativeDay(), 8)),
+    );
+    t.deepEqual(parseTrace(serializeTrace(trace))._unsafeUnwrap(), trace);
   });
 
   it("with a mistake are refused by line and field", (t) => {
-    const [first, ...rest] = traceText(generateTrace(cooperativeDay(), 7))
+    const [first, ...rest] = serializeTrace(
+      generateTrace(createCooperativeDay(), 7),
+    )
       .split("\n");
     const broken = JSON.stringify({ ...JSON.parse(rest[12]), deadlineMs: -1 });
     const refused = parseTrace([first, broken].join("\n"));
--- a/src/replay/report.ts
+++ b/src/replay/report.ts
@@ -7,7 +7,7 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { codes } from "../base/mod.ts";
 import type { RunIndex } from "./runs.ts";
-import { isComplete, lastAttempt, type Seen } from "./seen.ts";
+import { getLastAttempt, isComplete, type RequestRecord } from "./seen.ts";
 
 /** All measures by name; see docs/TRACE.md. */
 export const measureNames = [
@@ -39,103 +39,110 @@
 export type Measure = typeof measureNames[number];
 
 /** The part of the requests that is measured; absent fields let all through. */
-export interface Part {
+export interface RequestFilter {
   readonly group?: string | undefined;
   readonly region?: string | undefined;
   readonly fromMs?: number | undefined;
   readonly toMs?: number | undefined;
 }
 
-const HIGHEST_MS = 3_600_000;
+const MAX_WAIT_MS = 3_600_000;
 
-type Take = (
-  seen: readonly Seen[],
+type ComputeMeasure = (
+  records: readonly RequestRecord[],
   runs: RunIndex | undefined,
 ) => number | undefined;
 
-const retryable = new Set(
+const retryableCodes = new Set(
   Object.values(codes).filter((row) => row.retryable).map((row) => row.code),
 );
 
-const measures: Record<Measure, Take> = {
-  requests: (seen) => seen.length,
-  completeShare: (seen) => share(seen, isComplete),
-  onTimeShare: (seen) => share(seen, isOnTime),
-  refusedShare: (seen) => share(seen, (s) => lastAttempt(s)?.end === "failed"),
-  unansweredShare: (seen) => share(seen, isUnanswered),
-  awayShare: (seen) => share(seen.filter(isComplete), wentAway),
-  foreignAnswers: (seen) =>
-    seen.filter((s) => s.attempts.some((a) => a.check === "foreign")).length,
-  incompleteAnswers: (seen) => seen.filter(hasBadEnd).length,
-  brokenStreams: (seen) =>
-    seen.filter((s) => s.attempts.some((a) => a.end === "broken")).length,
-  residencyViolations: (seen, runs) => runs && count(seen, runs, "leftHome"),
-  doubleRuns: (seen, runs) => runs && count(seen, runs, "ranTwice"),
-  notRunButRan: (seen, runs) => runs && count(seen, runs, "ranThoughDenied"),
-  answeredNotRun: (seen, runs) =>
-    runs && count(seen, runs, "answeredWithoutRun"),
-  adviceMissing: (seen) => seen.filter(lacksAdvice).length,
-  attemptsMean: (seen) =>
-    seen.length === 0 ? undefined : seen.reduce(
+const measures: Record<Measure, ComputeMeasure> = {
+  requests: (records) => records.length,
+  completeShare: (records) => computeShare(records, isComplete),
+  onTimeShare: (records) => computeShare(records, isOnTime),
+  refusedShare: (records) =>
+    computeShare(records, (s) => getLastAttempt(s)?.end === "failed"),
+  unansweredShare: (records) => computeShare(records, isUnanswered),
+  awayShare: (records) =>
+    computeShare(records.filter(isComplete), wasServedAway),
+  foreignAnswers: (records) =>
+    records.filter((s) => s.attempts.some((a) => a.check === "foreign")).length,
+  incompleteAnswers: (records) => records.filter(hasIncompleteAnswer).length,
+  brokenStreams: (records) =>
+    records.filter((s) => s.attempts.some((a) => a.end === "broken")).length,
+  residencyViolations: (records, runs) =>
+    runs && countRequests(records, runs, "leftHome"),
+  doubleRuns: (records, runs) =>
+    runs && countRequests(records, runs, "ranTwice"),
+  notRunButRan: (records, runs) =>
+    runs && countRequests(records, runs, "ranThoughDenied"),
+  answeredNotRun: (records, runs) =>
+    runs && countRequests(records, runs, "answeredWithoutRun"),
+  adviceMissing: (records) => records.filter(lacksRetryAdvice).length,
+  attemptsMean: (records) =>
+    records.length === 0 ? undefined : records.reduce(
       (sum, s) => sum + s.attempts.length,
       0,
-    ) / seen.length,
-  warmShare: (seen, runs) => runs && warmShare(seen, runs),
-  firstTokenP50Ms: (seen) => firstToken(seen, 50),
-  firstTokenP95Ms: (seen) => firstToken(seen, 95),
-  firstTokenP99Ms: (seen) => firstToken(seen, 99),
-  totalP50Ms: (seen) => total(seen, 50),
-  totalP95Ms: (seen) => total(seen, 95),
-  totalP99Ms: (seen) => total(seen, 99),
+    ) / records.length,
+  warmShare: (records, runs) => runs && computeWarmShare(records, runs),
+  firstTokenP50Ms: (records) => getFirstTokenMs(records, 50),
+  firstTokenP95Ms: (records) => getFirstTokenMs(records, 95),
+  firstTokenP99Ms: (records) => getFirstTokenMs(records, 99),
+  totalP50Ms: (records) => getTotalMs(records, 50),
+  totalP95Ms: (records) => getTotalMs(records, 95),
+  totalP99Ms: (records) => getTotalMs(records, 99),
 };
 
 /** The result of one replay. */
 export class Report {
-  readonly #seen: readonly Seen[];
+  readonly #records: readonly RequestRecord[];
   readonly #runs: RunIndex | undefined;
 
   /** Without `runs`, measures that need the upstreams' records are undefined. */
-  constructor(seen: readonly Seen[], runs: RunIndex | undefined) {
-    this.#seen = seen;
+  constructor(records: readonly RequestRecord[], runs: RunIndex | undefined) {
+    this.#records = records;
     this.#runs = runs;
   }
 
   /** One measure; undefined if there is nothing to measure it by. */
-  measure(name: Measure, part: Part = {}): number | undefined {
-    return measures[name](this.select(part), this.#runs);
+  measure(name: Measure, filter: RequestFilter = {}): number | undefined {
+    return measures[name](this.selectRecords(filter), this.#runs);
   }
 
   /** All measures of a part. */
-  all(part: Part = {}): Record<Measure, number | undefined> {
-    const values = measureNames.map((name) => [name, this.measure(name, part)]);
-    return Object.fromEntries(values) as Record<Measure, number | undefined>;
+  measureAll(filter: RequestFilter = {}): Record<Measure, number | undefined> {
+    const pairs = measureNames.map((
+      name,
+    ) => [name, this.measure(name, filter)]);
+    return Object.fromEntries(pairs) as Record<Measure, number | undefined>;
   }
 
   /** The requests of a part. */
-  select(part: Part): readonly Seen[] {
-    return this.#seen.filter(({ request }) =>
-      (part.group === undefined || request.group === part.group) &&
-      (part.region === undefined || request.region === part.region) &&
-      request.arrivalMs >= (part.fromMs ?? 0) &&
-      request.arrivalMs < (part.toMs ?? Infinity)
+  selectRecords(filter: RequestFilter): readonly RequestRecord[] {
+    return this.#records.filter(({ request }) =>
+      (filter.group === undefined || request.group === filter.group) &&
+      (filter.region === undefined || request.region === filter.region) &&
+      request.arrivalMs >= (filter.fromMs ?? 0) &&
+      request.arrivalMs < (filter.toMs ?? Infinity)
     );
   }
 
   /** The groups that occur, sorted. */
-  groups(): string[] {
-    return [...new Set(this.#seen.map((s) => s.request.group))].sort();
+  listGroups(): string[] {
+    return [...new Set(this.#records.map((s) => s.request.group))].sort();
   }
 
   /** All requests with all that their callers saw. */
-  calls(): readonly Seen[] {
-    return this.#seen;
+  getRecords(): readonly RequestRecord[] {
+    return this.#records;
   }
 
   /** How often each result code was an attempt's answer. */
-  codeCounts(): Record<string, number> {
+  countCodes(): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const seen of this.#seen) {
-      for (const { code } of seen.attempts) {
+    for (const record of this.#records) {
+      for (const { code } of record.attempts) {
         if (code !== undefined) counts[code] = (counts[code] ?? 0) + 1;
       }
     }
@@ -143,97 +150,106 @@
   }
 }
 
-function share(
-  seen: readonly Seen[],
-  test: (seen: Seen) => boolean,
+function computeShare(
+  records: readonly RequestRecord[],
+  test: (record: RequestRecord) => boolean,
 ): number | undefined {
-  return seen.length === 0 ? undefined : seen.filter(test).length / seen.length;
+  return records.length === 0
+    ? undefined
+    : records.filter(test).length / records.length;
 }
 
-function count(
-  seen: readonly Seen[],
+function countRequests(
+  records: readonly RequestRecord[],
   runs: RunIndex,
   rule: "leftHome" | "ranTwice" | "ranThoughDenied" | "answeredWithoutRun",
 ): number {
-  return seen.filter((s) => runs[rule](s)).length;
+  return records.filter((s) => runs[rule](s)).length;
 }
 
-function deadlineMs(seen: Seen): number {
-  const { arrivalMs, deadlineMs } = seen.request;
-  return seen.arrivedAtMs + deadlineMs - arrivalMs;
+function getDeadlineMs(record: RequestRecord): number {
+  const { arrivalMs, deadlineMs } = record.request;
+  return record.arrivedAtMs + deadlineMs - arrivalMs;
 }
 
-function isOnTime(seen: Seen): boolean {
-  return isComplete(seen) && lastAttempt(seen)!.endedAtMs <= deadlineMs(seen);
+function isOnTime(record: RequestRecord): boolean {
+  return isComplete(record) &&
+    getLastAttempt(record)!.endedAtMs <= getDeadlineMs(record);
 }
 
-function isUnanswered(seen: Seen): boolean {
-  const end = lastAttempt(seen)?.end;
+function isUnanswered(record: RequestRecord): boolean {
+  const end = getLastAttempt(record)?.end;
   return end === undefined || end === "timeout" || end === "broken";
 }
 
-function wentAway(seen: Seen): boolean {
-  const region = lastAttempt(seen)?.region;
-  return region !== undefined && region !== seen.request.home;
+function wasServedAway(record: RequestRecord): boolean {
+  const region = getLastAttempt(record)?.region;
+  return region !== undefined && region !== record.request.home;
 }
 
 /** A clean end of an answer that was not whole. */
-function hasBadEnd(seen: Seen): boolean {
-  return seen.attempts.some((a) =>
+function hasIncompleteAnswer(record: RequestRecord): boolean {
+  return record.attempts.some((a) =>
     a.end === "answered" && (a.check === "cut" || a.check === "garbled")
   );
 }
 
-function lacksAdvice(seen: Seen): boolean {
-  return seen.attempts.some((a) =>
-    a.end === "failed" && a.ran === "no" && retryable.has(a.code ?? 0) &&
+function lacksRetryAdvice(record: RequestRecord): boolean {
+  return record.attempts.some((a) =>
+    a.end === "failed" && a.ran === "no" && retryableCodes.has(a.code ?? 0) &&
     a.retryAtMs === undefined && a.goTo === undefined
   );
 }
 
-function warmShare(seen: readonly Seen[], runs: RunIndex): number | undefined {
-  let warm = 0;
-  let all = 0;
-  for (const s of seen) {
+function computeWarmShare(
+  records: readonly RequestRecord[],
+  runs: RunIndex,
+): number | undefined {
+  let warmTokens = 0;
+  let promptTokens = 0;
+  for (const s of records) {
     if (s.request.kind !== "chat") continue;
-    for (const run of runs.of(s)) {
-      warm += run.warmTokens;
-      all += s.request.promptTokens;
+    for (const run of runs.findRuns(s)) {
+      warmTokens += run.warmTokens;
+      promptTokens += s.request.promptTokens;
     }
   }
-  return all === 0 ? undefined : warm / all;
+  return promptTokens === 0 ? undefined : warmTokens / promptTokens;
 }
 
-function firstToken(
-  seen: readonly Seen[],
+function getFirstTokenMs(
+  records: readonly RequestRecord[],
   percent: number,
 ): number | undefined {
-  const waits = seen.filter(isComplete).flatMap((s) => {
-    const atMs = lastAttempt(s)?.firstTokenAtMs;
+  const waitsMs = records.filter(isComplete).flatMap((s) => {
+    const atMs = getLastAttempt(s)?.firstTokenAtMs;
     return atMs === undefined ? [] : [atMs - s.arrivedAtMs];
   });
-  return percentile(waits, percent);
+  return computePercentile(waitsMs, percent);
 }
 
-function total(seen: readonly Seen[], percent: number): number | undefined {
-  const waits = seen.filter(isComplete).map((s) =>
-    lastAttempt(s)!.endedAtMs - s.arrivedAtMs
+function getTotalMs(
+  records: readonly RequestRecord[],
+  percent: number,
+): number | undefined {
+  const waitsMs = records.filter(isComplete).map((s) =>
+    getLastAttempt(s)!.endedAtMs - s.arrivedAtMs
   );
-  return percentile(waits, percent);
+  return computePercentile(waitsMs, percent);
 }
 
-function percentile(
+function computePercentile(
   waitsMs: readonly number[],
   percent: number,
 ): number | undefined {
   if (waitsMs.length === 0) return undefined;
   const histogram: Histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MS,
+    highestTrackableValue: MAX_WAIT_MS,
     numberOfSignificantValueDigits: 3,
   });
   for (const waitMs of waitsMs) {
-    histogram.recordValue(Math.min(HIGHEST_MS, Math.max(0, waitMs)));
+    histogram.recordValue(Math.min(MAX_WAIT_MS, Math.max(0, waitMs)));
   }
   return histogram.getValueAtPercentile(percent);
 }
--- a/src/replay/runs.ts
+++ b/src/replay/runs.ts
@@ -6,7 +6,7 @@
 
 import got from "got";
 import type { RunRecord } from "../standins/mod.ts";
-import type { Attempt, Seen } from "./seen.ts";
+import type { AttemptRecord, RequestRecord } from "./seen.ts";
 
 /** A run with the upstream that it was at. */
 export interface UpstreamRun extends RunRecord {
@@ -22,7 +22,7 @@
 }
 
 /** Reads the records of all upstreams. */
-export async function readRuns(
+export async function fetchRuns(
   sources: readonly RecordSource[],
 ): Promise<UpstreamRun[]> {
   const lists = await Promise.all(sources.map(async (source) => {
@@ -42,63 +42,67 @@
   constructor(runs: readonly UpstreamRun[]) {
     for (const run of runs) {
       if (run.startedAtMs === undefined) continue;
-      push(this.#byNonce, run.nonce, run);
-      if (run.idempotencyKey) push(this.#byKey, run.idempotencyKey, run);
+      appendTo(this.#byNonce, run.nonce, run);
+      if (run.idempotencyKey) appendTo(this.#byKey, run.idempotencyKey, run);
     }
   }
 
   /** The runs of a request: of its key, or of its attempts' nonces. */
-  of(seen: Seen): readonly UpstreamRun[] {
-    const key = seen.request.idempotencyKey;
+  findRuns(record: RequestRecord): readonly UpstreamRun[] {
+    const key = record.request.idempotencyKey;
     if (key) return this.#byKey.get(key) ?? [];
-    return seen.attempts.flatMap((a) => this.#byNonce.get(a.nonce) ?? []);
+    return record.attempts.flatMap((a) => this.#byNonce.get(a.nonce) ?? []);
   }
 
   /** Whether a call that may not be repeated ran more than once. */
-  ranTwice(seen: Seen): boolean {
-    return !seen.request.repeatable && this.of(seen).length > 1;
+  ranTwice(record: RequestRecord): boolean {
+    return !record.request.repeatable && this.findRuns(record).length > 1;
   }
 
   /**
    * Whether a caller was told "not run" of something that ran. Attempts of one key share it, so a run counts against
    * the promise if it began before any attempt whose answer left it open whether it ran.
    */
-  ranThoughDenied(seen: Seen): boolean {
-    const denied = seen.attempts.filter((a) => a.ran === "no");
+  ranThoughDenied(record: RequestRecord): boolean {
+    const denied = record.attempts.filter((a) => a.ran === "no");
     if (denied.length === 0) return false;
-    if (!seen.request.idempotencyKey) {
+    if (!record.request.idempotencyKey) {
       return denied.some((a) => this.#byNonce.has(a.nonce));
     }
-    const openFromMs = Math.min(...seen.attempts.filter(isOpen).map(sentAt));
-    return this.of(seen).some((run) => (run.startedAtMs ?? 0) < openFromMs);
+    const uncertainFromMs = Math.min(
+      ...record.attempts.filter(mayHaveRun).map(getSentAtMs),
+    );
+    return this.findRuns(record).some((run) =>
+      (run.startedAtMs ?? 0) < uncertainFromMs
+    );
   }
 
   /** Whether an answer was given for something that never ran. */
-  answeredWithoutRun(seen: Seen): boolean {
-    return seen.attempts.some((a) => a.end === "answered") &&
-      this.of(seen).length === 0;
+  answeredWithoutRun(record: RequestRecord): boolean {
+    return record.attempts.some((a) => a.end === "answered") &&
+      this.findRuns(record).length === 0;
   }
 
   /** Whether a bound request ran, or was answered, outside its home region. */
-  leftHome(seen: Seen): boolean {
-    const { bound, home } = seen.request;
+  leftHome(record: RequestRecord): boolean {
+    const { bound, home } = record.request;
     if (!bound) return false;
-    return this.of(seen).some((run) => run.region !== home) ||
-      seen.attempts.some((a) =>
+    return this.findRuns(record).some((run) => run.region !== home) ||
+      record.attempts.some((a) =>
         a.end === "answered" && a.region !== undefined && a.region !== home
       );
   }
 }
 
-function isOpen(attempt: Attempt): boolean {
+function mayHaveRun(attempt: AttemptRecord): boolean {
   return attempt.ran !== "no";
 }
 
-function sentAt(attempt: Attempt): number {
+function getSentAtMs(attempt: AttemptRecord): number {
   return attempt.sentAtMs;
 }
 
-function push<T>(map: Map<string, T[]>, key: string, value: T): void {
+function appendTo<T>(map: Map<string, T[]>, key: string, value: T): void {
   const list = map.get(key);
   if (list) list.push(value);
   else map.set(key, [value]);
--- a/src/replay/seen.ts
+++ b/src/replay/seen.ts
@@ -20,7 +20,7 @@
   | "timeout";
 
 /** One attempt at one VM. */
-export interface Attempt {
+export interface AttemptRecord {
   /** Tag of this attempt in the prompt, or the digest of the body. */
   readonly nonce: string;
   readonly url: string;
@@ -45,20 +45,22 @@
 }
 
 /** A request of the trace and all that its caller saw. */
-export interface Seen {
+export interface RequestRecord {
   readonly request: TraceRequest;
   /** Wall-clock time of the arrival that the trace states. */
   readonly arrivedAtMs: number;
-  readonly attempts: readonly Attempt[];
+  readonly attempts: readonly AttemptRecord[];
 }
 
 /** The attempt that decided the outcome. */
-export function lastAttempt(seen: Seen): Attempt | undefined {
-  return seen.attempts.at(-1);
+export function getLastAttempt(
+  record: RequestRecord,
+): AttemptRecord | undefined {
+  return record.attempts.at(-1);
 }
 
 /** Whether the caller got its own whole answer. */
-export function isComplete(seen: Seen): boolean {
-  const last = lastAttempt(seen);
+export function isComplete(record: RequestRecord): boolean {
+  const last = getLastAttempt(record);
   return last?.end === "answered" && last.check === "complete";
 }
--- a/src/replay/trace.ts
+++ b/src/replay/trace.ts
@@ -141,7 +141,7 @@
   const faults: TraceFault[] = [];
   for (const [index, line] of text.split("\n").entries()) {
     if (line.trim() === "") continue;
-    const parsed = parseLine(line);
+    const parsed = parseTraceLine(line);
     if (parsed.isErr()) return err(`line ${index + 1}: ${parsed.error}`);
     const value = parsed.value;
     if (value.type === "trace") header = value;
@@ -154,7 +154,9 @@
   return ok({ header, requests, faults });
 }
 
-function parseLine(line: string): Result<z.infer<typeof traceLine>, string> {
+function parseTraceLine(
+  line: string,
+): Result<z.infer<typeof traceLine>, string> {
   let value: unknown;
   try {
     value = JSON.parse(line);
@@ -168,12 +170,12 @@
     ? traceFault
     : traceRequest;
   const parsed = schema.safeParse(value);
-  if (parsed.success) return checkRequest(parsed.data);
+  if (parsed.success) return checkIdempotencyKey(parsed.data);
   const [issue] = parsed.error.issues;
   return err(`${issue.path.join(".") || "(line)"}: ${issue.message}`);
 }
 
-function checkRequest<T extends z.infer<typeof traceLine>>(
+function checkIdempotencyKey<T extends z.infer<typeof traceLine>>(
   line: T,
 ): Result<T, string> {
   if (line.type !== "request" || line.repeatable) return ok(line);
--- a/src/services/fencing_test.ts
+++ b/src/services/fencing_test.ts
@@ -23,7 +23,7 @@
   open(call: UpstreamCall): Promise<Result<UpstreamAnswer, UpstreamError>> {
     const order = JSON.parse(Buffer.from(call.body).toString());
     const fence = Number(call.headers["x-fencing-token"]);
-    const isAccepted = this.orders.give(order, fence);
+    const isAccepted = this.orders.apply(order, fence);
     const httpStatus = isAccepted ? 200 : 409;
     const body = Readable.from([]);
     return Promise.resolve(ok({ httpStatus, headers: {}, body }));
@@ -94,7 +94,7 @@
     await b.order("active");
     const late = await a.order("parked");
     t.is(late._unsafeUnwrapErr().code, "staleFence");
-    t.true(orders.active);
+    t.true(orders.isActive);
   });
 
   /*
--- a/src/services/table_service_test.ts
+++ b/src/services/table_service_test.ts
@@ -186,12 +186,12 @@
   // republishes the table in force, and later edits continue from there without reusing a version.
   it("reports a store restored from an old backup, and repairs it on request", async (t) => {
     const { platform, vms } = await openFleet(t);
-    platform.save("old");
+    platform.saveCopy("old");
     for (const weight of [2, 3, 4]) {
       t.true((await vms[0].put(regionRowOf("agadir", weight))).isOk());
     }
     await untilInForce(vms, 4);
-    platform.restore("old");
+    platform.restoreCopy("old");
     await until(
       "a watcher reports the regression",
       () => vms.some((vm) => vm.dump().regression !== undefined),
@@ -214,10 +214,10 @@
   // from the store and must not serve with it, because its peers have a newer one in force.
   it("does not let a new VM serve with the table of an old backup", async (t) => {
     const { platform, vms } = await openFleet(t);
-    platform.save("old");
+    platform.saveCopy("old");
     t.true((await vms[0].put(regionRowOf("agadir", 2))).isOk());
     await untilInForce(vms, 2);
-    platform.restore("old");
+    platform.restoreCopy("old");
     await vms[2].crash();
     const late = await TableVm.open({
       id: "agadir-9",
--- a/src/standins/answer.ts
+++ b/src/standins/answer.ts
@@ -8,30 +8,34 @@
 import { hash32 } from "../base/mod.ts";
 
 /** Fewest tokens of an answer: the nonce, one numbered token and the checksum. */
-export const FEWEST_TOKENS = 3;
+export const MIN_ANSWER_TOKENS = 3;
 
-const NONCE = /nonce:([A-Za-z0-9_-]{1,128})/;
+const NONCE_PATTERN = /nonce:([A-Za-z0-9_-]{1,128})/;
 
 /** What {@link checkAnswer} finds. */
 export type AnswerCheck = "complete" | "cut" | "foreign" | "garbled";
 
 /** The nonce in a prompt (`nonce:…`); a prompt without one gets a hash of its text. */
-export function nonceOf(prompt: string): string {
-  return NONCE.exec(prompt)?.[1] ?? `h${hash32(prompt).toString(16)}`;
+export function extractNonce(prompt: string): string {
+  return NONCE_PATTERN.exec(prompt)?.[1] ?? `h${hash32(prompt).toString(16)}`;
 }
 
 /** Token `index` (from 0) of the answer with `count` tokens. */
-export function tokenAt(nonce: string, index: number, count: number): string {
+export function formatToken(
+  nonce: string,
+  index: number,
+  count: number,
+): string {
   if (index === 0) return nonce;
   if (index < count - 1) return ` t${index}`;
   return ` #${hash32(`${nonce}:${count}`).toString(16)}`;
 }
 
 /** The whole answer. */
-export function answerText(nonce: string, count: number): string {
+export function formatAnswer(nonce: string, count: number): string {
   let text = "";
   for (let index = 0; index < count; index++) {
-    text += tokenAt(nonce, index, count);
+    text += formatToken(nonce, index, count);
   }
   return text;
 }
@@ -42,12 +46,12 @@
   if (words[0] !== nonce) {
     return nonce.startsWith(text) ? "cut" : "foreign";
   }
-  if (text === answerText(nonce, words.length)) return "complete";
-  const isPrefix = answerText(nonce, words.length + 1).startsWith(text);
+  if (text === formatAnswer(nonce, words.length)) return "complete";
+  const isPrefix = formatAnswer(nonce, words.length + 1).startsWith(text);
   return isPrefix ? "cut" : "garbled";
 }
 
 /** Tokens of a prompt, by the usual rule of thumb of four characters a token. */
-export function tokensOf(prompt: string): number {
+export function estimateTokens(prompt: string): number {
   return Math.ceil(prompt.length / 4);
 }
--- a/src/standins/batch.ts
+++ b/src/standins/batch.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { tokensOf } from "./answer.ts";
+import { estimateTokens } from "./answer.ts";
 import { PrefixCache } from "./prefix_cache.ts";
 
 /** How fast the modelled engine is. */
@@ -32,21 +32,25 @@
 
 /** What happened to a job in a step. `tokens` counts the newly generated ones. */
 export type BatchEvent =
-  | { readonly type: "started"; readonly id: number; readonly warm: number }
+  | {
+    readonly type: "started";
+    readonly id: number;
+    readonly cachedTokens: number;
+  }
   | { readonly type: "tokens"; readonly id: number; readonly tokens: number };
 
-interface Running {
+interface RunningJob {
   readonly job: BatchJob;
-  prefillLeft: number;
-  credit: number;
-  done: number;
+  prefillTokensLeft: number;
+  decodeCredit: number;
+  generatedTokens: number;
 }
 
 /** The engine's batch and its queue. */
 export class Batch {
   readonly #timing: BatchTiming;
   readonly #cache: PrefixCache;
-  readonly #running = new Map<number, Running>();
+  readonly #running = new Map<number, RunningJob>();
   #waiting: BatchJob[] = [];
   #lastMs = 0;
 
@@ -72,8 +76,8 @@
   /** Queues a job behind those of its priority. */
   submit(job: BatchJob, nowMs: number): void {
     if (this.running + this.waiting === 0) this.#lastMs = nowMs;
-    const behind = this.#waiting.findIndex((w) => w.priority > job.priority);
-    this.#waiting.splice(behind < 0 ? this.waiting : behind, 0, job);
+    const insertAt = this.#waiting.findIndex((w) => w.priority > job.priority);
+    this.#waiting.splice(insertAt < 0 ? this.waiting : insertAt, 0, job);
   }
 
   /** Drops a job wherever it is. */
@@ -85,10 +89,10 @@
   /** Lets time pass until `nowMs`; `speed` below 1 models a slow engine. */
   step(nowMs: number, speed: number): BatchEvent[] {
     const events: BatchEvent[] = [];
-    const spanS = Math.max(0, nowMs - this.#lastMs) / 1000 * speed;
+    const elapsedS = Math.max(0, nowMs - this.#lastMs) / 1000 * speed;
     this.#lastMs = nowMs;
-    this.#prefill(spanS);
-    this.#decode(spanS, events);
+    this.#prefill(elapsedS);
+    this.#decode(elapsedS, events);
     this.#admit(events);
     return events;
   }
@@ -97,47 +101,62 @@
     while (this.running < this.#timing.slots) {
       const job = this.#waiting.shift();
       if (!job) return;
-      const warm = this.#cache.touch(job.prompt);
+      const cachedTokens = this.#cache.insert(job.prompt);
       this.#running.set(job.id, {
         job,
-        prefillLeft: Math.max(1, tokensOf(job.prompt) - warm),
-        credit: 0,
-        done: 0,
+        prefillTokensLeft: Math.max(
+          1,
+          estimateTokens(job.prompt) - cachedTokens,
+        ),
+        decodeCredit: 0,
+        generatedTokens: 0,
       });
-      events.push({ type: "started", id: job.id, warm });
+      events.push({ type: "started", id: job.id, cachedTokens });
     }
   }
 
-  #prefill(spanS: number): void {
-    let budget = this.#timing.prefillTokensPerS * spanS;
-    for (const entry of this.#running.values()) {
-      if (budget <= 0) return;
-      const used = Math.min(budget, entry.prefillLeft);
-      entry.prefillLeft -= used;
-      budget -= used;
+  #prefill(elapsedS: number): void {
+    let tokensLeft = this.#timing.prefillTokensPerS * elapsedS;
+    for (const running of this.#running.values()) {
+      if (tokensLeft <= 0) return;
+      const tokens = Math.min(tokensLeft, running.prefillTokensLeft);
+      running.prefillTokensLeft -= tokens;
+      tokensLeft -= tokens;
     }
   }
 
-  #decode(spanS: number, events: BatchEvent[]): void {
-    const ready = [...this.#running.values()].filter((entry) =>
-      entry.prefillLeft <= 0
+  #decode(elapsedS: number, events: BatchEvent[]): void {
+    const decoding = [...this.#running.values()].filter((running) =>
+      running.prefillTokensLeft <= 0
     );
     const { decodeTokensPerS, streamTokensPerS } = this.#timing;
-    const rate = Math.min(streamTokensPerS, decodeTokensPerS / ready.length);
-    for (const entry of ready) this.#generate(entry, rate * spanS, events);
+    const tokensPerS = Math.min(
+      streamTokensPerS,
+      decodeTokensPerS / decoding.length,
+    );
+    for (const running of decoding) {
+      this.#generate(running, tokensPerS * elapsedS, events);
+    }
   }
 
-  #generate(entry: Running, credit: number, events: BatchEvent[]): void {
+  #generate(
+    running: RunningJob,
+    newCredit: number,
+    events: BatchEvent[],
+  ): void {
     // The first token comes with the end of the prefill.
-    entry.credit += entry.done === 0 && entry.credit === 0 ? 1 : credit;
-    const left = entry.job.outputTokens - entry.done;
-    const tokens = Math.min(left, Math.floor(entry.credit));
+    running.decodeCredit +=
+      running.generatedTokens === 0 && running.decodeCredit === 0
+        ? 1
+        : newCredit;
+    const tokensLeft = running.job.outputTokens - running.generatedTokens;
+    const tokens = Math.min(tokensLeft, Math.floor(running.decodeCredit));
     if (tokens <= 0) return;
-    entry.credit -= tokens;
-    entry.done += tokens;
-    events.push({ type: "tokens", id: entry.job.id, tokens });
-    if (entry.done >= entry.job.outputTokens) {
-      this.#running.delete(entry.job.id);
+    running.decodeCredit -= tokens;
+    running.generatedTokens += tokens;
+    events.push({ type: "tokens", id: running.job.id, tokens });
+    if (running.generatedTokens >= running.job.outputTokens) {
+      this.#running.delete(running.job.id);
     }
   }
 }
--- a/src/standins/config_rows.ts
+++ b/src/standins/config_rows.ts
@@ -8,9 +8,9 @@
 export const ROUTE_HOST = "h.example";
 
 /** A route to the service `s`, less what `more` replaces. */
-export function routeRow(more: Record<string, unknown> = {}) {
+export function makeRoute(overrides: Record<string, unknown> = {}) {
   return {
-    name: `r${more.path_prefix ?? "/safe/"}`,
+    name: `r${overrides.path_prefix ?? "/safe/"}`,
     host: ROUTE_HOST,
     path_prefix: "/safe/",
     kind: "safe",
@@ -21,18 +21,18 @@
     max_attempts: 2,
     resumable: false,
     home_regions: [],
-    ...more,
+    ...overrides,
   };
 }
 
 /** The key under which the operators' configuration stands. */
-export const CONFIG_ROW_KEY = "op/config";
+export const PLATFORM_CONFIG_KEY = "op/config";
 
 /** A workspace, less what `more` replaces. */
-export function workspaceRow(
+export function makeWorkspace(
   name: string,
   keys: readonly string[],
-  more: Record<string, unknown> = {},
+  overrides: Record<string, unknown> = {},
 ) {
   return {
     name,
@@ -42,7 +42,7 @@
     rate_per_s: 0,
     burst: 0,
     home_regions: [],
-    ...more,
+    ...overrides,
   };
 }
 
@@ -50,10 +50,10 @@
  * A configuration of one service, `s`; `service` replaces what it says of it. Without `workspaces` nobody is asked for a
  * key.
  */
-export function configRow(
+export function makeConfig(
   version: number,
   routes: readonly unknown[],
-  service: Record<string, unknown> = {},
+  serviceOverrides: Record<string, unknown> = {},
   workspaces?: readonly unknown[],
 ) {
   return {
@@ -64,7 +64,7 @@
       max_conns: 100,
       cold_s: 0,
       cold_rate_s: 0,
-      ...service,
+      ...serviceOverrides,
     }],
     limits: {
       max_header_bytes: 4_096,
@@ -77,10 +77,10 @@
 }
 
 /** An upstream's entry in the store, of the service `s` in a region's failure domain `a`, less what `more` replaces. */
-export function upstreamRow(
+export function makeUpstreamEntry(
   address: string,
   region: string,
-  more: Record<string, unknown> = {},
+  overrides: Record<string, unknown> = {},
 ) {
   return {
     service: "s",
@@ -90,6 +90,6 @@
     state: "ready",
     cold_left_ms: 0,
     seq: 1,
-    ...more,
+    ...overrides,
   };
 }
