--- a/src/standins/engine.ts
+++ b/src/standins/engine.ts
@@ -14,25 +14,25 @@
 import type { ServerResponse } from "node:http";
 import Router from "@koa/router";
 import Koa, { type Context } from "koa";
-import { FEWEST_TOKENS, nonceOf } from "./answer.ts";
+import { extractNonce, MIN_ANSWER_TOKENS } from "./answer.ts";
 import { Batch, type BatchEvent, type BatchTiming } from "./batch.ts";
 import {
+  type AnswerIdentity,
   type AnswerRequest,
   AnswerWriter,
-  type OtherRequest,
 } from "./engine_answer.ts";
-import { type EngineFault, engineFault, Faults } from "./faults.ts";
+import { type EngineFault, engineFaultSchema, Faults } from "./faults.ts";
 import {
-  controlRoutes,
-  header,
+  createControlRouter,
+  getHeader,
   listen,
   listenControl,
   type Listener,
   type ListenOptions,
   readJson,
-  refuse,
+  sendError,
 } from "./http.ts";
-import { engineOrder, FENCING_HEADER, Orders } from "./orders.ts";
+import { engineOrderSchema, FENCING_HEADER, Orders } from "./orders.ts";
 import { type RunRecord, RunRecords } from "./records.ts";
 
 /** How the engine is and what it can do. */
@@ -48,7 +48,7 @@
   readonly stepMs?: number;
 }
 
-const defaultTiming: BatchTiming = {
+const DEFAULT_TIMING: BatchTiming = {
   slots: 16,
   prefillTokensPerS: 8000,
   decodeTokensPerS: 1500,
@@ -59,10 +59,10 @@
 const DEFAULT_STEP_MS = 5;
 const DEFAULT_OUTPUT_TOKENS = 16;
 
-interface Job {
+interface EngineJob {
   readonly record: RunRecord;
   readonly writer: AnswerWriter;
-  readonly count: number;
+  readonly outputTokens: number;
 }
 
 interface Load {
@@ -78,25 +78,28 @@
   readonly #options: EngineOptions;
   readonly #batch: Batch;
   readonly #records = new RunRecords();
-  readonly #jobs = new Map<number, Job>();
-  readonly #reporter: NodeJS.Timeout | undefined;
+  readonly #jobs = new Map<number, EngineJob>();
+  readonly #loadTimer: NodeJS.Timeout | undefined;
   #listener!: Listener;
   #control!: Listener;
-  #timer: NodeJS.Timeout | undefined;
-  #reported: Load = { running: 0, waiting: 0, cacheUsage: 0 };
-  #last: OtherRequest = { requestId: "other", nonce: "other" };
+  #stepTimer: NodeJS.Timeout | undefined;
+  #reportedLoad: Load = { running: 0, waiting: 0, cacheUsage: 0 };
+  #previousRequest: AnswerIdentity = { requestId: "other", nonce: "other" };
 
   /** Use {@link openEngine}. */
   constructor(options: EngineOptions) {
     this.#options = options;
-    this.#batch = new Batch({ ...defaultTiming, ...options });
+    this.#batch = new Batch({ ...DEFAULT_TIMING, ...options });
     this.orders = new Orders(this.model, options.checksFence ?? false);
     this.faults = new Faults(
-      (input) => engineFault.parse(input),
+      (input) => engineFaultSchema.parse(input),
       () => this.#listener.setDead(this.faults.peek("dead") !== undefined),
     );
     if (options.loadLagMs) {
-      this.#reporter = setInterval(() => this.#report(), options.loadLagMs);
+      this.#loadTimer = setInterval(
+        () => this.#updateReportedLoad(),
+        options.loadLagMs,
+      );
     }
   }
 
@@ -120,9 +123,9 @@
 
   /** Listens. */
   async open(): Promise<void> {
-    const control = controlRoutes(this.faults, this.#records);
+    const control = createControlRouter(this.faults, this.#records);
     const app = new Koa();
-    app.use(this.#routes().routes());
+    app.use(this.#createRouter().routes());
     app.use(control.routes());
     this.#listener = await listen(app, this.#options);
     this.#control = await listenControl(control, this.#options);
@@ -130,20 +133,26 @@
 
   /** Closes all connections, those with answers too. */
   async close(): Promise<void> {
-    clearInterval(this.#reporter);
-    clearInterval(this.#timer);
+    clearInterval(this.#loadTimer);
+    clearInterval(this.#stepTimer);
     await this.#listener.close();
     await this.#control.close();
   }
 
-  #routes(): Router {
+  #createRouter(): Router {
     const router = new Router();
-    router.post("/v1/chat/completions", (ctx) => this.#answer(ctx, "chat"));
-    router.post("/v1/completions", (ctx) => this.#answer(ctx, "completion"));
-    router.post("/orders", (ctx) => this.#order(ctx));
+    router.post(
+      "/v1/chat/completions",
+      (ctx) => this.#handleCompletion(ctx, "chat"),
+    );
+    router.post(
+      "/v1/completions",
+      (ctx) => this.#handleCompletion(ctx, "completion"),
+    );
+    router.post("/orders", (ctx) => this.#handleOrder(ctx));
     router.get("/orders", (ctx) => void (ctx.body = this.orders.log));
     router.get("/health", (ctx) => void (ctx.body = ""));
-    router.get("/metrics", (ctx) => void (ctx.body = this.#metrics()));
+    router.get("/metrics", (ctx) => void (ctx.body = this.#formatMetrics()));
     router.get("/v1/models", (ctx) => {
       const data = this.orders.models.map((id) => ({ id, object: "model" }));
       ctx.body = { object: "list", data };
@@ -151,65 +160,89 @@
     return router;
   }
 
-  async #order(ctx: Context): Promise<void> {
-    const order = engineOrder.safeParse(await readJson(ctx.req));
-    const fence = Number(header(ctx, FENCING_HEADER) ?? 0);
-    if (!order.success) return refuse(ctx, 400, order.error.message);
-    if (!this.orders.give(order.data, fence)) {
-      return refuse(ctx, 409, "the fencing number is old");
+  async #handleOrder(ctx: Context): Promise<void> {
+    const order = engineOrderSchema.safeParse(await readJson(ctx.req));
+    const fence = Number(getHeader(ctx, FENCING_HEADER) ?? 0);
+    if (!order.success) return sendError(ctx, 400, order.error.message);
+    if (!this.orders.apply(order.data, fence)) {
+      return sendError(ctx, 409, "the fencing number is old");
     }
-    ctx.body = { models: this.orders.models, active: this.orders.active };
+    ctx.body = { models: this.orders.models, active: this.orders.isActive };
   }
 
-  async #answer(ctx: Context, kind: "chat" | "completion"): Promise<void> {
+  async #handleCompletion(
+    ctx: Context,
+    kind: "chat" | "completion",
+  ): Promise<void> {
     const body = await readJson(ctx.req);
-    const request = this.#parse(ctx, kind, body);
-    if (!request) return refuse(ctx, 400, "the body is not a valid request");
+    const request = this.#parseRequest(ctx, kind, body);
+    if (!request) return sendError(ctx, 400, "the body is not a valid request");
     const faults = this.faults.take();
     const record = this.#records.add({
       method: ctx.method,
       path: ctx.path,
       requestId: request.requestId,
-      idempotencyKey: header(ctx, "idempotency-key"),
+      idempotencyKey: getHeader(ctx, "idempotency-key"),
       nonce: request.nonce,
     });
     if (request.resumeFrom > 0) record.resumedFrom = request.resumeFrom;
-    if (!this.orders.active || faults.get("refuse")) {
+    if (!this.orders.isActive || faults.get("refuse")) {
       record.refused = true;
       ctx.set("x-ran", "no");
       ctx.set("x-request-id", request.requestId);
-      return refuse(ctx, 503, "the engine takes no requests now");
+      return sendError(ctx, 503, "the engine takes no requests now");
     }
     ctx.respond = false;
-    const writer = new AnswerWriter(request, ctx.res, faults, this.#last);
-    this.#last = request;
+    const writer = new AnswerWriter(
+      request,
+      ctx.res,
+      faults,
+      this.#previousRequest,
+    );
+    this.#previousRequest = request;
     const priority = Number((body as { priority?: unknown }).priority ?? 0);
-    const job = { record, writer, count: request.count - request.resumeFrom };
+    const job = {
+      record,
+      writer,
+      outputTokens: request.outputTokens - request.resumeFrom,
+    };
     const start = () => this.#start(job, request.prompt, priority, ctx.res);
-    const cancels = faults.get("late") === undefined;
-    ctx.res.on("close", () => this.#closed(record, ctx.res, cancels));
+    const cancelsOnClose = faults.get("late") === undefined;
+    ctx.res.on(
+      "close",
+      () => this.#handleClose(record, ctx.res, cancelsOnClose),
+    );
     setTimeout(start, faults.get("delay")?.delayMs ?? 0);
   }
 
-  #start(job: Job, prompt: string, priority: number, res: ServerResponse) {
+  #start(
+    job: EngineJob,
+    prompt: string,
+    priority: number,
+    res: ServerResponse,
+  ) {
     if (res.destroyed) return;
     const id = job.record.run;
     this.#jobs.set(id, job);
     this.#batch.submit(
-      { id, priority, prompt, outputTokens: job.count },
+      { id, priority, prompt, outputTokens: job.outputTokens },
       performance.now(),
     );
     this.#step();
-    this.#timer ??= setInterval(
+    this.#stepTimer ??= setInterval(
       () => this.#step(),
       this.#options.stepMs ?? DEFAULT_STEP_MS,
     );
   }
 
-  #closed(record: RunRecord, res: ServerResponse, cancels: boolean): void {
+  #handleClose(
+    record: RunRecord,
+    res: ServerResponse,
+    cancelsOnClose: boolean,
+  ): void {
     if (res.writableFinished) return;
     record.canceledAtMs = Date.now();
-    if (!cancels) return;
+    if (!cancelsOnClose) return;
     this.#batch.cancel(record.run);
     this.#jobs.delete(record.run);
   }
@@ -217,72 +250,78 @@
   #step(): void {
     const speed = 1 / (this.faults.peek("slow")?.factor ?? 1);
     for (const event of this.#batch.step(performance.now(), speed)) {
-      this.#take(event);
+      this.#handleEvent(event);
     }
     if (this.#batch.running + this.#batch.waiting > 0) return;
-    clearInterval(this.#timer);
-    this.#timer = undefined;
+    clearInterval(this.#stepTimer);
+    this.#stepTimer = undefined;
   }
 
-  #take(event: BatchEvent): void {
+  #handleEvent(event: BatchEvent): void {
     const job = this.#jobs.get(event.id);
     if (!job) return;
     if (event.type === "started") {
       job.record.startedAtMs = Date.now();
-      job.record.warmTokens = event.warm;
-      return job.writer.setWarm(event.warm);
+      job.record.warmTokens = event.cachedTokens;
+      return job.writer.setCachedTokens(event.cachedTokens);
     }
     job.record.tokens += event.tokens;
-    if (job.record.tokens >= job.count) {
+    if (job.record.tokens >= job.outputTokens) {
       job.record.finishedAtMs = Date.now();
       this.#jobs.delete(event.id);
     }
-    job.writer.push(event.tokens);
+    job.writer.addTokens(event.tokens);
   }
 
-  #parse(
+  #parseRequest(
     ctx: Context,
     kind: "chat" | "completion",
     input: unknown,
   ): AnswerRequest | undefined {
     if (typeof input !== "object" || input === null) return undefined;
     const body = input as Record<string, unknown>;
-    const prompt = kind === "chat" ? chatPrompt(body.messages) : body.prompt;
+    const prompt = kind === "chat" ? joinMessages(body.messages) : body.prompt;
     if (typeof prompt !== "string") return undefined;
-    const asked = Number(
+    const requestedTokens = Number(
       body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_OUTPUT_TOKENS,
     );
-    const count = Math.max(FEWEST_TOKENS, Math.floor(asked) || FEWEST_TOKENS);
-    const resume = Number(header(ctx, "last-event-id") ?? -1) + 1;
-    const usage = body.stream_options as Record<string, unknown> | undefined;
+    const outputTokens = Math.max(
+      MIN_ANSWER_TOKENS,
+      Math.floor(requestedTokens) || MIN_ANSWER_TOKENS,
+    );
+    const resumeFrom = Number(getHeader(ctx, "last-event-id") ?? -1) + 1;
+    const streamOptions = body.stream_options as
+      | Record<string, unknown>
+      | undefined;
     return {
       kind,
-      stream: body.stream === true,
-      includeUsage: usage?.include_usage === true,
-      continuousUsage: usage?.continuous_usage_stats === true,
-      requestId: header(ctx, "x-request-id") ?? `run-${Date.now()}`,
+      isStream: body.stream === true,
+      includeUsage: streamOptions?.include_usage === true,
+      includeRunningUsage: streamOptions?.continuous_usage_stats === true,
+      requestId: getHeader(ctx, "x-request-id") ?? `run-${Date.now()}`,
       model: String(body.model ?? this.model),
       prompt,
-      nonce: nonceOf(prompt),
-      count,
-      numbered: this.#options.resumes === true,
-      resumeFrom: this.#options.resumes && resume > 0 && resume < count
-        ? Math.floor(resume)
-        : 0,
+      nonce: extractNonce(prompt),
+      outputTokens,
+      hasEventIds: this.#options.resumes === true,
+      resumeFrom:
+        this.#options.resumes && resumeFrom > 0 && resumeFrom < outputTokens
+          ? Math.floor(resumeFrom)
+          : 0,
     };
   }
 
-  #report(): void {
-    this.#reported = {
+  #updateReportedLoad(): void {
+    this.#reportedLoad = {
       running: this.#batch.running,
       waiting: this.#batch.waiting,
       cacheUsage: this.#batch.cacheUsage,
     };
   }
 
-  #metrics(): string {
-    if (!this.#options.loadLagMs) this.#report();
-    const load = { ...this.#reported, ...this.faults.peek("lyingLoad") };
+  #formatMetrics(): string {
+    if (!this.#options.loadLagMs) this.#updateReportedLoad();
+    const load = { ...this.#reportedLoad, ...this.faults.peek("lyingLoad") };
     const labels = `{model_name="${this.model}"}`;
     return [
       "# TYPE vllm:num_requests_running gauge",
@@ -297,7 +336,7 @@
 }
 
 /** The text of chat messages, one a line; their parts of type `text` count. */
-function chatPrompt(messages: unknown): string | undefined {
+function joinMessages(messages: unknown): string | undefined {
   if (!Array.isArray(messages)) return undefined;
   return messages.map((message) => {
     const content = message?.content;
--- a/src/standins/engine_answer.ts
+++ b/src/standins/engine_answer.ts
@@ -5,92 +5,94 @@
  */
 
 import type { ServerResponse } from "node:http";
-import { tokenAt, tokensOf } from "./answer.ts";
+import { estimateTokens, formatToken } from "./answer.ts";
 import type { EngineFault } from "./faults.ts";
 import type { FaultSet } from "./faults.ts";
 
 /** What the answer is made from. */
 export interface AnswerRequest {
   readonly kind: "chat" | "completion";
-  readonly stream: boolean;
+  readonly isStream: boolean;
   /** Whether the last event carries the usage. */
   readonly includeUsage: boolean;
   /** Whether every event carries the usage so far, as vLLM's `continuous_usage_stats` asks. */
-  readonly continuousUsage: boolean;
+  readonly includeRunningUsage: boolean;
   readonly requestId: string;
   readonly model: string;
   readonly prompt: string;
   readonly nonce: string;
   /** Tokens of the whole answer, those before a resume counted. */
-  readonly count: number;
+  readonly outputTokens: number;
   readonly resumeFrom: number;
   /** Whether each event carries its place in the answer as its `id`. */
-  readonly numbered: boolean;
+  readonly hasEventIds: boolean;
 }
 
 /** Another request, whose answer a crossed one carries. */
-export type OtherRequest = Pick<AnswerRequest, "requestId" | "nonce">;
+export type AnswerIdentity = Pick<AnswerRequest, "requestId" | "nonce">;
 
 /** Writes one answer. */
 export class AnswerWriter {
   readonly #request: AnswerRequest;
   readonly #res: ServerResponse;
   readonly #faults: FaultSet<EngineFault>;
-  readonly #other: OtherRequest;
+  readonly #other: AnswerIdentity;
   readonly #created = Math.floor(Date.now() / 1000);
-  #ready: number;
-  #place: number;
+  #generated: number;
+  #eventId: number;
   #sent: number;
   #text = "";
-  #held = false;
-  #stalled = false;
-  #warm = 0;
+  #isPaused = false;
+  #hasPaused = false;
+  #cachedTokens = 0;
 
   /** `other` is whose answer is sent if the request is struck by the fault `crossed`. */
   constructor(
     request: AnswerRequest,
     res: ServerResponse,
     faults: FaultSet<EngineFault>,
-    other: OtherRequest,
+    other: AnswerIdentity,
   ) {
     this.#request = request;
     this.#res = res;
     this.#faults = faults;
     this.#other = other;
-    this.#ready = this.#sent = this.#place = request.resumeFrom;
+    this.#generated = this.#sent = this.#eventId = request.resumeFrom;
   }
 
   /** Prompt tokens that were warm, for the usage. */
-  setWarm(tokens: number): void {
-    this.#warm = tokens;
+  setCachedTokens(tokens: number): void {
+    this.#cachedTokens = tokens;
   }
 
   /** More tokens were generated. */
-  push(tokens: number): void {
-    this.#ready += tokens;
-    this.#pump();
+  addTokens(tokens: number): void {
+    this.#generated += tokens;
+    this.#writeReady();
   }
 
-  #pump(): void {
-    if (this.#held || this.#res.destroyed) return;
-    if (!this.#res.headersSent && this.#request.stream) this.#openStream();
-    if (this.#holdsForLate()) return;
+  #writeReady(): void {
+    if (this.#isPaused || this.#res.destroyed) return;
+    if (!this.#res.headersSent && this.#request.isStream) this.#openStream();
+    if (this.#pauseForLate()) return;
     let out = "";
-    while (this.#sent < this.#ready) {
-      if (this.#strikes("cut")) return this.#cut(out);
-      if (this.#strikes("truncate")) return void this.#res.end(out);
-      if (this.#holdsForStall()) break;
-      out += this.#tokenEvent();
+    while (this.#sent < this.#generated) {
+      if (this.#isCutPoint("cut")) return this.#breakConnection(out);
+      if (this.#isCutPoint("truncate")) return void this.#res.end(out);
+      if (this.#pauseForStall()) break;
+      out += this.#nextTokenEvent();
       this.#sent++;
     }
-    if (this.#sent < this.#request.count) return this.#write(out);
+    if (this.#sent < this.#request.outputTokens) return this.#write(out);
     this.#res.end(
-      this.#request.stream ? out + this.#lastEvents() : this.#json(),
+      this.#request.isStream
+        ? out + this.#formatLastEvents()
+        : this.#writeJsonHead(),
     );
   }
 
   #write(out: string): void {
-    if (out !== "" && this.#request.stream) this.#res.write(out);
+    if (out !== "" && this.#request.isStream) this.#res.write(out);
   }
 
   #openStream(): void {
@@ -104,66 +106,66 @@
   #headers(): Record<string, string> {
     const { resumeFrom } = this.#request;
     return {
-      "x-request-id": this.#as(0).requestId,
+      "x-request-id": this.#identityAt(0).requestId,
       ...(resumeFrom > 0 ? { "x-resumed-from": String(resumeFrom) } : {}),
     };
   }
 
   /** Whose answer token `index` belongs to. */
-  #as(index: number): OtherRequest {
+  #identityAt(index: number): AnswerIdentity {
     const crossed = this.#faults.get("crossed");
     return crossed && index >= (crossed.afterTokens ?? 0)
       ? this.#other
       : this.#request;
   }
 
-  #strikes(type: "cut" | "truncate"): boolean {
+  #isCutPoint(type: "cut" | "truncate"): boolean {
     return this.#faults.get(type)?.afterTokens === this.#sent;
   }
 
-  #cut(out: string): void {
+  #breakConnection(out: string): void {
     const destroy = () => this.#res.socket?.resetAndDestroy();
-    if (out === "" || !this.#request.stream) return void destroy();
+    if (out === "" || !this.#request.isStream) return void destroy();
     // A reset would throw away what was written before it.
     this.#res.write(out, () => setTimeout(() => this.#res.destroy(), 5));
-    this.#held = true;
+    this.#isPaused = true;
   }
 
-  #holdsForStall(): boolean {
+  #pauseForStall(): boolean {
     const stall = this.#faults.get("stall");
-    if (!stall || this.#stalled || stall.afterTokens !== this.#sent) {
+    if (!stall || this.#hasPaused || stall.afterTokens !== this.#sent) {
       return false;
     }
-    this.#stalled = true;
-    this.#hold(stall.stallMs);
+    this.#hasPaused = true;
+    this.#pause(stall.stallMs);
     return true;
   }
 
-  #holdsForLate(): boolean {
+  #pauseForLate(): boolean {
     const late = this.#faults.get("late");
-    if (!late || this.#stalled) return false;
-    if (this.#ready < this.#request.count) return true;
-    this.#stalled = true;
-    this.#hold(late.delayMs);
+    if (!late || this.#hasPaused) return false;
+    if (this.#generated < this.#request.outputTokens) return true;
+    this.#hasPaused = true;
+    this.#pause(late.delayMs);
     return true;
   }
 
-  #hold(holdMs: number): void {
-    this.#held = true;
+  #pause(pauseMs: number): void {
+    this.#isPaused = true;
     const timer = setTimeout(() => {
-      this.#held = false;
-      this.#pump();
-    }, holdMs);
+      this.#isPaused = false;
+      this.#writeReady();
+    }, pauseMs);
     // A timer that outlives its answer keeps the process from ending.
     this.#res.once("close", () => clearTimeout(timer));
   }
 
-  #tokenEvent(): string {
-    const { kind, stream, count } = this.#request;
-    const as = this.#as(this.#sent);
-    const token = tokenAt(as.nonce, this.#sent, count);
+  #nextTokenEvent(): string {
+    const { kind, isStream, outputTokens } = this.#request;
+    const identity = this.#identityAt(this.#sent);
+    const token = formatToken(identity.nonce, this.#sent, outputTokens);
     this.#text += token;
-    if (!stream) return "";
+    if (!isStream) return "";
     const delta = kind === "chat"
       ? {
         delta: this.#sent === this.#request.resumeFrom
@@ -171,69 +173,71 @@
           : { content: token },
       }
       : { text: token };
-    const event = this.#event(
+    const event = this.#formatEvent(
       [{ index: 0, ...delta, logprobs: null, finish_reason: null }],
-      this.#request.continuousUsage ? this.#usage(this.#sent + 1) : undefined,
+      this.#request.includeRunningUsage
+        ? this.#usageFields(this.#sent + 1)
+        : undefined,
     );
-    this.#place++;
+    this.#eventId++;
     return this.#faults.get("duplicate") ? event + event : event;
   }
 
-  #lastEvents(): string {
+  #formatLastEvents(): string {
     const end = this.#request.kind === "chat" ? { delta: {} } : { text: "" };
-    const usage = this.#usage(this.#sent);
-    let out = this.#event(
+    const usage = this.#usageFields(this.#sent);
+    let out = this.#formatEvent(
       [{ index: 0, ...end, logprobs: null, finish_reason: "stop" }],
-      this.#request.continuousUsage ? usage : undefined,
+      this.#request.includeRunningUsage ? usage : undefined,
     );
-    this.#place++;
-    if (this.#request.includeUsage) out += this.#event([], usage);
+    this.#eventId++;
+    if (this.#request.includeUsage) out += this.#formatEvent([], usage);
     return `${out}data: [DONE]\n\n`;
   }
 
-  #event(choices: readonly unknown[], usage?: unknown): string {
+  #formatEvent(choices: readonly unknown[], usage?: unknown): string {
     const object = this.#request.kind === "chat"
       ? "chat.completion.chunk"
       : "text_completion";
-    const body = { ...this.#head(object), choices, usage };
-    const place = this.#request.numbered ? `id: ${this.#place}\n` : "";
-    return `${place}data: ${JSON.stringify(body)}\n\n`;
+    const body = { ...this.#commonFields(object), choices, usage };
+    const idLine = this.#request.hasEventIds ? `id: ${this.#eventId}\n` : "";
+    return `${idLine}data: ${JSON.stringify(body)}\n\n`;
   }
 
-  #head(object: string): Record<string, unknown> {
+  #commonFields(object: string): Record<string, unknown> {
     const prefix = this.#request.kind === "chat" ? "chatcmpl" : "cmpl";
     return {
-      id: `${prefix}-${this.#as(this.#sent).requestId}`,
+      id: `${prefix}-${this.#identityAt(this.#sent).requestId}`,
       object,
       created: this.#created,
       model: this.#request.model,
     };
   }
 
-  #usage(completion: number): Record<string, unknown> {
-    const prompt = tokensOf(this.#request.prompt);
+  #usageFields(completionTokens: number): Record<string, unknown> {
+    const promptTokens = estimateTokens(this.#request.prompt);
     return {
-      prompt_tokens: prompt,
-      completion_tokens: completion,
-      total_tokens: prompt + completion,
-      prompt_tokens_details: { cached_tokens: this.#warm },
+      prompt_tokens: promptTokens,
+      completion_tokens: completionTokens,
+      total_tokens: promptTokens + completionTokens,
+      prompt_tokens_details: { cached_tokens: this.#cachedTokens },
     };
   }
 
-  #json(): string {
+  #writeJsonHead(): string {
     const isChat = this.#request.kind === "chat";
     const content = isChat
       ? { message: { role: "assistant", content: this.#text } }
       : { text: this.#text };
     const body = JSON.stringify({
-      ...this.#head(isChat ? "chat.completion" : "text_completion"),
+      ...this.#commonFields(isChat ? "chat.completion" : "text_completion"),
       choices: [{
         index: 0,
         ...content,
         logprobs: null,
         finish_reason: "stop",
       }],
-      usage: this.#usage(this.#sent),
+      usage: this.#usageFields(this.#sent),
     });
     this.#res.writeHead(200, {
       "content-type": "application/json",
--- a/src/standins/engine_test.ts
+++ b/src/standins/engine_test.ts
@@ -3,43 +3,43 @@
 import OpenAI from "openai";
 import { describe, it } from "../base/describe.ts";
 import {
-  answerText,
   checkAnswer,
   type Engine,
   type EngineOptions,
+  formatAnswer,
   openEngine,
 } from "./mod.ts";
 
-const fast: EngineOptions = {
+const FAST: EngineOptions = {
   prefillTokensPerS: 1e6,
   decodeTokensPerS: 1e5,
   streamTokensPerS: 5000,
   stepMs: 2,
 };
 
-interface Called {
+interface StreamedAnswer {
   readonly text: string;
-  readonly done: boolean;
-  readonly broken: boolean;
+  readonly isDone: boolean;
+  readonly isBroken: boolean;
   readonly ids: readonly string[];
   readonly headers: Record<string, string | string[] | undefined>;
 }
 
-function body(nonce: string, tokens: number, more: object = {}) {
+function chatRequest(nonce: string, tokens: number, overrides: object = {}) {
   return {
     model: "standin",
     messages: [{ role: "user", content: `nonce:${nonce}` }],
     max_tokens: tokens,
-    ...more,
+    ...overrides,
   };
 }
 
 /** Streams one answer and keeps what a caller saw of it. */
-async function call(
+async function streamAnswer(
   engine: Engine,
   json: object,
   headers: Record<string, string> = {},
-): Promise<Called> {
+): Promise<StreamedAnswer> {
   const stream = got.stream.post(`${engine.url}/v1/chat/completions`, {
     json: { ...json, stream: true },
     headers,
@@ -47,13 +47,13 @@
     throwHttpErrors: false,
   });
   let raw = "";
-  let broken = false;
+  let isBroken = false;
   let responseHeaders = {};
   stream.on("response", (response) => responseHeaders = response.headers);
   try {
     for await (const chunk of stream) raw += chunk;
   } catch {
-    broken = true;
+    isBroken = true;
   }
   const data = raw.split("\n").filter((line) => line.startsWith("data: "))
     .map((line) => line.slice(6));
@@ -61,8 +61,8 @@
     .map((line) => JSON.parse(line));
   return {
     text: events.map((e) => e.choices[0]?.delta.content ?? "").join(""),
-    done: data.includes("[DONE]"),
-    broken,
+    isDone: data.includes("[DONE]"),
+    isBroken,
     ids: events.map((e) => e.id),
     headers: responseHeaders,
   };
@@ -70,7 +70,7 @@
 
 describe("a stand-in engine", () => {
   it("a stock client gets its own answer, streamed and whole", async (t) => {
-    const engine = await openEngine(fast);
+    const engine = await openEngine(FAST);
     const client = new OpenAI({ baseURL: `${engine.url}/v1`, apiKey: "none" });
     const whole = await client.chat.completions.create({
       model: "standin",
@@ -158,15 +158,17 @@
 
   for (const { name, fault, check, done, broken } of faultCases) {
     it(`fault ${name}`, async (t) => {
-      const engine = await openEngine(fast);
+      const engine = await openEngine(FAST);
       engine.faults.add({ ...fault, times: 1 });
-      const struck = await call(engine, body("f1", 20), {
+      const faulty = await streamAnswer(engine, chatRequest("f1", 20), {
         "x-request-id": "r1",
       });
-      t.is(checkAnswer(struck.text, "f1"), check);
-      t.is(struck.done, done);
-      t.is(struck.broken, broken);
-      const next = await call(engine, body("f2", 20), { "x-request-id": "r2" });
+      t.is(checkAnswer(faulty.text, "f1"), check);
+      t.is(faulty.isDone, done);
+      t.is(faulty.isBroken, broken);
+      const next = await streamAnswer(engine, chatRequest("f2", 20), {
+        "x-request-id": "r2",
+      });
       t.is(checkAnswer(next.text, "f2"), "complete");
       t.is(next.headers["x-request-id"], "r2");
       t.true(next.ids.every((id) => id === "chatcmpl-r2"));
@@ -175,30 +177,32 @@
   }
 
   it("a broken stream is continued where the engine resumes", async (t) => {
-    const engine = await openEngine({ ...fast, resumes: true });
+    const engine = await openEngine({ ...FAST, resumes: true });
     engine.faults.add({ type: "cut", afterTokens: 7, times: 1 });
-    const first = await call(engine, body("r", 20));
-    const rest = await call(engine, body("r", 20), { "last-event-id": "6" });
+    const first = await streamAnswer(engine, chatRequest("r", 20));
+    const rest = await streamAnswer(engine, chatRequest("r", 20), {
+      "last-event-id": "6",
+    });
     t.is(rest.headers["x-resumed-from"], "7");
-    t.is(first.text + rest.text, answerText("r", 20));
+    t.is(first.text + rest.text, formatAnswer("r", 20));
     t.deepEqual(engine.records().map((r) => r.resumedFrom), [undefined, 7]);
     await engine.close();
   });
 
   it("a closed connection cancels the request and frees its slot", async (t) => {
     const engine = await openEngine({
-      ...fast,
+      ...FAST,
       slots: 1,
       streamTokensPerS: 200,
     });
     const stream = got.stream.post(`${engine.url}/v1/chat/completions`, {
-      json: body("gone", 100_000, { stream: true }),
+      json: chatRequest("gone", 100_000, { stream: true }),
       retry: { limit: 0 },
     });
     await once(stream, "data");
     stream.on("error", () => {});
     stream.destroy();
-    const next = await call(engine, body("next", 5));
+    const next = await streamAnswer(engine, chatRequest("next", 5));
     t.is(checkAnswer(next.text, "next"), "complete");
     const [gone] = engine.records();
     t.truthy(gone.canceledAtMs);
@@ -207,17 +211,17 @@
   });
 
   it("refusals say that nothing ran, and faults are set over HTTP", async (t) => {
-    const engine = await openEngine(fast);
+    const engine = await openEngine(FAST);
     const post = (path: string, json: object) =>
       got.post(`${engine.controlUrl}${path}`, { json });
     await post("/faults", { set: [{ type: "refuse", times: 1 }] });
-    const refused = await call(engine, body("x", 5));
+    const refused = await streamAnswer(engine, chatRequest("x", 5));
     t.is(refused.headers["x-ran"], "no");
     t.is(engine.records()[0].startedAtMs, undefined);
     await post("/faults", { set: [{ type: "dead" }] });
-    t.true((await call(engine, body("y", 5))).broken);
+    t.true((await streamAnswer(engine, chatRequest("y", 5))).isBroken);
     await post("/faults", { clear: true });
-    t.true((await call(engine, body("z", 5))).done);
+    t.true((await streamAnswer(engine, chatRequest("z", 5))).isDone);
     const bad = await got.post(`${engine.controlUrl}/faults`, {
       json: { add: { type: "nonsense" } },
       throwHttpErrors: false,
@@ -228,11 +232,14 @@
 
   it("load is read from the metrics page, late or false on request", async (t) => {
     const engine = await openEngine({
-      ...fast,
+      ...FAST,
       slots: 1,
       streamTokensPerS: 50,
     });
-    const calls = [call(engine, body("a", 30)), call(engine, body("b", 3))];
+    const calls = [
+      streamAnswer(engine, chatRequest("a", 30)),
+      streamAnswer(engine, chatRequest("b", 3)),
+    ];
     while (engine.records().length < 2) await new Promise(setImmediate);
     await new Promise((resolve) => setTimeout(resolve, 10));
     const page = await got(`${engine.url}/metrics`).text();
@@ -247,7 +254,7 @@
 
   it("orders with an old fencing number are refused where checked", async (t) => {
     for (const checksFence of [true, false]) {
-      const engine = await openEngine({ ...fast, checksFence });
+      const engine = await openEngine({ ...FAST, checksFence });
       const order = async (want: string, fence: number) => {
         const answer = await got.post(`${engine.url}/orders`, {
           json: { want },
@@ -257,9 +264,12 @@
         return answer.statusCode;
       };
       t.is(await order("parked", 2), 200);
-      t.is((await call(engine, body("p", 5))).headers["x-ran"], "no");
+      t.is(
+        (await streamAnswer(engine, chatRequest("p", 5))).headers["x-ran"],
+        "no",
+      );
       t.is(await order("active", 1), checksFence ? 409 : 200);
-      t.is(engine.orders.active, !checksFence);
+      t.is(engine.orders.isActive, !checksFence);
       await engine.close();
     }
   });
--- a/src/standins/faults.ts
+++ b/src/standins/faults.ts
@@ -12,7 +12,7 @@
 const tokens = z.number().int().min(0);
 
 /** Faults of a stand-in engine; see docs/TRACE.md for what each does. */
-export const engineFault = z.discriminatedUnion("type", [
+export const engineFaultSchema = z.discriminatedUnion("type", [
   z.strictObject({ type: z.literal("cut"), afterTokens: tokens, times }),
   z.strictObject({ type: z.literal("truncate"), afterTokens: tokens, times }),
   z.strictObject({ type: z.literal("delay"), delayMs: ms, times }),
@@ -40,7 +40,7 @@
 ]);
 
 /** Faults of a stand-in plain service. */
-export const plainFault = z.discriminatedUnion("type", [
+export const plainFaultSchema = z.discriminatedUnion("type", [
   z.strictObject({ type: z.literal("cutAfterRun"), times }),
   z.strictObject({ type: z.literal("cutBeforeRun"), times }),
   z.strictObject({ type: z.literal("failAfterRun"), times }),
@@ -51,20 +51,20 @@
 ]);
 
 /** One fault of a stand-in engine. */
-export type EngineFault = z.input<typeof engineFault>;
+export type EngineFault = z.input<typeof engineFaultSchema>;
 /** One fault of a stand-in plain service. */
-export type PlainFault = z.input<typeof plainFault>;
+export type PlainFault = z.input<typeof plainFaultSchema>;
 
-interface Striking<F> {
+interface ActiveFault<F> {
   readonly fault: F;
-  left: number;
+  requestsLeft: number;
 }
 
 /** The faults in force. A fault with `times` is used up by the requests that take it. */
 export class Faults<F extends { readonly type: string; times?: number }> {
   readonly #parse: (input: unknown) => F;
   readonly #onChange: () => void;
-  #striking: Striking<F>[] = [];
+  #active: ActiveFault<F>[] = [];
 
   /** `parse` checks a fault; `onChange` is told of each change of the set. */
   constructor(parse: (input: unknown) => F, onChange: () => void) {
@@ -74,9 +74,9 @@
 
   /** Puts these in place of all others. */
   set(faults: readonly unknown[]): void {
-    this.#striking = faults.map((input) => {
+    this.#active = faults.map((input) => {
       const fault = this.#parse(input);
-      return { fault, left: fault.times ?? Infinity };
+      return { fault, requestsLeft: fault.times ?? Infinity };
     });
     this.#onChange();
   }
@@ -84,7 +84,7 @@
   /** Adds one to those in force. */
   add(input: unknown): void {
     const fault = this.#parse(input);
-    this.#striking.push({ fault, left: fault.times ?? Infinity });
+    this.#active.push({ fault, requestsLeft: fault.times ?? Infinity });
     this.#onChange();
   }
 
@@ -95,21 +95,21 @@
 
   /** The fault of this type, if it is in force; uses nothing up. */
   peek<T extends F["type"]>(type: T): Extract<F, { type: T }> | undefined {
-    const found = this.#striking.find((s) => s.fault.type === type);
+    const found = this.#active.find((s) => s.fault.type === type);
     return found?.fault as Extract<F, { type: T }> | undefined;
   }
 
   /** The faults that strike a request which arrives now. */
   take(): FaultSet<F> {
-    const taken = this.#striking.map((s) => s.fault);
-    for (const striking of this.#striking) striking.left--;
-    this.#striking = this.#striking.filter((s) => s.left > 0);
+    const taken = this.#active.map((s) => s.fault);
+    for (const active of this.#active) active.requestsLeft--;
+    this.#active = this.#active.filter((s) => s.requestsLeft > 0);
     return new FaultSet(taken);
   }
 
   /** All faults in force. */
   list(): readonly F[] {
-    return this.#striking.map((s) => s.fault);
+    return this.#active.map((s) => s.fault);
   }
 }
 
--- a/src/standins/http.ts
+++ b/src/standins/http.ts
@@ -12,7 +12,7 @@
 import type { Faults } from "./faults.ts";
 import type { RunRecords } from "./records.ts";
 
-const MOST_BODY_BYTES = 64 * 1024 * 1024;
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
 /** Where a stand-in listens. */
 export interface ListenOptions {
@@ -54,11 +54,14 @@
       dead = value;
       if (dead) { for (const socket of sockets) socket.resetAndDestroy(); }
     },
-    close: () => shut(server, sockets),
+    close: () => closeServer(server, sockets),
   };
 }
 
-async function shut(server: Server, sockets: Set<Socket>): Promise<void> {
+async function closeServer(
+  server: Server,
+  sockets: Set<Socket>,
+): Promise<void> {
   const closed = once(server, "close");
   server.close();
   for (const socket of sockets) socket.destroy();
@@ -69,7 +72,7 @@
  * The control routes: `GET /records`, `DELETE /records`, `GET /faults`, and `POST /faults` with `{"set": [...]}`,
  * `{"add": {...}}` or `{"clear": true}`.
  */
-export function controlRoutes(
+export function createControlRouter(
   // deno-lint-ignore no-explicit-any
   faults: Faults<any>,
   records: RunRecords,
@@ -94,7 +97,7 @@
       else throw new Error("one of set, add and clear is needed");
       ctx.body = faults.list();
     } catch (error) {
-      refuse(ctx, 400, String(error));
+      sendError(ctx, 400, String(error));
     }
   });
   return router;
@@ -116,7 +119,7 @@
   let bytes = 0;
   for await (const chunk of req) {
     bytes += chunk.length;
-    if (bytes > MOST_BODY_BYTES) throw new Error("body too large");
+    if (bytes > MAX_BODY_BYTES) throw new Error("body too large");
     chunks.push(chunk);
   }
   return Buffer.concat(chunks);
@@ -132,13 +135,13 @@
 }
 
 /** The value of a header that is sent once. */
-export function header(ctx: Context, name: string): string | undefined {
+export function getHeader(ctx: Context, name: string): string | undefined {
   const value = ctx.req.headers[name];
   return typeof value === "string" ? value : undefined;
 }
 
 /** Answers with an error in the OpenAI shape. */
-export function refuse(ctx: Context, status: number, message: string): void {
+export function sendError(ctx: Context, status: number, message: string): void {
   ctx.status = status;
   ctx.body = { error: { message, type: "error", param: null, code: status } };
 }
--- a/src/standins/key_value_contract_test.ts
+++ b/src/standins/key_value_contract_test.ts
@@ -13,7 +13,7 @@
 import type { PlatformStore } from "./platform_store.ts";
 
 /** One subject of the contract: two VMs' connections to one store. */
-interface Subject {
+interface StoreUnderTest {
   readonly a: KeyValue;
   readonly b: KeyValue;
   readonly store: PlatformStore;
@@ -21,7 +21,7 @@
   close(): Promise<void>;
 }
 
-const subjects: Record<string, () => Promise<Subject>> = {
+const STORES: Record<string, () => Promise<StoreUnderTest>> = {
   memory: () => {
     const a = new MemoryKeyValue({ vmId: "a" });
     const { store, faults } = a;
@@ -46,8 +46,8 @@
   },
   platform: async () => {
     const server = new KvServer();
-    const a = new PlatformKeyValue(await server.addressFor("a"));
-    const b = new PlatformKeyValue(await server.addressFor("b"));
+    const a = new PlatformKeyValue(await server.openAddressFor("a"));
+    const b = new PlatformKeyValue(await server.openAddressFor("b"));
     const close = async () => {
       await a.close();
       await b.close();
@@ -57,9 +57,9 @@
   },
 };
 
-const contract: Record<
+const CONTRACT: Record<
   string,
-  (t: ExecutionContext, subject: Subject) => Promise<void>
+  (t: ExecutionContext, stores: StoreUnderTest) => Promise<void>
 > = {
   "a value is read back with its revision": async (t, { a, b }) => {
     t.is((await a.get("k", "other"))._unsafeUnwrap(), undefined);
@@ -119,7 +119,7 @@
     await a.put("other", "1", {}, "other");
     await a.put("w/2", "2", {}, "other");
     await a.transact([{ type: "delete", key: "w/1" }], "other");
-    await until(() => events.length >= 3);
+    await waitUntil(() => events.length >= 3);
     watch.close();
     t.deepEqual(
       events.map((e) =>
@@ -133,7 +133,7 @@
     store.compact(store.rev);
     const events: WatchEvent[] = [];
     a.watch("w/", 1, (event) => events.push(event), "other");
-    await until(() => events.length > 0);
+    await waitUntil(() => events.length > 0);
     t.is(events[0].type, "lost");
   },
   "keys go with their lease": async (t, { a }) => {
@@ -150,7 +150,7 @@
   "a lease that is not kept alive lapses": async (t, { a }) => {
     const leaseId = (await a.grant(1000, "other"))._unsafeUnwrap();
     await a.put("l", "1", { leaseId }, "other");
-    await until(async () =>
+    await waitUntil(async () =>
       (await a.get("l", "other"))._unsafeUnwrap() === undefined
     );
     t.pass();
@@ -178,9 +178,9 @@
     const events: WatchEvent[] = [];
     a.watch("w/", 1, (event) => events.push(event), "other");
     await b.put("w/1", "1", {}, "other");
-    await until(() => events.length === 1);
+    await waitUntil(() => events.length === 1);
     faults.set([{ vm: "^a$", outage: "cut" }]);
-    await until(() => events.length === 2);
+    await waitUntil(() => events.length === 2);
     t.is(events[1].type, "lost");
     t.is((await a.get("k", "other"))._unsafeUnwrapErr().kind, "lost");
     t.true((await b.put("w/2", "1", {}, "other")).isOk());
@@ -202,9 +202,9 @@
   },
 };
 
-for (const [subject, open] of Object.entries(subjects)) {
-  describe(`key-value contract of ${subject}`, () => {
-    for (const [title, check] of Object.entries(contract)) {
+for (const [name, open] of Object.entries(STORES)) {
+  describe(`key-value contract of ${name}`, () => {
+    for (const [title, check] of Object.entries(CONTRACT)) {
       it(title, async (t) => {
         const opened = await open();
         t.teardown(() => opened.close());
@@ -243,11 +243,11 @@
 });
 
 // A hang guard only: no verdict depends on how long it takes.
-async function until(
-  done: () => boolean | Promise<boolean>,
+async function waitUntil(
+  isDone: () => boolean | Promise<boolean>,
 ): Promise<void> {
   for (let i = 0; i < 2000; i++) {
-    if (await done()) return;
+    if (await isDone()) return;
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
   throw new Error("waited in vain");
--- a/src/standins/kv_server.ts
+++ b/src/standins/kv_server.ts
@@ -22,7 +22,7 @@
 
 /** Items of one page; small, so that tests meet several. */
 const PAGE_ITEMS = 50;
-const MOST_TXN_ENTRIES = 32;
+const MAX_TXN_ENTRIES = 32;
 
 /** Settings of the stand-in. */
 export interface KvServerOptions {
@@ -30,7 +30,7 @@
   readonly readsPerS?: number;
 }
 
-function itemOf({ key, value, rev, leaseId }: StoredEntry) {
+function formatItem({ key, value, rev, leaseId }: StoredEntry) {
   return {
     key,
     value: Buffer.from(value, "utf8").toString("base64"),
@@ -40,9 +40,9 @@
   };
 }
 
-function eventOf(change: StoreChange) {
+function formatEvent(change: StoreChange) {
   return change.type === "put"
-    ? itemOf(change.entry)
+    ? formatItem(change.entry)
     : { key: change.key, revision: change.rev, deleted: true };
 }
 
@@ -77,9 +77,9 @@
   }
 
   /** Opens the address that a VM calls; `IP:PORT`. */
-  async addressFor(vmId: string): Promise<string> {
+  async openAddressFor(vmId: string): Promise<string> {
     const server = createServer((request, response) =>
-      void this.#answer(vmId, request, response)
+      void this.#handleRequest(vmId, request, response)
     );
     server.listen(0, "127.0.0.1");
     await once(server, "listening");
@@ -106,7 +106,7 @@
     }
   }
 
-  async #answer(
+  async #handleRequest(
     vmId: string,
     request: IncomingMessage,
     response: ServerResponse,
@@ -128,15 +128,19 @@
     };
     if (outage === "refuse") return send(503);
     if (body === undefined) return send(400);
-    if (!(isWrite ? this.#writes : this.#reads).take()) return send(429);
+    if (!(isWrite ? this.#writes : this.#reads).tryTake()) return send(429);
     if (url.pathname === "/api/kv-watch") {
       return this.#watch(vmId, url, request, send);
     }
-    const [status, value] = this.#call(request.method ?? "GET", url, body);
+    const [status, value] = this.#handleCall(
+      request.method ?? "GET",
+      url,
+      body,
+    );
     send(status, value);
   }
 
-  #call(
+  #handleCall(
     method: string,
     url: URL,
     body: Record<string, unknown>,
@@ -146,10 +150,12 @@
     if (pathname === "/api/kv-key") {
       const entry = this.store.get(searchParams.get("key") ?? "");
       return entry
-        ? [200, { ...itemOf(entry), current_rev: this.store.rev }]
+        ? [200, { ...formatItem(entry), current_rev: this.store.rev }]
         : [404, {}];
     }
-    if (pathname === "/api/kv-range") return [200, this.#page(searchParams)];
+    if (pathname === "/api/kv-range") {
+      return [200, this.#listPage(searchParams)];
+    }
     if (pathname === "/api/kv-txn") return this.#transact(body as Transaction);
     if (pathname === "/api/kv-lease") {
       return [200, {
@@ -166,7 +172,7 @@
     return [404, {}];
   }
 
-  #page(query: URLSearchParams) {
+  #listPage(query: URLSearchParams) {
     const prefix = query.get("path_prefix") ?? "";
     const after = query.get("after");
     const from = after === null ? prefix : `${after}\0`;
@@ -176,7 +182,7 @@
       PAGE_ITEMS,
     );
     return {
-      items: entries.map(itemOf),
+      items: entries.map(formatItem),
       more_pages: more,
       current_rev: this.store.rev,
     };
@@ -186,7 +192,7 @@
     { precondition = [], writes = [], remove = [] }: Transaction,
   ): [number, unknown] {
     if (
-      precondition.length + writes.length + remove.length > MOST_TXN_ENTRIES
+      precondition.length + writes.length + remove.length > MAX_TXN_ENTRIES
     ) return [400, {}];
     const result = this.store.transact(
       precondition.map(({ key, revision }) => ({ key, rev: revision })),
@@ -204,7 +210,7 @@
     if (result.type === "leaseGone") return [404, {}];
     if (result.type === "tooLarge") return [413, {}];
     const items = precondition.map(({ key }) => this.store.get(key))
-      .filter((entry) => entry !== undefined).map(itemOf);
+      .filter((entry) => entry !== undefined).map(formatItem);
     return [412, { items }];
   }
 
@@ -218,38 +224,41 @@
     const prefix = searchParams.get("path_prefix") ?? "";
     const after = Number(searchParams.get("after"));
     let changes: StoreChange[] = [];
-    let over = false;
-    let stop = () => {};
-    const finish = (run: () => void) => {
-      if (over) return;
-      over = true;
+    let isDone = false;
+    let stopWatch = () => {};
+    const finishOnce = (respond: () => void) => {
+      if (isDone) return;
+      isDone = true;
       clearTimeout(timer);
-      request.socket.off("close", left);
-      stop();
-      stopFaults();
-      run();
+      request.socket.off("close", cancelWatch);
+      stopWatch();
+      stopFaultListener();
+      respond();
     };
-    const left = () => finish(() => {});
-    const answer = () =>
-      finish(() =>
-        send(200, { events: changes.map(eventOf), current_rev: this.store.rev })
+    const cancelWatch = () => finishOnce(() => {});
+    const sendChanges = () =>
+      finishOnce(() =>
+        send(200, {
+          events: changes.map(formatEvent),
+          current_rev: this.store.rev,
+        })
       );
-    const timer = setTimeout(answer, Number(searchParams.get("wait_ms")));
-    const stopFaults = this.faults.onChange(() => {
-      if (this.faults.isOut(vmId, prefix)) {
-        finish(() => void request.socket.resetAndDestroy());
+    const timer = setTimeout(sendChanges, Number(searchParams.get("wait_ms")));
+    const stopFaultListener = this.faults.onChange(() => {
+      if (this.faults.isCutOff(vmId, prefix)) {
+        finishOnce(() => void request.socket.resetAndDestroy());
       }
     });
-    request.socket.once("close", left);
-    stop = this.store.watch(
+    request.socket.once("close", cancelWatch);
+    stopWatch = this.store.watch(
       prefix,
       after + 1,
       (change) => {
         changes = [...changes, change];
-        setImmediate(answer);
+        setImmediate(sendChanges);
       },
-      () => finish(() => send(410)),
+      () => finishOnce(() => send(410)),
     );
-    if (over) stop();
+    if (isDone) stopWatch();
   }
 }
--- a/src/standins/memory_key_value.ts
+++ b/src/standins/memory_key_value.ts
@@ -26,7 +26,7 @@
 } from "./platform_store.ts";
 
 /** What a {@link MemoryKeyValue} shares with others, and who it is. */
-export interface MemoryOptions {
+export interface MemoryKeyValueOptions {
   readonly clock?: Clock;
   /** Several connections to one store see each other's writes. */
   readonly store?: PlatformStore;
@@ -50,7 +50,7 @@
     other: 0,
   };
 
-  constructor(options: MemoryOptions = {}) {
+  constructor(options: MemoryKeyValueOptions = {}) {
     super();
     this.#clock = options.clock ?? systemClock;
     this.store = options.store ??
@@ -65,7 +65,7 @@
   ): Promise<Result<Entry | undefined, StoreError>> {
     return this.#call(key, false, purpose, () => {
       const entry = this.store.get(key);
-      return ok(entry && asEntry(entry));
+      return ok(entry && toEntry(entry));
     });
   }
 
@@ -75,15 +75,15 @@
     purpose: StorePurpose,
   ): Promise<Result<Listing, StoreError>> {
     return this.#call(prefix, false, purpose, () => {
-      const found = this.store.range(
+      const page = this.store.range(
         options.fromKey ?? prefix,
         prefixEnd(prefix),
         options.limit ?? Infinity,
       );
       return ok({
-        entries: found.entries.map(asEntry),
+        entries: page.entries.map(toEntry),
         rev: this.store.rev,
-        more: found.more,
+        more: page.more,
       });
     });
   }
@@ -133,17 +133,17 @@
     leaseId: string,
     purpose: StorePurpose,
   ): Promise<Result<void, StoreError>> {
-    return this.#lease(purpose, () => this.store.keepAlive(leaseId));
+    return this.#changeLease(purpose, () => this.store.keepAlive(leaseId));
   }
 
   revoke(
     leaseId: string,
     purpose: StorePurpose,
   ): Promise<Result<void, StoreError>> {
-    return this.#lease(purpose, () => this.store.revoke(leaseId));
+    return this.#changeLease(purpose, () => this.store.revoke(leaseId));
   }
 
-  #lease(
+  #changeLease(
     purpose: StorePurpose,
     change: () => boolean,
   ): Promise<Result<void, StoreError>> {
@@ -151,7 +151,7 @@
       "",
       true,
       purpose,
-      () => change() ? ok(undefined) : err(storeError("leaseGone")),
+      () => change() ? ok(undefined) : err(makeStoreError("leaseGone")),
     );
   }
 
@@ -164,18 +164,18 @@
     this.#counts[purpose]++;
     const watch = new MemoryWatch(onEvent, () => this.#watches.delete(watch));
     this.#watches.add(watch);
-    if (this.faults.isOut(this.#vmId, prefix)) {
-      watch.lose("the store is out of reach");
+    if (this.faults.isCutOff(this.#vmId, prefix)) {
+      watch.reportLost("the store is out of reach");
       return watch;
     }
-    watch.onClose(this.faults.onChange(() => {
-      if (this.faults.isOut(this.#vmId, prefix)) watch.lose("cut off");
+    watch.addCleanUp(this.faults.onChange(() => {
+      if (this.faults.isCutOff(this.#vmId, prefix)) watch.reportLost("cut off");
     }));
-    watch.onClose(this.store.watch(
+    watch.addCleanUp(this.store.watch(
       prefix,
       fromRev,
-      (change) => watch.report(change),
-      (message) => watch.lose(message),
+      (change) => watch.reportChange(change),
+      (message) => watch.reportLost(message),
     ));
     return watch;
   }
@@ -202,70 +202,70 @@
         return err({
           kind: "conflict",
           message: `${result.key} has changed`,
-          current: current && asEntry(current),
+          current: current && toEntry(current),
         });
       }
       default:
-        return err(storeError(result.type));
+        return err(makeStoreError(result.type));
     }
   }
 
   async #call<T>(
     key: string,
-    write: boolean,
+    isWrite: boolean,
     purpose: StorePurpose,
     run: () => Result<T, StoreError>,
   ): Promise<Result<T, StoreError>> {
     this.#counts[purpose]++;
-    const fault = this.faults.take(this.#vmId, key, write);
+    const fault = this.faults.take(this.#vmId, key, isWrite);
     if (fault.slowMs > 0) await this.#clock.sleep(fault.slowMs);
     // Resolving later than the call, as a socket would, keeps tests from relying on the same turn.
     else await Promise.resolve();
-    if (fault.outage === "cut") return err(storeError("lost"));
-    if (fault.outage === "refuse") return err(storeError("unavailable"));
+    if (fault.outage === "cut") return err(makeStoreError("lost"));
+    if (fault.outage === "refuse") return err(makeStoreError("unavailable"));
     const result = run();
-    return fault.loseAnswer ? err(storeError("lost")) : result;
+    return fault.loseAnswer ? err(makeStoreError("lost")) : result;
   }
 }
 
 class MemoryWatch implements Watch {
   readonly #onEvent: (event: WatchEvent) => void;
   readonly #cleanUps: (() => void)[] = [];
-  #closed = false;
+  #isClosed = false;
 
   constructor(onEvent: (event: WatchEvent) => void, onClosed: () => void) {
     this.#onEvent = onEvent;
     this.#cleanUps.push(onClosed);
   }
-  onClose(cleanUp: () => void): void {
-    if (this.#closed) cleanUp();
+  addCleanUp(cleanUp: () => void): void {
+    if (this.#isClosed) cleanUp();
     else this.#cleanUps.push(cleanUp);
   }
-  report(change: StoreChange): void {
+  reportChange(change: StoreChange): void {
     const event: WatchEvent = change.type === "put"
-      ? { type: "put", entry: asEntry(change.entry) }
+      ? { type: "put", entry: toEntry(change.entry) }
       : change;
     queueMicrotask(() => {
-      if (!this.#closed) this.#onEvent(event);
+      if (!this.#isClosed) this.#onEvent(event);
     });
   }
-  lose(message: string): void {
-    if (this.#closed) return;
+  reportLost(message: string): void {
+    if (this.#isClosed) return;
     this.close();
     queueMicrotask(() => this.#onEvent({ type: "lost", message }));
   }
   close(): void {
-    if (this.#closed) return;
-    this.#closed = true;
+    if (this.#isClosed) return;
+    this.#isClosed = true;
     for (const cleanUp of this.#cleanUps) cleanUp();
   }
 }
 
-function asEntry({ key, value, rev }: StoredEntry): Entry {
+function toEntry({ key, value, rev }: StoredEntry): Entry {
   return { key, value, rev };
 }
 
-function storeError(
+function makeStoreError(
   kind: Exclude<StoreError["kind"], "conflict">,
 ): StoreError {
   return { kind, message: `the store answered: ${kind}` };
--- a/src/standins/orders.ts
+++ b/src/standins/orders.ts
@@ -10,14 +10,14 @@
 export const FENCING_HEADER = "x-fencing-token";
 
 /** What an order asks for: the wanted end, so that repeating it is harmless. */
-export const engineOrder = z.union([
+export const engineOrderSchema = z.union([
   z.strictObject({ want: z.enum(["active", "parked"]) }),
   z.strictObject({ load: z.string().min(1) }),
 ]);
 
 /** An order as received. */
 export interface OrderRecord {
-  readonly order: z.infer<typeof engineOrder>;
+  readonly order: z.infer<typeof engineOrderSchema>;
   readonly fence: number;
   readonly atMs: number;
   readonly accepted: boolean;
@@ -38,7 +38,7 @@
   }
 
   /** Whether it takes requests. */
-  get active(): boolean {
+  get isActive(): boolean {
     return this.#state === "active";
   }
   /** The models it has loaded. */
@@ -47,7 +47,7 @@
   }
 
   /** Carries an order out; false if its fencing number is older than one seen before and the engine checks. */
-  give(order: z.infer<typeof engineOrder>, fence: number): boolean {
+  apply(order: z.infer<typeof engineOrderSchema>, fence: number): boolean {
     const accepted = !this.#checksFence || fence >= this.#highestFence;
     this.log.push({ order, fence, atMs: Date.now(), accepted });
     if (!accepted) return false;
--- a/src/standins/plain.ts
+++ b/src/standins/plain.ts
@@ -9,21 +9,21 @@
 
 import Koa, { type Context } from "koa";
 import { secretDigest } from "../base/mod.ts";
-import { Faults, type PlainFault, plainFault } from "./faults.ts";
+import { Faults, type PlainFault, plainFaultSchema } from "./faults.ts";
 import {
-  controlRoutes,
-  header,
+  createControlRouter,
+  getHeader,
   listen,
   listenControl,
   type Listener,
   type ListenOptions,
   readBody,
-  refuse,
+  sendError,
 } from "./http.ts";
 import { type RunRecord, RunRecords } from "./records.ts";
 
 /** How the service is. */
-export interface PlainOptions extends ListenOptions {
+export interface PlainServiceOptions extends ListenOptions {
   readonly name?: string;
   /** How long a run takes. */
   readonly runMs?: number;
@@ -31,19 +31,19 @@
 
 const DEFAULT_RUN_MS = 5;
 
-/** A running stand-in service; see {@link openPlain}. */
+/** A running stand-in service; see {@link openPlainService}. */
 export class PlainService {
   readonly faults: Faults<PlainFault>;
-  readonly #options: PlainOptions;
+  readonly #options: PlainServiceOptions;
   readonly #records = new RunRecords();
   #listener!: Listener;
   #control!: Listener;
 
-  /** Use {@link openPlain}. */
-  constructor(options: PlainOptions) {
+  /** Use {@link openPlainService}. */
+  constructor(options: PlainServiceOptions) {
     this.#options = options;
     this.faults = new Faults(
-      (input) => plainFault.parse(input),
+      (input) => plainFaultSchema.parse(input),
       () => this.#listener.setDead(this.faults.peek("dead") !== undefined),
     );
   }
@@ -64,10 +64,10 @@
 
   /** Listens. */
   async open(): Promise<void> {
-    const control = controlRoutes(this.faults, this.#records);
+    const control = createControlRouter(this.faults, this.#records);
     const app = new Koa();
     app.use(control.routes());
-    app.use((ctx) => this.#serve(ctx));
+    app.use((ctx) => this.#handleRequest(ctx));
     this.#listener = await listen(app, this.#options);
     this.#control = await listenControl(control, this.#options);
   }
@@ -78,31 +78,33 @@
     await this.#control.close();
   }
 
-  async #serve(ctx: Context): Promise<void> {
+  async #handleRequest(ctx: Context): Promise<void> {
     const body = await readBody(ctx.req);
     const faults = this.faults.take();
     const bodyDigest = secretDigest(body.toString("latin1"));
     const record = this.#records.add({
       method: ctx.method,
       path: ctx.path,
-      requestId: header(ctx, "x-request-id") ?? "",
-      idempotencyKey: header(ctx, "idempotency-key"),
+      requestId: getHeader(ctx, "x-request-id") ?? "",
+      idempotencyKey: getHeader(ctx, "idempotency-key"),
       nonce: bodyDigest,
     });
     ctx.set("x-request-id", record.requestId);
-    if (faults.get("cutBeforeRun")) return reset(ctx);
+    if (faults.get("cutBeforeRun")) return resetConnection(ctx);
     if (faults.get("refuse")) {
       record.refused = true;
       ctx.set("x-ran", "no");
-      return refuse(ctx, 503, "the service takes no requests now");
+      return sendError(ctx, 503, "the service takes no requests now");
     }
     await sleep(faults.get("delay")?.delayMs ?? 0);
     record.startedAtMs = Date.now();
     const factor = this.faults.peek("slow")?.factor ?? 1;
     await sleep((this.#options.runMs ?? DEFAULT_RUN_MS) * factor);
     record.finishedAtMs = Date.now();
-    if (faults.get("cutAfterRun")) return reset(ctx);
-    if (faults.get("failAfterRun")) return refuse(ctx, 500, "failed after run");
+    if (faults.get("cutAfterRun")) return resetConnection(ctx);
+    if (faults.get("failAfterRun")) {
+      return sendError(ctx, 500, "failed after run");
+    }
     ctx.body = {
       service: this.#options.name ?? "plain",
       run: record.run,
@@ -115,7 +117,7 @@
   }
 }
 
-function reset(ctx: Context): void {
+function resetConnection(ctx: Context): void {
   ctx.respond = false;
   ctx.req.socket.resetAndDestroy();
 }
@@ -125,8 +127,8 @@
 }
 
 /** Opens a stand-in plain service. */
-export async function openPlain(
-  options: PlainOptions = {},
+export async function openPlainService(
+  options: PlainServiceOptions = {},
 ): Promise<PlainService> {
   const service = new PlainService(options);
   await service.open();
--- a/src/standins/plain_test.ts
+++ b/src/standins/plain_test.ts
@@ -1,7 +1,7 @@
 import got from "got";
 import { describe, it } from "../base/describe.ts";
 import { secretDigest } from "../base/mod.ts";
-import { openPlain } from "./mod.ts";
+import { openPlainService } from "./mod.ts";
 
 describe("a stand-in plain service", () => {
   const cases = [
@@ -13,7 +13,7 @@
 
   for (const { type, answered, ran } of cases) {
     it(`fault ${type}`, async (t) => {
-      const service = await openPlain();
+      const service = await openPlainService();
       service.faults.add({ type, times: 1 });
       const answer = await got.post(`${service.url}/orders/7`, {
         body: "two prints",
@@ -31,7 +31,7 @@
   }
 
   it("answers with the digest of the body it ran", async (t) => {
-    const service = await openPlain({ name: "portal" });
+    const service = await openPlainService({ name: "portal" });
     const answer = await got.put(`${service.url}/scans/a?b=c`, {
       body: "scan",
       headers: { "idempotency-key": "k2" },
--- a/src/standins/platform.ts
+++ b/src/standins/platform.ts
@@ -13,15 +13,15 @@
 import { decodeBase64 } from "../adapters/etcd_codec.ts";
 import type { ListedVm } from "../adapters/platform.ts";
 import {
-  faultSchema,
   type PlatformFault,
   PlatformFaults,
+  platformFaultSchema,
   RateLimit,
 } from "./platform_faults.ts";
 import {
-  Gateway,
-  type GatewayAnswer,
-  gatewayError,
+  EtcdGateway,
+  type EtcdResponse,
+  makeEtcdError,
   type WatchRequest,
 } from "./platform_etcd.ts";
 import { PlatformStore, type StoreCopy } from "./platform_store.ts";
@@ -48,9 +48,9 @@
 
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
 
-interface CallKind {
+interface CallTarget {
   readonly key: string;
-  readonly write: boolean;
+  readonly isWrite: boolean;
 }
 
 /** The stand-in's server; see {@link openPlatform}. */
@@ -66,7 +66,7 @@
   readonly weights = new Map<string, unknown>();
   readonly directory = new Map<string, unknown>();
   readonly #settings: PlatformSettings;
-  readonly #gateway = new Gateway(this.store);
+  readonly #etcd = new EtcdGateway(this.store);
   readonly #copies = new Map<string, StoreCopy>();
   readonly #reads: RateLimit;
   readonly #writes: RateLimit;
@@ -83,7 +83,7 @@
     this.#weightWrites = new RateLimit(settings.weightWritesPerS ?? 10, nowMs);
     const app = new Koa();
     app.silent = true;
-    app.use(this.#routes().routes());
+    app.use(this.#createRouter().routes());
     this.#server = createServer(app.callback());
     this.#leaseTimer = setInterval(() => this.store.expireLeases(), 50);
   }
@@ -110,12 +110,12 @@
   }
 
   /** Keeps a copy of the key-value store under a name. */
-  save(name: string): void {
+  saveCopy(name: string): void {
     this.#copies.set(name, this.store.copy());
   }
 
   /** Puts a kept copy back; false if there is none of this name. */
-  restore(name: string): boolean {
+  restoreCopy(name: string): boolean {
     const copy = this.#copies.get(name);
     if (copy) this.store.restore(copy);
     return copy !== undefined;
@@ -127,56 +127,69 @@
     return new Promise((resolve) => this.#server.close(() => resolve()));
   }
 
-  #routes(): Router {
+  #createRouter(): Router {
     const router = new Router();
-    this.#storeRoutes(router);
-    this.#platformRoutes(router);
-    this.#controlRoutes(router);
+    this.#addStoreRoutes(router);
+    this.#addPlatformRoutes(router);
+    this.#addControlRoutes(router);
     return router;
   }
 
-  #storeRoutes(router: Router): void {
-    const gateway = this.#gateway;
-    this.#call(router, "/v3/kv/range", gateway.range.bind(gateway), readOf);
-    this.#call(router, "/v3/kv/txn", gateway.txn.bind(gateway), txnOf);
-    this.#call(router, "/v3/lease/grant", gateway.grant.bind(gateway));
-    this.#call(router, "/v3/lease/keepalive", gateway.keepAlive.bind(gateway));
-    this.#call(router, "/v3/lease/revoke", gateway.revoke.bind(gateway));
+  #addStoreRoutes(router: Router): void {
+    const etcd = this.#etcd;
+    this.#addStoreCall(
+      router,
+      "/v3/kv/range",
+      etcd.range.bind(etcd),
+      rangeTarget,
+    );
+    this.#addStoreCall(router, "/v3/kv/txn", etcd.txn.bind(etcd), txnTarget);
+    this.#addStoreCall(router, "/v3/lease/grant", etcd.grant.bind(etcd));
+    this.#addStoreCall(
+      router,
+      "/v3/lease/keepalive",
+      etcd.keepAlive.bind(etcd),
+    );
+    this.#addStoreCall(router, "/v3/lease/revoke", etcd.revoke.bind(etcd));
     router.post("/v3/watch", async (context) => {
       const request = await readJson(context.req) as WatchRequest;
-      const vmId = vmIdOf(context.req);
+      const vmId = parseVmId(context.req);
       const prefix = decodeBase64(request.create_request.key);
-      if (this.faults.isOut(vmId, prefix)) return cut(context);
-      if (!this.#allow(false)) return answer(context, tooMany());
+      if (this.faults.isCutOff(vmId, prefix)) return dropConnection(context);
+      if (!this.#tryTake(false)) {
+        return sendResponse(context, tooManyRequests());
+      }
       context.respond = false;
       this.counts.watchesOpened++;
-      const end = this.#gateway.watch(request, context.res);
-      const endFaults = this.faults.onChange(() => {
-        if (this.faults.isOut(vmId, prefix)) context.res.destroy();
+      const endWatch = this.#etcd.watch(request, context.res);
+      const stopFaultListener = this.faults.onChange(() => {
+        if (this.faults.isCutOff(vmId, prefix)) context.res.destroy();
       });
       context.res.on("close", () => {
-        end();
-        endFaults();
+        endWatch();
+        stopFaultListener();
       });
     });
   }
 
-  #platformRoutes(router: Router): void {
+  #addPlatformRoutes(router: Router): void {
     router.get("/vms", async (context) => {
-      if (await this.#interfere(context, { key: "", write: false })) return;
+      if (await this.#applyFault(context, { key: "", isWrite: false })) return;
       context.body = { vms: this.#vms };
     });
     router.put("/weights/:service/:region", async (context) => {
       const body = await readJson(context.req);
-      if (await this.#interfere(context, { key: "", write: false })) return;
-      if (!this.#weightWrites.take()) return answer(context, tooMany());
+      if (await this.#applyFault(context, { key: "", isWrite: false })) return;
+      if (!this.#weightWrites.tryTake()) {
+        return sendResponse(context, tooManyRequests());
+      }
       const { service, region } = context.params;
       this.weights.set(`${service}/${region}`, body);
       context.body = {};
     });
     router.put("/directory/:region", async (context) => {
       const body = await readJson(context.req);
-      if (await this.#interfere(context, { key: "", write: false })) return;
+      if (await this.#applyFault(context, { key: "", isWrite: false })) return;
       this.directory.set(context.params.region, body);
       context.body = {};
     });
@@ -188,20 +201,22 @@
     });
   }
 
-  #controlRoutes(router: Router): void {
-    const faultsBody = z.strictObject({ faults: z.array(faultSchema) });
+  #addControlRoutes(router: Router): void {
+    const faultsBody = z.strictObject({ faults: z.array(platformFaultSchema) });
     router.post("/faults", async (context) => {
       const body = faultsBody.safeParse(await readJson(context.req));
-      if (!body.success) return answer(context, badRequest(body.error.message));
+      if (!body.success) {
+        return sendResponse(context, badRequest(body.error.message));
+      }
       this.faults.set(body.data.faults);
       context.body = {};
     });
     router.post("/save/:name", (context) => {
-      this.save(context.params.name);
+      this.saveCopy(context.params.name);
       context.body = {};
     });
     router.post("/restore/:name", (context) => {
-      context.status = this.restore(context.params.name) ? 200 : 404;
+      context.status = this.restoreCopy(context.params.name) ? 200 : 404;
       context.body = {};
     });
     router.post("/vms", async (context) => {
@@ -214,51 +229,56 @@
     });
   }
 
-  #call<T>(
+  #addStoreCall<T>(
     router: Router,
     path: string,
-    run: (request: T) => GatewayAnswer,
-    kindOf: (request: T) => CallKind = () => ({ key: "", write: true }),
+    run: (request: T) => EtcdResponse,
+    getTarget: (request: T) => CallTarget = () => ({ key: "", isWrite: true }),
   ): void {
     router.post(path, async (context) => {
       const request = await readJson(context.req) as T;
-      const kind = kindOf(request);
+      const target = getTarget(request);
       const fault = this.faults.take(
-        vmIdOf(context.req),
-        kind.key,
-        kind.write,
+        parseVmId(context.req),
+        target.key,
+        target.isWrite,
       );
-      if (fault.outage === "cut") return cut(context);
-      if (fault.outage === "refuse") return answer(context, noLeader());
-      if (!this.#allow(kind.write)) return answer(context, tooMany());
+      if (fault.outage === "cut") return dropConnection(context);
+      if (fault.outage === "refuse") return sendResponse(context, noLeader());
+      if (!this.#tryTake(target.isWrite)) {
+        return sendResponse(context, tooManyRequests());
+      }
       if (fault.slowMs > 0) await sleep(fault.slowMs);
       const result = run(request);
-      if (fault.loseAnswer) cut(context);
-      else answer(context, result);
+      if (fault.loseAnswer) dropConnection(context);
+      else sendResponse(context, result);
     });
   }
 
   /** Applies outage and slowness to a call without an effect on the store; true if it was answered. */
-  async #interfere(context: Koa.Context, kind: CallKind): Promise<boolean> {
+  async #applyFault(
+    context: Koa.Context,
+    target: CallTarget,
+  ): Promise<boolean> {
     const fault = this.faults.take(
-      vmIdOf(context.req),
-      kind.key,
-      kind.write,
+      parseVmId(context.req),
+      target.key,
+      target.isWrite,
     );
     if (fault.slowMs > 0) await sleep(fault.slowMs);
-    if (fault.outage === "cut") cut(context);
-    else if (fault.outage === "refuse") answer(context, noLeader());
+    if (fault.outage === "cut") dropConnection(context);
+    else if (fault.outage === "refuse") sendResponse(context, noLeader());
     return fault.outage !== undefined;
   }
 
-  #allow(write: boolean): boolean {
-    if (write) this.counts.writes++;
+  #tryTake(isWrite: boolean): boolean {
+    if (isWrite) this.counts.writes++;
     else this.counts.reads++;
-    const allowed = write
-      ? this.#writes.take()
-      : this.#reads.take(this.store.watchCount);
-    if (!allowed) this.counts.limited++;
-    return allowed;
+    const isAllowed = isWrite
+      ? this.#writes.tryTake()
+      : this.#reads.tryTake(this.store.watchCount);
+    if (!isAllowed) this.counts.limited++;
+    return isAllowed;
   }
 }
 
@@ -284,24 +304,24 @@
   if (!response.ok) throw new Error(`POST /faults: ${response.status}`);
 }
 
-function readOf(request: { readonly key: string }): CallKind {
-  return { key: decodeBase64(request.key), write: false };
+function rangeTarget(request: { readonly key: string }): CallTarget {
+  return { key: decodeBase64(request.key), isWrite: false };
 }
 
-function txnOf(
+function txnTarget(
   request: {
     readonly success?: readonly {
       readonly request_put?: { readonly key: string };
       readonly request_delete_range?: { readonly key: string };
     }[];
   },
-): CallKind {
+): CallTarget {
   const first = request.success?.[0];
   const key = first?.request_put?.key ?? first?.request_delete_range?.key;
-  return { key: decodeBase64(key), write: true };
+  return { key: decodeBase64(key), isWrite: true };
 }
 
-function vmIdOf(request: IncomingMessage): string {
+function parseVmId(request: IncomingMessage): string {
   return /^ibisgapd\/(\S+)/.exec(request.headers["user-agent"] ?? "")?.[1] ??
     "";
 }
@@ -317,19 +337,23 @@
   return JSON.parse(Buffer.concat(chunks).toString("utf8"));
 }
 
-function cut(context: Koa.Context): void {
+function dropConnection(context: Koa.Context): void {
   context.respond = false;
   context.req.socket.destroy();
 }
 
-function answer(context: Koa.Context, { status, body }: GatewayAnswer): void {
+function sendResponse(
+  context: Koa.Context,
+  { status, body }: EtcdResponse,
+): void {
   context.status = status;
   context.body = body;
 }
 
-const tooMany = () => gatewayError(429, 8, "etcdserver: too many requests");
-const noLeader = () => gatewayError(503, 14, "etcdserver: no leader");
-const badRequest = (message: string) => gatewayError(400, 3, message);
+const tooManyRequests = () =>
+  makeEtcdError(429, 8, "etcdserver: too many requests");
+const noLeader = () => makeEtcdError(503, 14, "etcdserver: no leader");
+const badRequest = (message: string) => makeEtcdError(400, 3, message);
 
 function sleep(delayMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, delayMs));
--- a/src/standins/platform_etcd.ts
+++ b/src/standins/platform_etcd.ts
@@ -13,7 +13,7 @@
 } from "./platform_store.ts";
 
 /** An answer: an HTTP status with its JSON body. */
-export interface GatewayAnswer {
+export interface EtcdResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -49,11 +49,11 @@
 }
 
 /** Makes a gateway error with its gRPC code. */
-export function gatewayError(
+export function makeEtcdError(
   status: number,
   code: number,
   message: string,
-): GatewayAnswer {
+): EtcdResponse {
   return { status, body: { code, message, error: message } };
 }
 
@@ -61,28 +61,28 @@
 const MAX_TXN_OPERATIONS = 128;
 
 /** Answers the gateway's calls on a store. */
-export class Gateway {
+export class EtcdGateway {
   readonly #store: PlatformStore;
 
   constructor(store: PlatformStore) {
     this.#store = store;
   }
 
-  range(request: RangeRequest): GatewayAnswer {
+  range(request: RangeRequest): EtcdResponse {
     const key = decodeBase64(request.key);
     const limit = Number(request.limit ?? 0) || Infinity;
     const end = request.range_end
       ? decodeBase64(request.range_end)
       : `${key}\0`;
     const { entries, more } = this.#store.range(key, end, limit);
-    const kvs = entries.map(pairOf);
-    return this.#done({ kvs, more, count: String(kvs.length) });
+    const kvs = entries.map(formatPair);
+    return this.#makeResponse({ kvs, more, count: String(kvs.length) });
   }
 
-  txn(request: TxnRequest): GatewayAnswer {
+  txn(request: TxnRequest): EtcdResponse {
     const success = request.success ?? [];
     if (success.length > MAX_TXN_OPERATIONS) {
-      return gatewayError(400, 3, "etcdserver: too many operations");
+      return makeEtcdError(400, 3, "etcdserver: too many operations");
     }
     const compares = (request.compare ?? []).map((compare) => ({
       key: decodeBase64(compare.key),
@@ -94,7 +94,7 @@
           type: "put" as const,
           key: decodeBase64(request_put.key),
           value: decodeBase64(request_put.value),
-          leaseId: leaseOf(request_put.lease),
+          leaseId: parseLeaseId(request_put.lease),
         }
         : {
           type: "delete" as const,
@@ -104,29 +104,33 @@
     const result = this.#store.transact(compares, writes);
     switch (result.type) {
       case "done":
-        return this.#done({ succeeded: true });
+        return this.#makeResponse({ succeeded: true });
       case "conflict":
-        return this.#done({ responses: this.#failure(request) });
+        return this.#makeResponse({
+          responses: this.#readFailureRanges(request),
+        });
       case "leaseGone":
-        return leaseNotFound();
+        return makeLeaseNotFound();
       case "tooLarge":
-        return gatewayError(400, 3, "etcdserver: request is too large");
+        return makeEtcdError(400, 3, "etcdserver: request is too large");
     }
   }
 
-  grant(request: { readonly TTL: string }): GatewayAnswer {
+  grant(request: { readonly TTL: string }): EtcdResponse {
     const ID = this.#store.grant(Number(request.TTL) * 1000);
-    return this.#done({ ID, TTL: request.TTL });
+    return this.#makeResponse({ ID, TTL: request.TTL });
   }
 
-  keepAlive(request: { readonly ID: string }): GatewayAnswer {
+  keepAlive(request: { readonly ID: string }): EtcdResponse {
     const alive = this.#store.keepAlive(request.ID);
     const result = { ID: request.ID, ...(alive ? { TTL: "1" } : {}) };
     return { status: 200, body: { result } };
   }
 
-  revoke(request: { readonly ID: string }): GatewayAnswer {
-    return this.#store.revoke(request.ID) ? this.#done({}) : leaseNotFound();
+  revoke(request: { readonly ID: string }): EtcdResponse {
+    return this.#store.revoke(request.ID)
+      ? this.#makeResponse({})
+      : makeLeaseNotFound();
   }
 
   /** Streams changes to `response` as NDJSON until it closes; returns a function that ends the watch. */
@@ -137,43 +141,48 @@
       response.write(`${JSON.stringify({ result })}\n`);
     const fromRev = Number(start_revision ?? 0) || this.#store.rev + 1;
     response.writeHead(200, { "content-type": "application/json" });
-    send({ header: this.#header(), created: true });
+    send({ header: this.#responseHeader(), created: true });
     return this.#store.watch(
       prefix,
       fromRev,
-      (change) => send({ header: this.#header(), events: [eventOf(change)] }),
+      (change) =>
+        send({ header: this.#responseHeader(), events: [formatEvent(change)] }),
       () => {
         const compact_revision = String(this.#store.rev);
-        send({ header: this.#header(), canceled: true, compact_revision });
+        send({
+          header: this.#responseHeader(),
+          canceled: true,
+          compact_revision,
+        });
         response.end();
       },
     );
   }
 
-  #failure(request: TxnRequest): unknown[] {
+  #readFailureRanges(request: TxnRequest): unknown[] {
     return (request.failure ?? []).map(({ request_range }) => ({
       response_range: this.range(request_range!).body,
     }));
   }
 
-  #header() {
+  #responseHeader() {
     return { revision: String(this.#store.rev) };
   }
 
-  #done(body: Record<string, unknown>): GatewayAnswer {
-    return { status: 200, body: { header: this.#header(), ...body } };
+  #makeResponse(body: Record<string, unknown>): EtcdResponse {
+    return { status: 200, body: { header: this.#responseHeader(), ...body } };
   }
 }
 
-function leaseNotFound(): GatewayAnswer {
-  return gatewayError(404, 5, "etcdserver: requested lease not found");
+function makeLeaseNotFound(): EtcdResponse {
+  return makeEtcdError(404, 5, "etcdserver: requested lease not found");
 }
 
-function leaseOf(lease: string | undefined): string | undefined {
+function parseLeaseId(lease: string | undefined): string | undefined {
   return lease === undefined || lease === "0" ? undefined : lease;
 }
 
-function pairOf(entry: StoredEntry) {
+function formatPair(entry: StoredEntry) {
   return {
     key: encodeBase64(entry.key),
     value: encodeBase64(entry.value),
@@ -181,8 +190,8 @@
   };
 }
 
-function eventOf(change: StoreChange) {
-  if (change.type === "put") return { kv: pairOf(change.entry) };
+function formatEvent(change: StoreChange) {
+  if (change.type === "put") return { kv: formatPair(change.entry) };
   const kv = {
     key: encodeBase64(change.key),
     mod_revision: String(change.rev),
--- a/src/standins/platform_faults.ts
+++ b/src/standins/platform_faults.ts
@@ -7,7 +7,7 @@
 import { z } from "zod";
 
 /** A fault as `POST /faults` takes it. All that match a call are combined. */
-export const faultSchema = z.strictObject({
+export const platformFaultSchema = z.strictObject({
   /** A regular expression on the VM's id; absent: all VMs. */
   vm: z.string().optional(),
   /** Only calls on keys that start with this; absent: all calls. */
@@ -20,8 +20,8 @@
   loseAnswers: z.number().int().min(0).optional(),
 });
 
-/** A fault; see {@link faultSchema}. */
-export type PlatformFault = z.infer<typeof faultSchema>;
+/** A fault; see {@link platformFaultSchema}. */
+export type PlatformFault = z.infer<typeof platformFaultSchema>;
 
 /** What happens to one call. */
 export interface CallFault {
@@ -50,22 +50,22 @@
   }
 
   /** What happens to this call; a lost answer is counted off for writes. */
-  take(vmId: string, key: string, write: boolean): CallFault {
-    const matching = this.#matching(vmId, key);
+  take(vmId: string, key: string, isWrite: boolean): CallFault {
+    const matching = this.#findMatching(vmId, key);
     const outage = matching.find((fault) => fault.outage)?.outage;
     const slowMs = Math.max(0, ...matching.map((fault) => fault.slowMs ?? 0));
-    const losing = write && !outage &&
+    const answerLoss = isWrite && !outage &&
       matching.find((fault) => (fault.loseAnswers ?? 0) > 0);
-    if (losing) losing.loseAnswers!--;
-    return { outage, slowMs, loseAnswer: Boolean(losing) };
+    if (answerLoss) answerLoss.loseAnswers!--;
+    return { outage, slowMs, loseAnswer: Boolean(answerLoss) };
   }
 
   /** Whether a VM is cut off from this key. */
-  isOut(vmId: string, key: string): boolean {
-    return this.#matching(vmId, key).some((fault) => fault.outage);
+  isCutOff(vmId: string, key: string): boolean {
+    return this.#findMatching(vmId, key).some((fault) => fault.outage);
   }
 
-  #matching(vmId: string, key: string): PlatformFault[] {
+  #findMatching(vmId: string, key: string): PlatformFault[] {
     return this.#faults.filter((fault) =>
       (!fault.vm || new RegExp(fault.vm).test(vmId)) &&
       (!fault.keyPrefix || key.startsWith(fault.keyPrefix))
@@ -78,22 +78,22 @@
   readonly #perS: number;
   readonly #nowMs: () => number;
   #tokens: number;
-  #filledAtMs: number;
+  #refilledAtMs: number;
 
   constructor(perS: number, nowMs: () => number) {
     this.#perS = perS;
     this.#nowMs = nowMs;
     this.#tokens = perS;
-    this.#filledAtMs = nowMs();
+    this.#refilledAtMs = nowMs();
   }
 
   /** Takes one call; `reservedPerS` is the part of the rate that waiting watches use up. */
-  take(reservedPerS = 0): boolean {
+  tryTake(reservedPerS = 0): boolean {
     const perS = Math.max(0, this.#perS - reservedPerS);
     const nowMs = this.#nowMs();
-    this.#tokens += ((nowMs - this.#filledAtMs) * perS) / 1000;
+    this.#tokens += ((nowMs - this.#refilledAtMs) * perS) / 1000;
     this.#tokens = Math.min(this.#tokens, perS);
-    this.#filledAtMs = nowMs;
+    this.#refilledAtMs = nowMs;
     if (this.#tokens < 1) return false;
     this.#tokens--;
     return true;
--- a/src/standins/platform_store.ts
+++ b/src/standins/platform_store.ts
@@ -61,13 +61,13 @@
 /** Limits of a {@link PlatformStore}. */
 export interface StoreLimits {
   /** Largest value, in bytes. */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   /** Changes kept for watches that start in the past. */
   readonly historyLength: number;
 }
 
 const DEFAULT_LIMITS: StoreLimits = {
-  valueBytes: 1024 * 1024,
+  maxValueBytes: 1024 * 1024,
   historyLength: 20_000,
 };
 
@@ -82,7 +82,7 @@
   #history: StoreChange[] = [];
   #compactedRev = 0;
   #rev = 1;
-  #nextLease = 1;
+  #nextLeaseId = 1;
 
   constructor(nowMs: () => number, limits: Partial<StoreLimits> = {}) {
     this.#nowMs = nowMs;
@@ -110,7 +110,7 @@
     limit: number,
   ): { readonly entries: StoredEntry[]; readonly more: boolean } {
     this.expireLeases();
-    const keys = this.#sorted();
+    const keys = this.#getSortedKeys();
     const entries: StoredEntry[] = [];
     for (let i = lowerBound(keys, fromKey); i < keys.length; i++) {
       if (keys[i] >= endKey) break;
@@ -133,7 +133,7 @@
     }
     for (const write of writes) {
       if (write.type !== "put") continue;
-      if (Buffer.byteLength(write.value) > this.limits.valueBytes) {
+      if (Buffer.byteLength(write.value) > this.limits.maxValueBytes) {
         return { type: "tooLarge" };
       }
       if (write.leaseId && !this.#leases.has(write.leaseId)) {
@@ -141,12 +141,12 @@
       }
     }
     this.#rev++;
-    for (const write of writes) this.#write(write);
+    for (const write of writes) this.#applyWrite(write);
     return { type: "done", rev: this.#rev };
   }
 
   grant(ttlMs: number): string {
-    const id = String(this.#nextLease++);
+    const id = String(this.#nextLeaseId++);
     this.#leases.set(id, { ttlMs, expiresAtMs: this.#nowMs() + ttlMs });
     return id;
   }
@@ -162,7 +162,7 @@
   /** Ends a lease and deletes its keys; false if it has lapsed. */
   revoke(id: string): boolean {
     if (!this.#leases.delete(id)) return false;
-    this.#dropKeysOf(id);
+    this.#deleteKeysOf(id);
     return true;
   }
 
@@ -171,7 +171,7 @@
     for (const [id, lease] of this.#leases) {
       if (lease.expiresAtMs > this.#nowMs()) continue;
       this.#leases.delete(id);
-      this.#dropKeysOf(id);
+      this.#deleteKeysOf(id);
     }
   }
 
@@ -187,7 +187,7 @@
       return () => {};
     }
     for (const change of this.#history) {
-      if (change.rev >= fromRev && keyOf(change).startsWith(prefix)) {
+      if (change.rev >= fromRev && getKey(change).startsWith(prefix)) {
         onChange(change);
       }
     }
@@ -219,41 +219,41 @@
     }
   }
 
-  #write(write: StoreWrite): void {
+  #applyWrite(write: StoreWrite): void {
     if (write.type === "delete") {
       if (!this.#entries.delete(write.key)) return;
       this.#sortedKeys = undefined;
-      this.#record({ type: "delete", rev: this.#rev, key: write.key });
+      this.#recordChange({ type: "delete", rev: this.#rev, key: write.key });
       return;
     }
     const { key, value, leaseId } = write;
     const entry = { key, value, rev: this.#rev, leaseId };
     if (!this.#entries.has(key)) this.#insertKey(key);
     this.#entries.set(key, entry);
-    this.#record({ type: "put", rev: this.#rev, entry });
+    this.#recordChange({ type: "put", rev: this.#rev, entry });
   }
 
-  #dropKeysOf(leaseId: string): void {
+  #deleteKeysOf(leaseId: string): void {
     const keys = [...this.#entries.values()]
       .filter((entry) => entry.leaseId === leaseId)
       .map((entry) => entry.key);
     if (keys.length === 0) return;
     this.#rev++;
-    for (const key of keys) this.#write({ type: "delete", key });
+    for (const key of keys) this.#applyWrite({ type: "delete", key });
   }
 
-  #record(change: StoreChange): void {
+  #recordChange(change: StoreChange): void {
     this.#history.push(change);
     if (this.#history.length > 2 * this.limits.historyLength) {
       this.compact(this.#history[this.limits.historyLength].rev);
     }
-    const key = keyOf(change);
+    const key = getKey(change);
     for (const watcher of this.#watchers) {
       if (key.startsWith(watcher.prefix)) watcher.onChange(change);
     }
   }
 
-  #sorted(): string[] {
+  #getSortedKeys(): string[] {
     this.#sortedKeys ??= [...this.#entries.keys()].sort();
     return this.#sortedKeys;
   }
@@ -263,7 +263,7 @@
   }
 }
 
-function keyOf(change: StoreChange): string {
+function getKey(change: StoreChange): string {
   return change.type === "put" ? change.entry.key : change.key;
 }
 
--- a/src/standins/platform_test.ts
+++ b/src/standins/platform_test.ts
@@ -7,7 +7,7 @@
 import { describe, it } from "../base/describe.ts";
 import { openPlatform, postPlatformFaults } from "./platform.ts";
 
-const vm: ListedVm = {
+const LISTED_VM: ListedVm = {
   id: "a",
   region: "agadir",
   failureDomain: "agadir-1",
@@ -21,14 +21,14 @@
     t.teardown(() => platform.close());
     const list = new HttpVmList({ urls: [platform.url], vmId: "a" });
     t.teardown(() => list.close());
-    platform.setVms([vm]);
+    platform.setVms([LISTED_VM]);
     t.deepEqual((await list.list())._unsafeUnwrap(), []);
-    const prompt = await openPlatform();
-    t.teardown(() => prompt.close());
-    prompt.setVms([vm]);
-    const second = new HttpVmList({ urls: [prompt.url], vmId: "a" });
-    t.teardown(() => second.close());
-    t.deepEqual((await second.list())._unsafeUnwrap(), [vm]);
+    const unlagged = await openPlatform();
+    t.teardown(() => unlagged.close());
+    unlagged.setVms([LISTED_VM]);
+    const unlaggedList = new HttpVmList({ urls: [unlagged.url], vmId: "a" });
+    t.teardown(() => unlaggedList.close());
+    t.deepEqual((await unlaggedList.list())._unsafeUnwrap(), [LISTED_VM]);
   });
 
   it("weights are published up to the rate", async (t) => {
--- a/src/standins/prefix_cache.ts
+++ b/src/standins/prefix_cache.ts
@@ -11,34 +11,40 @@
 
 /** Remembers the leading blocks of prompts. */
 export class PrefixCache {
-  readonly #limitTokens: number;
+  readonly #maxTokens: number;
   /** Chained hash of a block; the order of insertion is the order of use. */
   readonly #blocks = new Set<number>();
 
   /** A cache that holds blocks for at most `limitTokens` tokens. */
-  constructor(limitTokens: number) {
-    this.#limitTokens = limitTokens;
+  constructor(maxTokens: number) {
+    this.#maxTokens = maxTokens;
   }
 
   /** Tokens of the prompt that are warm; afterwards all its whole blocks are. */
-  touch(prompt: string): number {
-    let warmBlocks = 0;
-    let warm = true;
-    let chain = 0;
-    for (let at = 0; at + BLOCK_CHARS <= prompt.length; at += BLOCK_CHARS) {
-      chain = hash32(`${chain}:${prompt.slice(at, at + BLOCK_CHARS)}`);
-      warm &&= this.#blocks.has(chain);
-      if (warm) warmBlocks++;
-      this.#blocks.delete(chain);
-      this.#blocks.add(chain);
+  insert(prompt: string): number {
+    let cachedBlocks = 0;
+    let isCached = true;
+    let chainHash = 0;
+    for (
+      let offset = 0;
+      offset + BLOCK_CHARS <= prompt.length;
+      offset += BLOCK_CHARS
+    ) {
+      chainHash = hash32(
+        `${chainHash}:${prompt.slice(offset, offset + BLOCK_CHARS)}`,
+      );
+      isCached &&= this.#blocks.has(chainHash);
+      if (isCached) cachedBlocks++;
+      this.#blocks.delete(chainHash);
+      this.#blocks.add(chainHash);
     }
     this.#evict();
-    return warmBlocks * BLOCK_TOKENS;
+    return cachedBlocks * BLOCK_TOKENS;
   }
 
   /** Share of the cache in use, 0 to 1. */
   get usage(): number {
-    return this.#usedTokens / Math.max(1, this.#limitTokens);
+    return this.#usedTokens / Math.max(1, this.#maxTokens);
   }
 
   get #usedTokens(): number {
@@ -47,7 +53,7 @@
 
   #evict(): void {
     for (const block of this.#blocks) {
-      if (this.#usedTokens <= this.#limitTokens) return;
+      if (this.#usedTokens <= this.#maxTokens) return;
       this.#blocks.delete(block);
     }
   }
--- a/src/standins/records.ts
+++ b/src/standins/records.ts
@@ -29,29 +29,29 @@
 }
 
 /** What is known of a request when it arrives. */
-export type Arrival = Pick<
+export type ReceivedRequest = Pick<
   RunRecord,
   "method" | "path" | "requestId" | "idempotencyKey" | "nonce"
 >;
 
-const MOST_RECORDS = 200_000;
+const MAX_RECORDS = 200_000;
 
 /** The records of one upstream, oldest first; only the newest are kept. */
 export class RunRecords {
   #records: RunRecord[] = [];
-  #runs = 0;
+  #lastRun = 0;
 
   /** Records an arrival; the answer is filled in as the request goes on. */
-  add(arrival: Arrival): RunRecord {
+  add(request: ReceivedRequest): RunRecord {
     const record: RunRecord = {
-      ...arrival,
-      run: ++this.#runs,
+      ...request,
+      run: ++this.#lastRun,
       receivedAtMs: Date.now(),
       tokens: 0,
       warmTokens: 0,
     };
-    if (this.#records.length >= MOST_RECORDS) {
-      this.#records = this.#records.slice(MOST_RECORDS / 2);
+    if (this.#records.length >= MAX_RECORDS) {
+      this.#records = this.#records.slice(MAX_RECORDS / 2);
     }
     this.#records.push(record);
     return record;
--- a/src/standins/runner.ts
+++ b/src/standins/runner.ts
@@ -14,7 +14,7 @@
 import type { AddressInfo, Socket } from "node:net";
 
 /** What a runner does with the requests that reach it. */
-export type RunnerMood =
+export type RunnerBehavior =
   /** Answers. */
   | "well"
   /** Says that it has no room; does not run the request. */
@@ -45,24 +45,27 @@
   /** When its body was read whole, on the monotonic clock. */
   readonly arrivedMonoMs: number;
   /** Whether the gateway's connection ended before the answer was whole. */
-  cut: boolean;
+  isCut: boolean;
 }
 
 /** How far into running a request that crashes it a runner ends, usually. */
-const FATAL_MS = 50;
+const DEFAULT_CRASH_DELAY_MS = 50;
 
 /** Events of a whole stream, unless a runner is set otherwise. */
-export const STREAM_EVENTS = 6;
+export const DEFAULT_STREAM_EVENTS = 6;
 const COLD_WINDOW_MS = 1_000;
 
-function eventText(id: number): string {
+function formatEvent(id: number): string {
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
 /** The body of a whole stream after event `after`. */
-export function streamText(after = 0, events = STREAM_EVENTS): string {
+export function formatStream(
+  after = 0,
+  events = DEFAULT_STREAM_EVENTS,
+): string {
   let text = "";
-  for (let id = after + 1; id <= events; id++) text += eventText(id);
+  for (let id = after + 1; id <= events; id++) text += formatEvent(id);
   return text;
 }
 
@@ -73,51 +76,51 @@
 }
 
 /** Copies of runs' memory that were made and not used, as `IP:PORT/HANDLE` of their source, for all runners. */
-const copies = new Set<string>();
+const unusedKvCopies = new Set<string>();
 
 /** See the module. */
 export class Runner {
   readonly id: string;
   readonly arrivals: RunnerArrival[] = [];
-  mood: RunnerMood = "well";
+  behavior: RunnerBehavior = "well";
   /** Requests a second that it bears while it is cold; well above that it crashes. Absent: it is warm. */
   coldPerS: number | undefined;
   /** Whether it crashed; it then resets every connection. */
-  isCrashed = false;
+  hasColdCrashed = false;
   /** Whether it leaves: it serves on and ends each connection after its answer. */
   isDraining = false;
   /** Prompt tokens that it had to read; parts that it keeps are not read again. */
-  readTokens = 0;
+  uncachedTokens = 0;
   /** Time before an answer's head. */
-  workMs = 0;
+  answerDelayMs = 0;
   /** Events of each stream. */
-  streamEvents = STREAM_EVENTS;
+  streamEvents = DEFAULT_STREAM_EVENTS;
   /** Time between two events of a stream. */
   eventGapMs = 10;
   /** Whether a request with this body ends the runner some ms after it begins to run. */
   isFatal: (body: string) => boolean = () => false;
   /** How far into running such a request it ends. */
-  fatalMs = FATAL_MS;
+  crashDelayMs = DEFAULT_CRASH_DELAY_MS;
   /** How long it stays ended. */
   downMs = 200;
   /** How many times it ended. */
-  ends = 0;
+  crashCount = 0;
   /** Called when it ends. */
-  onEnd: () => void = () => {};
+  onCrash: () => void = () => {};
   /** Called when it is back. Its address is another one if its port was taken meanwhile. */
-  onBack: () => void = () => {};
+  onRestart: () => void = () => {};
   /** Streams under way, by the attempt's id. */
-  readonly #runs = new Map<string, StreamRun>();
+  readonly #streams = new Map<string, StreamRun>();
   readonly #server: Server;
-  readonly #keptParts = new Set<string>();
+  readonly #cachedParts = new Set<string>();
   readonly #sockets = new Set<Socket>();
   #coldArrivalsMs: number[] = [];
-  #backTimer: NodeJS.Timeout | undefined;
+  #restartTimer: NodeJS.Timeout | undefined;
 
   private constructor(id: string) {
     this.id = id;
     this.#server = createServer((request, response) =>
-      void this.#answer(request, response)
+      void this.#handleRequest(request, response)
     );
     this.#server.keepAliveTimeout = 10_000;
     this.#server.on("connection", (socket) => {
@@ -145,36 +148,39 @@
   }
 
   /** Its program ends: all connections break at once, and new ones are refused until it is back. */
-  end(): void {
+  crash(): void {
     // It may have been closed while a request that crashes it ran.
-    if (this.#backTimer || !this.#server.listening) return;
-    this.ends++;
-    this.onEnd();
+    if (this.#restartTimer || !this.#server.listening) return;
+    this.crashCount++;
+    this.onCrash();
     const { port } = this.#server.address() as AddressInfo;
     this.#server.close();
     for (const socket of this.#sockets) socket.resetAndDestroy();
-    this.#backTimer = setTimeout(() => void this.#comeBack(port), this.downMs);
+    this.#restartTimer = setTimeout(
+      () => void this.#restart(port),
+      this.downMs,
+    );
   }
 
-  async #comeBack(port: number): Promise<void> {
-    const listens = (at: number) =>
+  async #restart(port: number): Promise<void> {
+    const tryListen = (onPort: number) =>
       new Promise<boolean>((resolve) => {
         this.#server.once("error", () => resolve(false));
-        this.#server.listen(at, "127.0.0.1", () => resolve(true));
+        this.#server.listen(onPort, "127.0.0.1", () => resolve(true));
       });
-    if (!await listens(port)) await listens(0);
+    if (!await tryListen(port)) await tryListen(0);
     this.#server.removeAllListeners("error");
-    this.#backTimer = undefined;
-    this.onBack();
+    this.#restartTimer = undefined;
+    this.onRestart();
   }
 
   async close(): Promise<void> {
-    clearTimeout(this.#backTimer);
+    clearTimeout(this.#restartTimer);
     this.#server.closeAllConnections();
     await new Promise((resolve) => this.#server.close(resolve));
   }
 
-  async #answer(
+  async #handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -182,7 +188,7 @@
     for await (const chunk of request) chunks.push(chunk as Buffer);
     const { headers } = request;
     if (request.url === "/api/kv-move") {
-      return this.#moveRun(Buffer.concat(chunks).toString("utf8"), response);
+      return this.#handleMove(Buffer.concat(chunks).toString("utf8"), response);
     }
     if (
       headers["expect-instance"] !== undefined &&
@@ -190,12 +196,12 @@
     ) {
       return void response.writeHead(421, { "instance-id": this.id }).end();
     }
-    if (this.isCrashed || this.#crashesCold()) {
+    if (this.hasColdCrashed || this.#recordColdArrival()) {
       return void request.socket.resetAndDestroy();
     }
-    this.#readPrompt(String(headers["prompt-prefix"] ?? ""));
+    this.#countUncached(String(headers["prompt-prefix"] ?? ""));
     if (this.isDraining) response.setHeader("connection", "close");
-    if (this.mood === "shed") {
+    if (this.behavior === "shed") {
       return void response.writeHead(503, { "not-executed": "1" }).end();
     }
     const arrival: RunnerArrival = {
@@ -204,14 +210,17 @@
       headers,
       body: Buffer.concat(chunks).toString("utf8"),
       arrivedMonoMs: performance.now(),
-      cut: false,
+      isCut: false,
     };
-    const goesOnFrom = headers["kv-from"];
-    if (goesOnFrom !== undefined && !copies.delete(String(goesOnFrom))) {
+    const kvSource = headers["kv-from"];
+    if (kvSource !== undefined && !unusedKvCopies.delete(String(kvSource))) {
       return void response.writeHead(503, { "not-executed": "1" }).end();
     }
     this.arrivals.push(arrival);
-    response.on("close", () => void (arrival.cut = !response.writableFinished));
+    response.on(
+      "close",
+      () => void (arrival.isCut = !response.writableFinished),
+    );
     if (this.isFatal(arrival.body)) {
       if (this.#isStream(request)) {
         response.writeHead(200, {
@@ -220,80 +229,81 @@
           "content-type": "text/event-stream",
         }).flushHeaders();
       }
-      return void setTimeout(() => this.end(), this.fatalMs);
+      return void setTimeout(() => this.crash(), this.crashDelayMs);
     }
-    if (this.workMs > 0) {
-      await new Promise((resolve) => setTimeout(resolve, this.workMs));
+    if (this.answerDelayMs > 0) {
+      await new Promise((resolve) => setTimeout(resolve, this.answerDelayMs));
     }
-    this.#act(request, response);
+    this.#respond(request, response);
   }
 
   /** Stops a stream without its end and copies its memory; the other runner of the copy is not asked. */
-  #moveRun(body: string, response: ServerResponse): void {
+  #handleMove(body: string, response: ServerResponse): void {
     const { id, last } = JSON.parse(body) as { id: string; last: boolean };
-    const run = this.#runs.get(id);
-    if (!run || !last) return void response.writeHead(404).end();
-    run.isStopped = true;
-    run.response.destroy();
-    copies.add(`${this.address}/${id}`);
+    const stream = this.#streams.get(id);
+    if (!stream || !last) return void response.writeHead(404).end();
+    stream.isStopped = true;
+    stream.response.destroy();
+    unusedKvCopies.add(`${this.address}/${id}`);
     response.writeHead(200).end(JSON.stringify({ handle: id, created: 0 }));
   }
 
   /** Counts an arrival at a cold runner; it bears half as many again and three, as the users' rules have it. */
-  #crashesCold(): boolean {
+  #recordColdArrival(): boolean {
     if (this.coldPerS === undefined) return false;
     const nowMs = performance.now();
     this.#coldArrivalsMs = this.#coldArrivalsMs.filter((ms) =>
       nowMs - ms < COLD_WINDOW_MS
     );
     this.#coldArrivalsMs.push(nowMs);
-    this.isCrashed = this.#coldArrivalsMs.length > this.coldPerS * 1.5 + 3;
-    return this.isCrashed;
+    this.hasColdCrashed = this.#coldArrivalsMs.length > this.coldPerS * 1.5 + 3;
+    return this.hasColdCrashed;
   }
 
   /** Reads the parts of a prompt from the first one on that it does not keep. */
-  #readPrompt(text: string): void {
-    let isKept = true;
+  #countUncached(text: string): void {
+    let isCached = true;
     for (const part of text.split(",").filter(Boolean)) {
       const [id, tokens] = part.split(":");
-      isKept &&= this.#keptParts.has(id);
-      if (!isKept) this.readTokens += Number(tokens);
-      this.#keptParts.add(id);
+      isCached &&= this.#cachedParts.has(id);
+      if (!isCached) this.uncachedTokens += Number(tokens);
+      this.#cachedParts.add(id);
     }
   }
 
-  #act(request: IncomingMessage, response: ServerResponse): void {
+  #respond(request: IncomingMessage, response: ServerResponse): void {
     const { socket, headers } = request;
-    const own = {
-      "attempt-id": this.mood === "crossed"
+    const stampHeaders = {
+      "attempt-id": this.behavior === "crossed"
         ? "another"
         : String(headers["attempt-id"]),
-      ...(this.mood === "unsigned"
+      ...(this.behavior === "unsigned"
         ? {}
         : { "response-stamp": `stamp-${this.id}` }),
     };
-    if (this.mood === "silent") return;
-    if (this.mood === "reset") return void socket.resetAndDestroy();
-    if (this.mood === "error") {
-      return void response.writeHead(500, own).end("failed");
+    if (this.behavior === "silent") return;
+    if (this.behavior === "reset") return void socket.resetAndDestroy();
+    if (this.behavior === "error") {
+      return void response.writeHead(500, stampHeaders).end("failed");
     }
-    if (this.mood === "resetUnframed") {
+    if (this.behavior === "resetUnframed") {
       socket.write(
         `HTTP/1.1 200 OK\r\nAttempt-Id: ${
-          own["attempt-id"]
+          stampHeaders["attempt-id"]
         }\r\nResponse-Stamp: x\r\n\r\npart`,
         () => setImmediate(() => socket.resetAndDestroy()),
       );
       return;
     }
     if (this.#isStream(request)) {
-      return void this.#stream(request, response, own);
+      return void this.#sendStream(request, response, stampHeaders);
     }
     const body = `served by ${this.id}`;
-    response.writeHead(200, { ...own, "content-length": body.length }).end(
-      body,
-    );
-    if (this.mood === "surplus") {
+    response.writeHead(200, { ...stampHeaders, "content-length": body.length })
+      .end(
+        body,
+      );
+    if (this.behavior === "surplus") {
       socket.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra");
     }
   }
@@ -302,28 +312,31 @@
     return request.url?.startsWith("/stream") ?? false;
   }
 
-  async #stream(
+  async #sendStream(
     request: IncomingMessage,
     response: ServerResponse,
-    own: Record<string, string>,
+    stampHeaders: Record<string, string>,
   ): Promise<void> {
-    response.writeHead(200, { ...own, "content-type": "text/event-stream" });
+    response.writeHead(200, {
+      ...stampHeaders,
+      "content-type": "text/event-stream",
+    });
     const first = Number(request.headers["last-event-id"] ?? 0) + 1;
-    const run: StreamRun = { response, isStopped: false };
-    this.#runs.set(own["attempt-id"], run);
+    const stream: StreamRun = { response, isStopped: false };
+    this.#streams.set(stampHeaders["attempt-id"], stream);
     for (let id = first; id <= this.streamEvents; id++) {
-      if (this.mood === "halfStream" && id > this.streamEvents / 2) {
+      if (this.behavior === "halfStream" && id > this.streamEvents / 2) {
         response.write(
-          eventText(id).slice(0, 8),
+          formatEvent(id).slice(0, 8),
           () => request.socket.resetAndDestroy(),
         );
         return;
       }
-      if (run.isStopped || response.destroyed) return;
-      response.write(eventText(id));
+      if (stream.isStopped || response.destroyed) return;
+      response.write(formatEvent(id));
       await new Promise((resolve) => setTimeout(resolve, this.eventGapMs));
     }
-    this.#runs.delete(own["attempt-id"]);
+    this.#streams.delete(stampHeaders["attempt-id"]);
     response.end();
   }
 }
--- a/src/standins/upstreams_main.ts
+++ b/src/standins/upstreams_main.ts
@@ -7,7 +7,7 @@
 
 import { defineCommand, runMain } from "citty";
 import { openEngine } from "./engine.ts";
-import { openPlain } from "./plain.ts";
+import { openPlainService } from "./plain.ts";
 
 const command = defineCommand({
   meta: { name: "upstreams", description: "Runs stand-in upstreams" },
@@ -33,33 +33,39 @@
   async run({ args }) {
     let port = Number(args["port-base"]);
     const nextPort = () => port === 0 ? 0 : port++;
-    const opened: Announced[] = [];
+    const opened: OpenUpstream[] = [];
     for (let i = 0; i < Number(args.engines); i++) {
       const options = { ...JSON.parse(args.options), port: nextPort() };
-      opened.push(announce(`e${i}`, "engine", await openEngine(options)));
+      opened.push(printUpstream(`e${i}`, "engine", await openEngine(options)));
     }
     for (let i = 0; i < Number(args.plains); i++) {
       const options = {
         ...JSON.parse(args["plain-options"]),
         port: nextPort(),
       };
-      opened.push(announce(`p${i}`, "plain", await openPlain(options)));
+      opened.push(
+        printUpstream(`p${i}`, "plain", await openPlainService(options)),
+      );
     }
-    const stop = () => {
+    const closeAll = () => {
       void Promise.all(opened.map((upstream) => upstream.close()));
     };
-    process.once("SIGTERM", stop);
-    process.once("SIGINT", stop);
+    process.once("SIGTERM", closeAll);
+    process.once("SIGINT", closeAll);
   },
 });
 
-interface Announced {
+interface OpenUpstream {
   readonly url: string;
   readonly controlUrl: string;
   close(): Promise<void>;
 }
 
-function announce(id: string, type: string, upstream: Announced): Announced {
+function printUpstream(
+  id: string,
+  type: string,
+  upstream: OpenUpstream,
+): OpenUpstream {
   const { url, controlUrl } = upstream;
   console.log(JSON.stringify({ type, id, url, controlUrl }));
   return upstream;
--- a/test/edge_crashing_test.ts
+++ b/test/edge_crashing_test.ts
@@ -3,25 +3,25 @@
 import { Runner } from "../src/standins/mod.ts";
 import { driversKey, type EdgeBench, openEdge, upstreamRow } from "./fakes.ts";
 
-const RUNNERS = 6;
-const ATTEMPTS = 10;
+const RUNNER_COUNT = 6;
+const ATTEMPT_COUNT = 10;
 /** Upstreams that one request may end: three, and three more while the VMs tell each other. */
-const MOST_ENDS = 6;
+const MAX_CRASHES = 6;
 const PAUSE_MS = 150;
 /** Longer than an upstream of these is away. */
-const LATE_MS = 300;
+const BLOCK_MS = 300;
 
 interface Bench extends EdgeBench {
   readonly runners: readonly Runner[];
 }
 
-async function open(t: ExecutionContext): Promise<Bench> {
+async function openBench(t: ExecutionContext): Promise<Bench> {
   const runners = await Promise.all(
-    Array.from({ length: RUNNERS }, (_, at) => Runner.open(`r${at}`)),
+    Array.from({ length: RUNNER_COUNT }, (_, i) => Runner.open(`r${i}`)),
   );
-  const rows = runners.flatMap(({ address }, at) => [
-    upstreamRow(`n${at}`, "notes", `http://${address}`),
-    upstreamRow(`p${at}`, "plan", `http://${address}`),
+  const rows = runners.flatMap(({ address }, i) => [
+    upstreamRow(`n${i}`, "notes", `http://${address}`),
+    upstreamRow(`p${i}`, "plan", `http://${address}`),
   ]);
   const edge = await openEdge(rows);
   t.teardown(async () => {
@@ -51,12 +51,12 @@
 }
 
 /** Holds this process up after the runner's end, until it is back: only then the broken connection is seen. */
-function holdUpAfterEnd(runner: Runner): void {
-  const end = runner.end.bind(runner);
-  runner.end = () => {
+function blockAfterCrash(runner: Runner): void {
+  const end = runner.crash.bind(runner);
+  runner.crash = () => {
     setImmediate(() => {
       end();
-      const untilMs = performance.now() + LATE_MS;
+      const untilMs = performance.now() + BLOCK_MS;
       while (performance.now() < untilMs);
     });
   };
@@ -75,25 +75,28 @@
       ["a plain call", "/services/notes/x", FATAL_CALL],
       ["a chat", "/v1/chat/completions", FATAL_CHAT],
     ] as const;
-    const paces = [
+    const variants = [
       ["", (_: Runner) => {}],
-      [", in a process that is late", holdUpAfterEnd],
+      [", in a process that is late", blockAfterCrash],
     ] as const;
     for (const [kind, path, body] of cases) {
-      for (const [pace, prepare] of paces) {
-        it(`ends no more upstreams than allowed, and is refused then: ${kind}${pace}`, async (t) => {
-          const bench = await open(t);
+      for (const [variant, prepare] of variants) {
+        it(`ends no more upstreams than allowed, and is refused then: ${kind}${variant}`, async (t) => {
+          const bench = await openBench(t);
           for (const runner of bench.runners) {
             runner.isFatal = (text) => text.includes(FATAL_CALL);
             prepare(runner);
           }
           let status = 0;
-          for (let at = 0; at < ATTEMPTS; at++) {
+          for (let i = 0; i < ATTEMPT_COUNT; i++) {
             status = await post(bench, path, body);
             await new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
           }
-          const ends = bench.runners.reduce((sum, one) => sum + one.ends, 0);
-          t.true(ends <= MOST_ENDS, `${ends} upstreams ended`);
+          const crashCount = bench.runners.reduce(
+            (sum, runner) => sum + runner.crashCount,
+            0,
+          );
+          t.true(crashCount <= MAX_CRASHES, `${crashCount} upstreams ended`);
           t.is(status, 503);
           t.is(await post(bench, "/services/notes/x", "another"), 200);
         });
--- a/test/edge_guard_test.ts
+++ b/test/edge_guard_test.ts
@@ -13,7 +13,7 @@
   upstreamRow,
 } from "./fakes.ts";
 
-async function open(
+async function openEdgeWithEngine(
   t: ExecutionContext,
   limits: Partial<EdgeLimits> = {},
 ): Promise<EdgeBench> {
@@ -58,7 +58,7 @@
 }
 
 /** Writes raw bytes and returns what comes back until the connection closes. */
-function raw(edge: EdgeBench, text: string): Promise<string> {
+function sendRaw(edge: EdgeBench, text: string): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(
       Number(new URL(edge.url).port),
@@ -89,7 +89,7 @@
     ];
     for (const [name, headers, httpStatus, code] of cases) {
       it(`refuses ${name}`, async (t) => {
-        const edge = await open(t);
+        const edge = await openEdgeWithEngine(t);
         const answer = await send(
           edge,
           "/v1/chat/completions",
@@ -106,7 +106,7 @@
     }
 
     it("lets operators in by token only, and never a caller", async (t) => {
-      const edge = await open(t);
+      const edge = await openEdgeWithEngine(t);
       t.is((await send(edge, "/admin/status", {})).httpStatus, 401);
       t.is((await send(edge, "/admin/status", AUTH)).httpStatus, 403);
       t.is(
@@ -118,7 +118,7 @@
     });
 
     it("keeps secrets out of the dump", async (t) => {
-      const edge = await open(t);
+      const edge = await openEdgeWithEngine(t);
       await send(edge, "/v1/chat/completions", AUTH, PROMPT);
       const dump = JSON.stringify(edge.kernel.dump());
       t.false(dump.includes(driversKey) || dump.includes(operatorToken));
@@ -129,7 +129,7 @@
     // A family's scan bound to Muscat arrives at a VM in Agadir. The VM must send it home by the head alone; the body is
     // held back here, so an answer proves that it was not waited for.
     it("sends a bound request home before its body is read", async (t) => {
-      const edge = await open(t);
+      const edge = await openEdgeWithEngine(t);
       const home: VmInfo = {
         id: "muscat-1",
         incarnation: 1,
@@ -149,7 +149,7 @@
       const head =
         `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${farKey}\r\n` +
         "content-length: 100000\r\n\r\n";
-      const answer = await raw(edge, head);
+      const answer = await sendRaw(edge, head);
       t.true(answer.startsWith("HTTP/1.1 421"), answer);
       const { error } = JSON.parse(answer.slice(answer.indexOf("{")));
       t.deepEqual([error.code, error.ran, error.goTo], [2008, "no", [
@@ -160,14 +160,16 @@
 
     it("holds the stricter of table and caller", async (t) => {
       // The usual limit of the tests, twice 0.3 s for an answer's head, is exceeded while the machine is busy.
-      const edge = await open(t, { upstreamStallMs: 5_000 });
-      const loose = [...edge.table.table!.rows()].map(({ row, version }) =>
+      const edge = await openEdgeWithEngine(t, { upstreamStallMs: 5_000 });
+      const unboundRows = [...edge.table.table!.rows()].map((
+        { row, version },
+      ) =>
         row.kind === "workspace"
           ? { row: { ...row, bound: false }, version }
           : { row, version }
       );
       const { Table } = await import("../src/agreement/mod.ts");
-      edge.table.table = Table.of(2, loose);
+      edge.table.table = Table.of(2, unboundRows);
       const auth = { authorization: `Bearer ${farKey}` };
       t.is(
         (await send(edge, "/v1/chat/completions", auth, PROMPT)).httpStatus,
@@ -228,7 +230,7 @@
     ];
     for (const [name, headers, body, httpStatus, code] of cases) {
       it(`refuses ${name}`, async (t) => {
-        const edge = await open(t, { bodyBytes: 2048 });
+        const edge = await openEdgeWithEngine(t, { bodyBytes: 2048 });
         const answer = await send(edge, "/v1/chat/completions", {
           ...AUTH,
           ...headers,
@@ -243,8 +245,8 @@
     }
 
     it("refuses a head that is too large with a numbered answer", async (t) => {
-      const edge = await open(t, { headerBytes: 2048 });
-      const answer = await raw(
+      const edge = await openEdgeWithEngine(t, { headerBytes: 2048 });
+      const answer = await sendRaw(
         edge,
         `GET /healthz HTTP/1.1\r\nhost: x\r\nx-long: ${
           "a".repeat(5000)
@@ -257,16 +259,16 @@
     });
 
     it("cuts off a body that trickles", async (t) => {
-      const edge = await open(t, { bodyWaitMs: 50 });
+      const edge = await openEdgeWithEngine(t, { bodyWaitMs: 50 });
       const head =
         `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${driversKey}\r\n` +
         "content-length: 1000\r\n\r\n{";
-      const answer = await raw(edge, head);
+      const answer = await sendRaw(edge, head);
       t.true(answer.includes('"code":2012'), answer);
     });
 
     it("refuses more open requests than its limit at once", async (t) => {
-      const edge = await open(t, { openRequests: 0 });
+      const edge = await openEdgeWithEngine(t, { openRequests: 0 });
       const answer = await send(edge, "/v1/chat/completions", AUTH, PROMPT);
       t.deepEqual([answer.httpStatus, answer.code, answer.ran], [
         429,
@@ -277,7 +279,7 @@
     });
 
     it("serves nothing without a table", async (t) => {
-      const edge = await open(t);
+      const edge = await openEdgeWithEngine(t);
       edge.table.table = undefined;
       t.is((await send(edge, "/v1/chat/completions", AUTH, PROMPT)).code, 3007);
       t.is((await fetch(`${edge.url}/readyz`)).status, 503);
--- a/test/edge_plain_test.ts
+++ b/test/edge_plain_test.ts
@@ -3,7 +3,7 @@
 import type { ExecutionContext } from "ava";
 import { describe, it } from "../src/base/describe.ts";
 import {
-  openPlain,
+  openPlainService,
   type PlainFault,
   type PlainService,
 } from "../src/standins/mod.ts";
@@ -13,13 +13,13 @@
   readonly services: readonly PlainService[];
 }
 
-async function open(
+async function openBench(
   t: ExecutionContext,
   count: number,
   runMs = 1,
 ): Promise<Bench> {
   const services = await Promise.all(
-    Array.from({ length: count }, () => openPlain({ runMs })),
+    Array.from({ length: count }, () => openPlainService({ runMs })),
   );
   const rows = services.flatMap((service, i) => [
     upstreamRow(`l${i}`, "ledger", service.url),
@@ -44,14 +44,14 @@
 async function post(
   bench: Bench,
   path: string,
-  key?: string,
+  idempotencyKey?: string,
   headers: Record<string, string> = {},
 ): Promise<Answer> {
   const response = await fetch(bench.url + path, {
     method: "POST",
     headers: {
       authorization: `Bearer ${driversKey}`,
-      ...(key ? { "idempotency-key": key } : {}),
+      ...(idempotencyKey ? { "idempotency-key": idempotencyKey } : {}),
       ...headers,
     },
     body: "flour to Imilchil",
@@ -67,7 +67,7 @@
   };
 }
 
-function runs(bench: Bench): number {
+function countRuns(bench: Bench): number {
   return bench.services.flatMap((service) => service.records()).filter((
     record,
   ) => record.startedAtMs).length;
@@ -76,9 +76,14 @@
 describe("edge", () => {
   describe("a call that may not be repeated", () => {
     it("needs an Idempotency-Key", async (t) => {
-      const bench = await open(t, 1);
+      const bench = await openBench(t, 1);
       const answer = await post(bench, "/services/ledger/departures");
-      t.deepEqual([answer.httpStatus, answer.code, answer.ran, runs(bench)], [
+      t.deepEqual([
+        answer.httpStatus,
+        answer.code,
+        answer.ran,
+        countRuns(bench),
+      ], [
         400,
         2009,
         "no",
@@ -87,17 +92,17 @@
     });
 
     it("runs once, and a second arrival gets the first one's answer", async (t) => {
-      const bench = await open(t, 2);
+      const bench = await openBench(t, 2);
       const first = await post(bench, "/services/ledger/departures", "d1");
       const second = await post(bench, "/services/ledger/departures", "d1");
       t.is(first.httpStatus, 200, first.text);
       t.is(second.text, first.text);
       t.is(second.headers.get("x-ibisgap-repeated"), "true");
-      t.is(runs(bench), 1);
+      t.is(countRuns(bench), 1);
     });
 
     it("is told to be running while the first arrival runs", async (t) => {
-      const bench = await open(t, 1, 200);
+      const bench = await openBench(t, 1, 200);
       const first = post(bench, "/services/ledger/departures", "d2");
       while (bench.services[0].records().length === 0) await sleep(2);
       const second = await post(bench, "/services/ledger/departures", "d2");
@@ -108,18 +113,18 @@
       ]);
       t.truthy(second.headers.get("retry-after"));
       t.is((await first).httpStatus, 200);
-      t.is(runs(bench), 1);
+      t.is(countRuns(bench), 1);
     });
 
     // What the upstream did is known only to it: the connection broke after the call was sent. The caller must hear
     // "unknown", now and on each repeat, and no second upstream may be tried.
-    const lost: { fault: PlainFault; runs: number }[] = [
+    const lostAnswerCases: { fault: PlainFault; runs: number }[] = [
       { fault: { type: "cutAfterRun", times: 1 }, runs: 1 },
       { fault: { type: "cutBeforeRun", times: 1 }, runs: 0 },
     ];
-    for (const { fault, runs: expected } of lost) {
+    for (const { fault, runs: expectedRuns } of lostAnswerCases) {
       it(`is never sent again after a lost answer: ${fault.type}`, async (t) => {
-        const bench = await open(t, 2);
+        const bench = await openBench(t, 2);
         bench.services[0].faults.add(fault);
         const first = await post(bench, "/services/ledger/departures", "d3");
         t.deepEqual([first.httpStatus, first.code, first.ran], [
@@ -133,14 +138,14 @@
           4006,
           "unknown",
         ]);
-        t.is(runs(bench), expected);
+        t.is(countRuns(bench), expectedRuns);
       });
     }
 
     // The first upstream says itself that it did not run the call, or nobody listens at its address: another one may run
     // it under the same claim. Where all refuse, "not run" is the truth and the key can be used again.
     it("goes to another upstream after a refusal, or is told not run", async (t) => {
-      const bench = await open(t, 2);
+      const bench = await openBench(t, 2);
       bench.services[0].faults.add({ type: "refuse" });
       t.is(
         (await post(bench, "/services/ledger/departures", "d4")).httpStatus,
@@ -148,17 +153,21 @@
       );
       bench.services[1].faults.add({ type: "refuse" });
       const refused = await post(bench, "/services/ledger/departures", "d5");
-      t.deepEqual([refused.code, refused.ran, runs(bench)], [3005, "no", 1]);
+      t.deepEqual([refused.code, refused.ran, countRuns(bench)], [
+        3005,
+        "no",
+        1,
+      ]);
       for (const service of bench.services) service.faults.clear();
       t.is(
         (await post(bench, "/services/ledger/departures", "d5")).httpStatus,
         200,
       );
-      t.is(runs(bench), 2);
+      t.is(countRuns(bench), 2);
     });
 
     it("goes to another upstream where nobody listens, or is told not run", async (t) => {
-      const bench = await open(t, 2);
+      const bench = await openBench(t, 2);
       await bench.services[0].close();
       t.is(
         (await post(bench, "/services/ledger/departures", "d4")).httpStatus,
@@ -166,20 +175,28 @@
       );
       await bench.services[1].close();
       const refused = await post(bench, "/services/ledger/departures", "d5");
-      t.deepEqual([refused.code, refused.ran, runs(bench)], [3005, "no", 1]);
+      t.deepEqual([refused.code, refused.ran, countRuns(bench)], [
+        3005,
+        "no",
+        1,
+      ]);
       t.is(bench.claims.states.get("d5"), undefined);
     });
 
     // A crashed upstream resets connections that it had taken. What it did before is not known.
     it("is told unknown where a connection is reset", async (t) => {
-      const bench = await open(t, 2);
+      const bench = await openBench(t, 2);
       bench.services[0].faults.add({ type: "dead" });
       const answer = await post(bench, "/services/ledger/departures", "d4");
-      t.deepEqual([answer.code, answer.ran, runs(bench)], [4003, "unknown", 0]);
+      t.deepEqual([answer.code, answer.ran, countRuns(bench)], [
+        4003,
+        "unknown",
+        0,
+      ]);
     });
 
     it("gets the upstream's own failure as its answer, once", async (t) => {
-      const bench = await open(t, 1);
+      const bench = await openBench(t, 1);
       bench.services[0].faults.add({ type: "failAfterRun", times: 1 });
       t.is(
         (await post(bench, "/services/ledger/departures", "d6")).httpStatus,
@@ -189,13 +206,13 @@
         (await post(bench, "/services/ledger/departures", "d6")).httpStatus,
         500,
       );
-      t.is(runs(bench), 1);
+      t.is(countRuns(bench), 1);
     });
 
     // The VM sleeps between its claim and the dispatch, until another VM may have taken the claim over. It must not send
     // the call any more, and says so.
     it("is not sent after its claim's own deadline", async (t) => {
-      const bench = await open(t, 1);
+      const bench = await openBench(t, 1);
       bench.claims.dispatchMs = -1;
       const answer = await post(bench, "/services/ledger/departures", "d7");
       t.deepEqual([answer.httpStatus, answer.code, answer.ran], [
@@ -203,28 +220,28 @@
         3009,
         "no",
       ]);
-      t.is(runs(bench), 0);
+      t.is(countRuns(bench), 0);
     });
 
     // The upstream sends its head and part of its answer, and hangs. The caller must hear "unknown" and the slot must come
     // back; before, both waited for ever.
     it("is given up when its answer stalls", async (t) => {
-      const hung = createServer((request, response) => {
+      const hangingServer = createServer((request, response) => {
         request.resume();
         response.writeHead(200, { "content-length": 100 });
         response.write("half");
       });
       await new Promise<void>((resolve) =>
-        hung.listen(0, "127.0.0.1", resolve)
+        hangingServer.listen(0, "127.0.0.1", resolve)
       );
-      const { port } = hung.address() as AddressInfo;
+      const { port } = hangingServer.address() as AddressInfo;
       const edge = await openEdge([
         upstreamRow("l0", "ledger", `http://127.0.0.1:${port}`),
       ]);
       t.teardown(async () => {
         await edge.close();
-        hung.closeAllConnections();
-        hung.close();
+        hangingServer.closeAllConnections();
+        hangingServer.close();
       });
       const answer = await post(
         { ...edge, services: [] },
@@ -241,7 +258,7 @@
     });
 
     it("is refused as not run where no claim can be recorded", async (t) => {
-      const bench = await open(t, 1);
+      const bench = await openBench(t, 1);
       bench.claims.refuse = true;
       const answer = await post(bench, "/services/ledger/departures", "d8");
       t.deepEqual([answer.httpStatus, answer.code, answer.ran], [
@@ -249,15 +266,15 @@
         3009,
         "no",
       ]);
-      t.is(runs(bench), 0);
+      t.is(countRuns(bench), 0);
       t.is(bench.slots.canceled.length, 1);
     });
 
     // The caller hangs up while its call runs. The call goes on, and its answer waits for the caller's next try.
     it("goes on without its caller", async (t) => {
-      const bench = await open(t, 1, 100);
+      const bench = await openBench(t, 1, 100);
       const abort = new AbortController();
-      const gone = fetch(`${bench.url}/services/ledger/departures`, {
+      const aborted = fetch(`${bench.url}/services/ledger/departures`, {
         method: "POST",
         headers: {
           authorization: `Bearer ${driversKey}`,
@@ -268,19 +285,19 @@
       });
       while (bench.services[0].records().length === 0) await sleep(2);
       abort.abort();
-      t.is(await gone.catch((error) => error.name), "AbortError");
+      t.is(await aborted.catch((error) => error.name), "AbortError");
       while (bench.claims.states.get("d9") === "running") await sleep(2);
       t.is(
         (await post(bench, "/services/ledger/departures", "d9")).httpStatus,
         200,
       );
-      t.is(runs(bench), 1);
+      t.is(countRuns(bench), 1);
     });
 
     it("tells what became of a key", async (t) => {
-      const bench = await open(t, 1);
+      const bench = await openBench(t, 1);
       await post(bench, "/services/ledger/departures", "d10");
-      const ask = async (key: string) => {
+      const lookUp = async (key: string) => {
         const url = `${bench.url}/v1/requests/${key}?service=ledger`;
         const response = await fetch(url, {
           headers: { authorization: `Bearer ${driversKey}` },
@@ -290,14 +307,14 @@
           (await response.json() as { state?: string }).state,
         ];
       };
-      t.deepEqual(await ask("d10"), [200, "answered"]);
-      t.deepEqual(await ask("never"), [404, undefined]);
+      t.deepEqual(await lookUp("d10"), [200, "answered"]);
+      t.deepEqual(await lookUp("never"), [404, undefined]);
     });
   });
 
   describe("a plain call", () => {
     it("passes method, path, query and headers on, but neither the caller's key nor internal headers", async (t) => {
-      const bench = await open(t, 1);
+      const bench = await openBench(t, 1);
       const response = await fetch(`${bench.url}/services/notes/a/b?c=1`, {
         method: "PUT",
         headers: {
@@ -311,20 +328,20 @@
     });
 
     it("that changes something is not sent twice, one that does not is", async (t) => {
-      const bench = await open(t, 2);
+      const bench = await openBench(t, 2);
       bench.services[0].faults.add({ type: "cutAfterRun" });
       bench.services[1].faults.add({ type: "cutAfterRun" });
-      const changed = await post(bench, "/services/notes/x");
-      t.deepEqual([changed.code, changed.ran, runs(bench)], [
+      const changing = await post(bench, "/services/notes/x");
+      t.deepEqual([changing.code, changing.ran, countRuns(bench)], [
         4003,
         "unknown",
         1,
       ]);
       bench.services[1].faults.clear();
-      const read = await fetch(`${bench.url}/services/notes/x`, {
+      const reading = await fetch(`${bench.url}/services/notes/x`, {
         headers: { authorization: `Bearer ${driversKey}` },
       });
-      t.is(read.status, 200);
+      t.is(reading.status, 200);
     });
   });
 });
--- a/test/edge_stream_test.ts
+++ b/test/edge_stream_test.ts
@@ -2,37 +2,42 @@
 import OpenAI from "openai";
 import { describe, it } from "../src/base/describe.ts";
 import {
-  answerText,
   type Engine,
   type EngineFault,
   type EngineOptions,
+  formatAnswer,
   openEngine,
 } from "../src/standins/mod.ts";
 import { driversKey, type EdgeBench, openEdge, upstreamRow } from "./fakes.ts";
 
-const FAST: EngineOptions = {
+const FAST_ENGINE: EngineOptions = {
   stepMs: 1,
   streamTokensPerS: 5000,
   decodeTokensPerS: 50_000,
 };
-const TOKENS = 20;
+const ANSWER_TOKENS = 20;
 
 interface Bench extends EdgeBench {
   readonly engines: readonly Engine[];
   readonly client: OpenAI;
 }
 
-async function open(
+async function openBench(
   t: ExecutionContext,
   count: number,
   options: EngineOptions = {},
-  row: object = {},
+  rowFields: object = {},
 ): Promise<Bench> {
   const engines = await Promise.all(
-    Array.from({ length: count }, () => openEngine({ ...FAST, ...options })),
+    Array.from(
+      { length: count },
+      () => openEngine({ ...FAST_ENGINE, ...options }),
+    ),
   );
   const edge = await openEdge(
-    engines.map((engine, i) => upstreamRow(`e${i}`, "plan", engine.url, row)),
+    engines.map((engine, i) =>
+      upstreamRow(`e${i}`, "plan", engine.url, rowFields)
+    ),
   );
   t.teardown(async () => {
     await edge.close();
@@ -47,7 +52,7 @@
 }
 
 /** What a stock client makes of a streamed answer: its text, and the error it ended in. */
-async function ask(
+async function streamAnswer(
   client: OpenAI,
   nonce: string,
 ): Promise<{ text: string; error?: string; code?: unknown }> {
@@ -56,7 +61,7 @@
     const stream = await client.chat.completions.create({
       model: "plan",
       stream: true,
-      max_tokens: TOKENS,
+      max_tokens: ANSWER_TOKENS,
       messages: [{
         role: "user",
         content: `nonce:${nonce} which pass is open?`,
@@ -78,30 +83,32 @@
 describe("edge", () => {
   describe("a stock client", () => {
     it("gets a whole streamed answer", async (t) => {
-      const { client, slots } = await open(t, 1);
-      t.deepEqual(await ask(client, "n1"), { text: answerText("n1", TOKENS) });
+      const { client, slots } = await openBench(t, 1);
+      t.deepEqual(await streamAnswer(client, "n1"), {
+        text: formatAnswer("n1", ANSWER_TOKENS),
+      });
       t.is(slots.reports[0].outcome, "done");
       t.deepEqual(slots.started, [slots.reports[0].attemptId]);
     });
 
     it("gets a whole answer in one piece, and a legacy completion", async (t) => {
-      const { client } = await open(t, 1);
+      const { client } = await openBench(t, 1);
       const chat = await client.chat.completions.create({
         model: "plan",
-        max_tokens: TOKENS,
+        max_tokens: ANSWER_TOKENS,
         messages: [{ role: "user", content: "nonce:n2 hello" }],
       });
-      t.is(chat.choices[0].message.content, answerText("n2", TOKENS));
+      t.is(chat.choices[0].message.content, formatAnswer("n2", ANSWER_TOKENS));
       const legacy = await client.completions.create({
         model: "plan",
         max_tokens: 5,
         prompt: "nonce:n3 hello",
       });
-      t.is(legacy.choices[0].text, answerText("n3", 5));
+      t.is(legacy.choices[0].text, formatAnswer("n3", 5));
     });
 
     it("lists the models", async (t) => {
-      const { client } = await open(t, 1);
+      const { client } = await openBench(t, 1);
       const ids = [];
       for await (const model of client.models.list()) ids.push(model.id);
       t.deepEqual(ids, ["plan", "quick"]);
@@ -111,7 +118,7 @@
   describe("a stream that breaks", () => {
     // The caller reads some tokens, then the engine goes away. It cannot resume, so the caller must see an error in the
     // stream, with the tokens so far a true prefix: a clean end would pass for a short answer.
-    const breaks: { name: string; fault: EngineFault }[] = [
+    const breakCases: { name: string; fault: EngineFault }[] = [
       {
         name: "cut connection",
         fault: { type: "cut", afterTokens: 7, times: 1 },
@@ -129,32 +136,34 @@
         fault: { type: "crossed", afterTokens: 7, times: 1 },
       },
     ];
-    for (const { name, fault } of breaks) {
+    for (const { name, fault } of breakCases) {
       it(`ends in an explicit error: ${name}`, async (t) => {
-        const { client, engines, slots } = await open(t, 1);
+        const { client, engines, slots } = await openBench(t, 1);
         engines[0].faults.add(fault);
-        const answer = await ask(client, "n4");
+        const answer = await streamAnswer(client, "n4");
         t.truthy(
           answer.error,
           `a clean end after ${JSON.stringify(answer.text)}`,
         );
         t.is(answer.code, 4004);
-        t.true(answerText("n4", TOKENS).startsWith(answer.text));
+        t.true(formatAnswer("n4", ANSWER_TOKENS).startsWith(answer.text));
         t.is(slots.reports[0].outcome, "failed");
       });
     }
 
     // The engine resumes, as its row says. The caller sees one whole answer: nothing lost, nothing twice.
     for (
-      const { name, fault } of breaks.filter((b) => b.fault.type !== "crossed")
+      const { name, fault } of breakCases.filter((breakCase) =>
+        breakCase.fault.type !== "crossed"
+      )
     ) {
       it(`is resumed where the engine can: ${name}`, async (t) => {
-        const { client, engines } = await open(t, 1, { resumes: true }, {
+        const { client, engines } = await openBench(t, 1, { resumes: true }, {
           resumes: true,
         });
         engines[0].faults.add(fault);
-        t.deepEqual(await ask(client, "n5"), {
-          text: answerText("n5", TOKENS),
+        t.deepEqual(await streamAnswer(client, "n5"), {
+          text: formatAnswer("n5", ANSWER_TOKENS),
         });
       });
     }
@@ -170,39 +179,43 @@
       ] as EngineFault[]
     ) {
       it(`goes to another engine before the first token: ${fault.type}`, async (t) => {
-        const { client, engines, slots } = await open(t, 2);
+        const { client, engines, slots } = await openBench(t, 2);
         engines[0].faults.add(fault);
-        t.deepEqual(await ask(client, "n6"), {
-          text: answerText("n6", TOKENS),
+        t.deepEqual(await streamAnswer(client, "n6"), {
+          text: formatAnswer("n6", ANSWER_TOKENS),
         });
-        t.deepEqual(slots.requests.map((r) => r.exclude), [[], ["e0"]]);
+        t.deepEqual(slots.requests.map((request) => request.exclude), [[], [
+          "e0",
+        ]]);
         t.is(engines[1].records().length, 1);
       });
     }
 
     it("passes a doubled event on once, where the engine numbers events", async (t) => {
-      const { client, engines } = await open(t, 1, { resumes: true }, {
+      const { client, engines } = await openBench(t, 1, { resumes: true }, {
         resumes: true,
       });
       engines[0].faults.add({ type: "duplicate", times: 1 });
-      t.deepEqual(await ask(client, "n7"), { text: answerText("n7", TOKENS) });
+      t.deepEqual(await streamAnswer(client, "n7"), {
+        text: formatAnswer("n7", ANSWER_TOKENS),
+      });
     });
   });
 
   // Many callers at once while one engine crosses answers and the other cuts. Each caller must end with its own whole
   // answer, or with an error after a prefix of its own answer.
   it("never hands one caller's answer to another", async (t) => {
-    const { client, engines } = await open(t, 2);
+    const { client, engines } = await openBench(t, 2);
     for (let i = 0; i < 5; i++) {
       engines[0].faults.add({ type: "crossed", afterTokens: i, times: 2 });
     }
     engines[1].faults.add({ type: "cut", afterTokens: 3, times: 4 });
     const nonces = Array.from({ length: 40 }, (_, i) => `own${i}`);
     const answers = await Promise.all(
-      nonces.map((nonce) => ask(client, nonce)),
+      nonces.map((nonce) => streamAnswer(client, nonce)),
     );
     for (const [i, { text, error }] of answers.entries()) {
-      const whole = answerText(nonces[i], TOKENS);
+      const whole = formatAnswer(nonces[i], ANSWER_TOKENS);
       if (error) t.true(whole.startsWith(text));
       else t.is(text, whole);
     }
@@ -212,7 +225,7 @@
   // The caller closes its connection in the middle of an answer. The engine must stop generating and the slot must come
   // back, or abandoned answers would fill the engines.
   it("cancels at the engine when the caller goes", async (t) => {
-    const { client, engines, slots } = await open(t, 1, {
+    const { client, engines, slots } = await openBench(t, 1, {
       streamTokensPerS: 50,
     });
     const stream = await client.chat.completions.create({
@@ -233,7 +246,7 @@
   // The engine accepts and then says nothing. At the request's deadline the caller gets its final answer at once, and
   // the engine's late answer goes nowhere.
   it("answers at the deadline when no engine does", async (t) => {
-    const { engines, url } = await open(t, 1, {}, { service: "quick" });
+    const { engines, url } = await openBench(t, 1, {}, { service: "quick" });
     engines[0].faults.add({ type: "late", delayMs: 60_000, times: 1 });
     const response = await fetch(`${url}/v1/chat/completions`, {
       method: "POST",
--- a/test/gateway_behind_test.ts
+++ b/test/gateway_behind_test.ts
@@ -1,21 +1,21 @@
 import { once } from "node:events";
 import { connect, type Socket } from "node:net";
 import { describe, itAlone as it } from "../src/base/describe.ts";
-import { type LabVm, openLab, until } from "./gateway_lab.ts";
+import { type LabVm, openLab, waitUntil } from "./gateway_lab.ts";
 
-const LEAVING = 10;
-const SLOW_TURN_MS = 100;
-const BUSY_TURN_MS = 30;
+const CALLER_COUNT = 10;
+const LONG_BLOCK_MS = 100;
+const SHORT_BLOCK_MS = 30;
 
 /** Connects to a VM as a caller. */
-async function reach(vm: LabVm): Promise<Socket> {
+async function connectToVm(vm: LabVm): Promise<Socket> {
   const [host, port] = vm.settings.listen.callers.split(":");
   const socket = connect(Number(port), host);
   await once(socket, "connect");
   return socket;
 }
 
-function askAndLeave(socket: Socket): void {
+function sendAndDisconnect(socket: Socket): void {
   socket.write(
     "GET /safe/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 1\r\n\r\n",
   );
@@ -23,16 +23,16 @@
 }
 
 /** Makes each turn of this process's loop take so long, until closed. */
-function slowTurns(turnMs: number): { close(): void } {
+function blockEventLoop(blockMs: number): { close(): void } {
   const timer = setInterval(() => {
-    const endMs = performance.now() + turnMs;
+    const endMs = performance.now() + blockMs;
     while (performance.now() < endMs);
   }, 1);
   return { close: () => clearInterval(timer) };
 }
 
 /** Requests that were given up, or refused as they could not begin soon. */
-function over(vm: LabVm): number {
+function countCanceledOrShed(vm: LabVm): number {
   const outcomes = vm.log.lines.map(({ fields }) => fields.outcome);
   return outcomes.filter((outcome) =>
     outcome === "canceled" || outcome === "queueFull"
@@ -57,7 +57,7 @@
       socket.destroy();
       const endMs = performance.now() + 700;
       while (performance.now() < endMs);
-      await until(() =>
+      await waitUntil(() =>
         vm.log.lines.some(({ fields }) => fields.outcome === "canceled")
       );
       t.is(lab.runners[0].arrivals.length, before);
@@ -67,15 +67,15 @@
     it("while every turn of the VM is slow is not sent to an upstream", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const sockets = await Promise.all(
-        Array.from({ length: LEAVING }, () => reach(vm)),
+        Array.from({ length: CALLER_COUNT }, () => connectToVm(vm)),
       );
       await lab.call(vm, { path: "/safe/" });
       const before = lab.runners[0].arrivals.length;
-      const slow = slowTurns(SLOW_TURN_MS);
-      await new Promise((resolve) => setTimeout(resolve, 3 * SLOW_TURN_MS));
-      for (const socket of sockets) askAndLeave(socket);
-      await until(() => over(vm) === LEAVING);
-      slow.close();
+      const blocker = blockEventLoop(LONG_BLOCK_MS);
+      await new Promise((resolve) => setTimeout(resolve, 3 * LONG_BLOCK_MS));
+      for (const socket of sockets) sendAndDisconnect(socket);
+      await waitUntil(() => countCanceledOrShed(vm) === CALLER_COUNT);
+      blocker.close();
       t.is(lab.runners[0].arrivals.length, before);
     });
 
@@ -84,11 +84,14 @@
       const { lab, vm } = await openLab(t, 1);
       await lab.call(vm, { path: "/safe/" });
       const before = lab.runners[0].arrivals.length;
-      const slow = slowTurns(BUSY_TURN_MS);
-      const sockets = Array.from({ length: LEAVING }, () => reach(vm));
-      for (const socket of sockets) void socket.then(askAndLeave);
-      await until(() => over(vm) === LEAVING);
-      slow.close();
+      const blocker = blockEventLoop(SHORT_BLOCK_MS);
+      const sockets = Array.from(
+        { length: CALLER_COUNT },
+        () => connectToVm(vm),
+      );
+      for (const socket of sockets) void socket.then(sendAndDisconnect);
+      await waitUntil(() => countCanceledOrShed(vm) === CALLER_COUNT);
+      blocker.close();
       t.is(lab.runners[0].arrivals.length, before);
     });
   });
--- a/test/gateway_beliefs_test.ts
+++ b/test/gateway_beliefs_test.ts
@@ -2,18 +2,18 @@
 import { fileURLToPath } from "node:url";
 import { describe, it } from "../src/base/describe.ts";
 import { parseGatewaySettings } from "../src/gateway/mod.ts";
-import { routeRow } from "../src/standins/mod.ts";
-import { GatewayLab, openLab, ROUTES, until } from "./gateway_lab.ts";
+import { makeRoute } from "../src/standins/mod.ts";
+import { GatewayLab, openLab, ROUTES, waitUntil } from "./gateway_lab.ts";
 
-const IBISGAP = fileURLToPath(
+const IBISGAP_PATH = fileURLToPath(
   new URL("../src/cli/ibisgap.js", import.meta.url),
 );
 
 /** Runs the operators' tool. */
-async function ibisgap(
+async function runIbisgap(
   ...args: string[]
 ): Promise<{ code: number; out: string; err: string }> {
-  const child = spawn(process.execPath, [IBISGAP, ...args]);
+  const child = spawn(process.execPath, [IBISGAP_PATH, ...args]);
   let out = "";
   let err = "";
   child.stdout.on("data", (chunk: Buffer) => void (out += chunk));
@@ -29,9 +29,9 @@
     it("is told its tasks, or one of them", async (t) => {
       const { vm, lab } = await openLab(t, 1);
       const { peers } = vm.settings.listen;
-      const all = await ibisgap("vm-dump", peers);
+      const all = await runIbisgap("vm-dump", peers);
       t.is(all.code, 0, all.err);
-      const beliefs = await ibisgap("vm-dump", peers, "beliefs");
+      const beliefs = await runIbisgap("vm-dump", peers, "beliefs");
       t.regex(beliefs.out, /"configVersion": 3/);
       t.true(beliefs.out.includes(lab.runners[0].id));
       t.deepEqual(
@@ -43,30 +43,30 @@
     it("is told what is wrong with the question", async (t) => {
       const { vm } = await openLab(t, 1);
       const { peers } = vm.settings.listen;
-      const unknown = await ibisgap("vm-dump", peers, "nothing");
-      t.is(unknown.code, 2);
-      t.regex(unknown.err, /there is no task "nothing"; tasks: .*beliefs/);
-      t.is((await ibisgap("vm-dump", "not an address")).code, 2);
-      const nobody = await ibisgap("vm-dump", "127.0.0.1:1");
-      t.is(nobody.code, 3);
-      t.regex(nobody.err, /cannot reach 127\.0\.0\.1:1: .*ECONNREFUSED/);
+      const unknownTask = await runIbisgap("vm-dump", peers, "nothing");
+      t.is(unknownTask.code, 2);
+      t.regex(unknownTask.err, /there is no task "nothing"; tasks: .*beliefs/);
+      t.is((await runIbisgap("vm-dump", "not an address")).code, 2);
+      const unreachable = await runIbisgap("vm-dump", "127.0.0.1:1");
+      t.is(unreachable.code, 3);
+      t.regex(unreachable.err, /cannot reach 127\.0\.0\.1:1: .*ECONNREFUSED/);
     });
   });
 
   describe("what the store says", () => {
     it("of the routes is in force soon, and an older version never comes back", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.configure([...ROUTES, routeRow({ path_prefix: "/new/" })]);
-      await until(async () =>
+      lab.configure([...ROUTES, makeRoute({ path_prefix: "/new/" })]);
+      await waitUntil(async () =>
         (await lab.call(vm, { path: "/new/" })).status === 200
       );
-      lab.server.put("op/config", {
+      lab.store.put("op/config", {
         version: 1,
         routes: [],
         services: [],
         limits: {},
       });
-      lab.server.put("op/config", "garbage");
+      lab.store.put("op/config", "garbage");
       await lab.call(vm, { path: "/safe/" });
       t.is((await lab.call(vm, { path: "/new/" })).status, 200);
     });
@@ -74,18 +74,18 @@
     it("of a leaving or evacuated upstream keeps requests away from it", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       lab.register(lab.runners[0], "north", { state: "draining" });
-      await until(() =>
+      await waitUntil(() =>
         vm.log.lines.some(({ fields }) => fields.state === "draining")
       );
       for (let i = 0; i < 4; i++) await lab.call(vm, { path: "/safe/" });
       t.is(lab.runners[0].arrivals.length, 0);
-      lab.server.put("op/evacuate/north-a", {});
-      await until(() =>
+      lab.store.put("op/evacuate/north-a", {});
+      await waitUntil(() =>
         vm.log.lines.some(({ event }) => event === "evacuated")
       );
       t.is((await lab.call(vm, { path: "/safe/" })).status, 503);
-      lab.server.remove("op/evacuate/north-a");
-      await until(async () =>
+      lab.store.remove("op/evacuate/north-a");
+      await waitUntil(async () =>
         (await lab.call(vm, { path: "/safe/" })).status === 200
       );
     });
@@ -96,15 +96,15 @@
       const lab = new GatewayLab();
       t.teardown(() => lab.close());
       lab.configure();
-      lab.server.faults.set([{ outage: "refuse" }]);
+      lab.store.faults.set([{ outage: "refuse" }]);
       const vm = await lab.addVm();
       const answer = await lab.call(vm, { path: "/safe/" });
       t.is(answer.status, 503);
       t.true(Number(answer.headers["retry-after"]) > 0);
       t.is((await lab.get(vm.settings.listen.ready, "/api/ready")).status, 503);
-      lab.server.faults.clear();
+      lab.store.faults.clear();
       await lab.addRunner();
-      await lab.ready(vm);
+      await lab.waitUntilReady(vm);
       t.is((await lab.call(vm, { path: "/safe/" })).status, 200);
     });
 
@@ -112,14 +112,14 @@
     it("reaches a VM that the store turns away, through another VM", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const second = await lab.addVm();
-      await lab.ready(second);
-      lab.server.faults.set([{ vm: "^vm-1$", outage: "refuse" }]);
-      lab.configure([...ROUTES, routeRow({ path_prefix: "/new/" })]);
-      await until(async () =>
+      await lab.waitUntilReady(second);
+      lab.store.faults.set([{ vm: "^vm-1$", outage: "refuse" }]);
+      lab.configure([...ROUTES, makeRoute({ path_prefix: "/new/" })]);
+      await waitUntil(async () =>
         (await lab.call(vm, { path: "/new/" })).status === 200
       );
       lab.register(lab.runners[0], "north", { state: "draining" });
-      await until(async () =>
+      await waitUntil(async () =>
         (await lab.call(vm, { path: "/safe/" })).status === 503
       );
       t.pass();
@@ -128,21 +128,21 @@
     // A fourth VM of a region does not ask the store about upstreams; it must still stop sending to one that leaves.
     it("reaches a VM that leaves the asking to others", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      for (let i = 0; i < 3; i++) await lab.ready(await lab.addVm());
-      const served = () =>
+      for (let i = 0; i < 3; i++) await lab.waitUntilReady(await lab.addVm());
+      const findServedVms = () =>
         lab.vms.filter(({ gateway }) =>
           (gateway.dump().beliefs as { isServed: boolean }).isServed
         );
-      await until(() => served().length === 3);
-      const asked = new Set(served());
-      const quiet = lab.vms.find((other) => !asked.has(other))!;
-      t.is((await lab.call(quiet, { path: "/safe/" })).status, 200);
+      await waitUntil(() => findServedVms().length === 3);
+      const servedVms = new Set(findServedVms());
+      const unservedVm = lab.vms.find((other) => !servedVms.has(other))!;
+      t.is((await lab.call(unservedVm, { path: "/safe/" })).status, 200);
       lab.register(lab.runners[0], "north", { state: "draining" });
-      await until(async () =>
-        (await lab.call(quiet, { path: "/safe/" })).status === 503
+      await waitUntil(async () =>
+        (await lab.call(unservedVm, { path: "/safe/" })).status === 503
       );
       t.true(
-        quiet.log.lines.some(({ event, fields }) =>
+        unservedVm.log.lines.some(({ event, fields }) =>
           event === "learnt from a peer" && fields.matter === "upstreams"
         ),
       );
@@ -152,18 +152,18 @@
     // All entries lapse in an outage. They are back two seconds after its end; until then their upstreams serve on.
     it("of upstreams that lapsed in an outage is forgotten only when they stay away", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.server.faults.set([{ outage: "refuse" }]);
-      await until(() =>
+      lab.store.faults.set([{ outage: "refuse" }]);
+      await waitUntil(() =>
         vm.log.lines.some(({ event }) => event === "store lost")
       );
-      lab.server.remove(`servers/${lab.runners[0].id}`);
-      lab.server.faults.clear();
-      await until(() =>
+      lab.store.remove(`servers/${lab.runners[0].id}`);
+      lab.store.faults.clear();
+      await waitUntil(() =>
         vm.log.lines.filter(({ event }) => event === "store regained").length >=
           2
       );
       t.is((await lab.call(vm, { path: "/safe/" })).status, 200);
-      await until(() =>
+      await waitUntil(() =>
         vm.log.lines.some(({ event }) => event === "upstream gone")
       );
       t.is((await lab.call(vm, { path: "/safe/" })).status, 503);
@@ -174,22 +174,22 @@
     it("is not ready and not named at once, and serves on what still arrives", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const second = await lab.addVm();
-      await lab.ready(second);
-      const named = async () => {
+      await lab.waitUntilReady(second);
+      const lookUpAddresses = async () => {
         const answer = await lab.get(
           second.settings.listen.directory,
           "/api/lookup?name=h&region=north&zone=north-a",
         );
         return (JSON.parse(answer.body) as { addresses: string[] }).addresses;
       };
-      await until(async () => (await named()).length === 2);
-      const left = vm.gateway.drain();
+      await waitUntil(async () => (await lookUpAddresses()).length === 2);
+      const drained = vm.gateway.drain();
       t.is((await lab.get(vm.settings.listen.ready, "/api/ready")).status, 503);
-      await until(async () => (await named()).length === 1);
-      const late = await lab.call(vm, { path: "/safe/" });
-      t.is(late.status, 200);
-      t.is(late.headers.connection, "close");
-      await left;
+      await waitUntil(async () => (await lookUpAddresses()).length === 1);
+      const lateAnswer = await lab.call(vm, { path: "/safe/" });
+      t.is(lateAnswer.status, 200);
+      t.is(lateAnswer.headers.connection, "close");
+      await drained;
     });
   });
 
@@ -210,10 +210,10 @@
     });
 
     it("and are wrong are told field by field", (t) => {
-      const wrong = parseGatewaySettings(
+      const result = parseGatewaySettings(
         JSON.stringify({ vm: { id: "" }, listen: { callers: "here" } }),
       );
-      const fields = wrong._unsafeUnwrapErr().map(({ field }) => field);
+      const fields = result._unsafeUnwrapErr().map(({ field }) => field);
       for (
         const field of ["vm.id", "vm.ip", "listen.callers", "store", "bounds"]
       ) {
--- a/test/gateway_crashing_test.ts
+++ b/test/gateway_crashing_test.ts
@@ -8,35 +8,37 @@
   type CallerRequest,
   GatewayLab,
   type LabVm,
-  until,
+  waitUntil,
 } from "./gateway_lab.ts";
 
-const FATAL = "ends whatever runs it";
-const ATTEMPTS = 16;
+const FATAL_BODY = "ends whatever runs it";
+const ATTEMPT_COUNT = 16;
 /** Upstreams that one request may end: three, and three more while the VMs tell each other. */
-const MOST_ENDS = 6;
+const MAX_CRASHES = 6;
 const RUNNERS_PER_REGION = 6;
 /** Callers wait for each other, so that the row of attempts takes some seconds, as callers' retries do. */
 const PAUSE_MS = 150;
 
-const KINDS: readonly (readonly [name: string, request: CallerRequest])[] = [
-  ["a stream that runs once", { path: "/streamonce/x", method: "POST" }],
-  ["a call that runs once", { path: "/once/x", method: "POST" }],
-  ["an idempotent call", { path: "/safe/x", method: "POST" }],
-  ["a stream that may be resumed", { path: "/stream/x", method: "POST" }],
-];
+const REQUEST_CASES:
+  readonly (readonly [name: string, request: CallerRequest])[] = [
+    ["a stream that runs once", { path: "/streamonce/x", method: "POST" }],
+    ["a call that runs once", { path: "/once/x", method: "POST" }],
+    ["an idempotent call", { path: "/safe/x", method: "POST" }],
+    ["a stream that may be resumed", { path: "/stream/x", method: "POST" }],
+  ];
 
-const REGIONS: readonly (readonly [name: string, of: readonly string[]])[] = [
-  ["two regions", ["north", "north", "north", "south", "south", "south"]],
-  ["a region with a lead", ["north", "north", "north", "north", "north"]],
-];
+const REGION_CASES:
+  readonly (readonly [name: string, of: readonly string[]])[] = [
+    ["two regions", ["north", "north", "north", "south", "south", "south"]],
+    ["a region with a lead", ["north", "north", "north", "north", "north"]],
+  ];
 
 function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
 /** A VM in each of `regions`, all of which know each other. */
-async function open(
+async function openRegions(
   t: ExecutionContext,
   regions: readonly string[],
 ): Promise<GatewayLab> {
@@ -46,8 +48,10 @@
   for (const region of new Set(regions)) {
     for (let i = 0; i < RUNNERS_PER_REGION; i++) await lab.addRunner(region);
   }
-  for (const region of regions) await lab.ready(await lab.addVm(region));
-  await until(() =>
+  for (const region of regions) {
+    await lab.waitUntilReady(await lab.addVm(region));
+  }
+  await waitUntil(() =>
     lab.vms.every((vm) => {
       const { vms } = vm.gateway.dump().members as { vms: number };
       return vms === regions.length;
@@ -56,12 +60,12 @@
   return lab;
 }
 
-function endsOf(lab: GatewayLab): number {
-  return lab.runners.reduce((sum, { ends }) => sum + ends, 0);
+function countCrashes(lab: GatewayLab): number {
+  return lab.runners.reduce((sum, { crashCount }) => sum + crashCount, 0);
 }
 
 /** Sends a request; one that got no answer has status 0. */
-async function attempt(
+async function tryCall(
   lab: GatewayLab,
   vm: LabVm,
   request: CallerRequest,
@@ -69,43 +73,46 @@
   try {
     return await lab.call(vm, request);
   } catch {
-    return { status: 0, headers: {}, body: "", whole: false };
+    return { status: 0, headers: {}, body: "", isComplete: false };
   }
 }
 
 describe("gateway", () => {
   describe("a request that ends every upstream that runs it", () => {
-    for (const [where, regions] of REGIONS) {
-      for (const [kind, request] of KINDS) {
+    for (const [regionCase, regions] of REGION_CASES) {
+      for (const [requestCase, request] of REQUEST_CASES) {
         // It comes again under new attempts, at each VM in turn.
-        it(`ends no more upstreams than allowed: ${kind}, ${where}`, async (t) => {
-          const lab = await open(t, regions);
+        it(`ends no more upstreams than allowed: ${requestCase}, ${regionCase}`, async (t) => {
+          const lab = await openRegions(t, regions);
           for (const runner of lab.runners) {
-            runner.isFatal = (body) => body === FATAL;
+            runner.isFatal = (body) => body === FATAL_BODY;
           }
-          for (let at = 0; at < ATTEMPTS; at++) {
-            const vm = lab.vms[at % lab.vms.length];
-            await attempt(lab, vm, { ...request, body: FATAL });
+          for (let i = 0; i < ATTEMPT_COUNT; i++) {
+            const vm = lab.vms[i % lab.vms.length];
+            await tryCall(lab, vm, { ...request, body: FATAL_BODY });
             await pause(PAUSE_MS);
           }
-          t.log(`${endsOf(lab)} upstreams ended`);
-          t.true(endsOf(lab) <= MOST_ENDS, `${endsOf(lab)} upstreams ended`);
+          t.log(`${countCrashes(lab)} upstreams ended`);
+          t.true(
+            countCrashes(lab) <= MAX_CRASHES,
+            `${countCrashes(lab)} upstreams ended`,
+          );
         });
       }
     }
   });
 
   describe("a request that is not run again", () => {
-    const request = { path: "/once/z", method: "POST", body: FATAL };
+    const request = { path: "/once/z", method: "POST", body: FATAL_BODY };
 
     /** A lab in which it has ended as many upstreams as it may. */
     async function openRejecting(t: ExecutionContext): Promise<GatewayLab> {
-      const lab = await open(t, ["north", "north"]);
+      const lab = await openRegions(t, ["north", "north"]);
       for (const runner of lab.runners) {
-        runner.isFatal = (body) => body === FATAL;
+        runner.isFatal = (body) => body === FATAL_BODY;
       }
-      await until(async () => {
-        const { status } = await attempt(lab, lab.vms[0], request);
+      await waitUntil(async () => {
+        const { status } = await tryCall(lab, lab.vms[0], request);
         await pause(PAUSE_MS);
         return status === 503;
       });
@@ -115,7 +122,7 @@
     it("tells its caller so at once, and when to come back", async (t) => {
       const lab = await openRejecting(t);
       await pause(PAUSE_MS);
-      const answer = await attempt(lab, lab.vms[1], request);
+      const answer = await tryCall(lab, lab.vms[1], request);
       t.is(answer.status, 503);
       t.is(JSON.parse(answer.body).error.code, 3014);
       t.true(Number(answer.headers["retry-after"]) > 60);
@@ -123,33 +130,33 @@
 
     // All VMs are asked in the same moment; each knows of three ends, and none of the others' tries.
     it("is tried once more by one VM only", async (t) => {
-      const lab = await open(t, ["north", "north", "south", "south"]);
+      const lab = await openRegions(t, ["north", "north", "south", "south"]);
       for (const runner of lab.runners) {
-        runner.isFatal = (body) => body === FATAL;
+        runner.isFatal = (body) => body === FATAL_BODY;
       }
-      for (let end = 0; end < 3; end++) {
-        await attempt(lab, lab.vms[0], request);
+      for (let i = 0; i < 3; i++) {
+        await tryCall(lab, lab.vms[0], request);
         await pause(3 * PAUSE_MS);
       }
-      t.is(endsOf(lab), 3);
-      await Promise.all(lab.vms.map((vm) => attempt(lab, vm, request)));
-      t.is(endsOf(lab), 4);
+      t.is(countCrashes(lab), 3);
+      await Promise.all(lab.vms.map((vm) => tryCall(lab, vm, request)));
+      t.is(countCrashes(lab), 4);
     });
 
     it("leaves other requests alone", async (t) => {
       const lab = await openRejecting(t);
-      const answer = await attempt(lab, lab.vms[0], { ...request, body: "b" });
+      const answer = await tryCall(lab, lab.vms[0], { ...request, body: "b" });
       t.is(answer.status, 200);
     });
 
     it("is known to a VM that starts later", async (t) => {
       const lab = await openRejecting(t);
       const vm = await lab.addVm();
-      await lab.ready(vm);
+      await lab.waitUntilReady(vm);
       await pause(PAUSE_MS);
-      const before = endsOf(lab);
-      t.is((await attempt(lab, vm, request)).status, 503);
-      t.is(endsOf(lab), before);
+      const before = countCrashes(lab);
+      t.is((await tryCall(lab, vm, request)).status, 503);
+      t.is(countCrashes(lab), before);
     });
 
     // The VM that takes it knows nothing yet, and the one that it hands it to rejects it.
@@ -159,21 +166,21 @@
       lab.configure();
       await lab.addRunner("south");
       const north = await lab.addVm("north");
-      await lab.ready(north);
+      await lab.waitUntilReady(north);
       const digest = requestDigest({
         host: ROUTE_HOST,
         target: request.path,
         keyDigest: undefined,
-        body: Buffer.from(FATAL),
+        body: Buffer.from(FATAL_BODY),
       });
-      lab.server.put(`ibisgap/suspects/${digest}`, ["u1", "u2", "u3", "u4"]);
+      lab.store.put(`ibisgap/suspects/${digest}`, ["u1", "u2", "u3", "u4"]);
       const south = await lab.addVm("south");
-      await lab.ready(south);
-      await until(async () => {
-        const answer = await attempt(lab, north, { ...request, body: "good" });
+      await lab.waitUntilReady(south);
+      await waitUntil(async () => {
+        const answer = await tryCall(lab, north, { ...request, body: "good" });
         return answer.status === 200;
       });
-      const answer = await attempt(lab, north, request);
+      const answer = await tryCall(lab, north, request);
       t.is(answer.status, 503);
       t.is(JSON.parse(answer.body).error.code, 3014);
       t.true(Number(answer.headers["retry-after"]) > 60);
@@ -183,48 +190,48 @@
       const lab = await openRejecting(t);
       for (const { gateway } of lab.vms) await gateway.close();
       const vm = await lab.addVm();
-      await lab.ready(vm);
+      await lab.waitUntilReady(vm);
       await pause(PAUSE_MS);
-      const before = endsOf(lab);
-      t.is((await attempt(lab, vm, request)).status, 503);
-      t.is(endsOf(lab), before);
+      const before = countCrashes(lab);
+      t.is((await tryCall(lab, vm, request)).status, 503);
+      t.is(countCrashes(lab), before);
     });
   });
 
   describe("an idempotent call that was given up for want of an answer", () => {
     // Its first upstream ends under it after the VM has gone on to a second one, which answers nobody either.
     it("has all of its ends counted", async (t) => {
-      const lab = await open(t, ["north"]);
+      const lab = await openRegions(t, ["north"]);
       for (const runner of lab.runners) {
-        runner.isFatal = (body) => body === FATAL;
-        runner.fatalMs = 250;
+        runner.isFatal = (body) => body === FATAL_BODY;
+        runner.crashDelayMs = 250;
       }
-      const request = { path: "/safe/t", method: "POST", body: FATAL };
-      await attempt(lab, lab.vms[0], request);
-      await until(() => {
+      const request = { path: "/safe/t", method: "POST", body: FATAL_BODY };
+      await tryCall(lab, lab.vms[0], request);
+      await waitUntil(() => {
         const { suspects } = lab.vms[0].gateway.dump() as {
           suspects: readonly { ends: object }[];
         };
         return Object.keys(suspects[0]?.ends ?? {}).length === 2;
       });
-      t.is(endsOf(lab), 2);
+      t.is(countCrashes(lab), 2);
     });
   });
 
   describe("an upstream that is back before anybody looks", () => {
     // Its address takes connections again in the step in which it ended; only the born of its entry tells of the end.
     it("counts against the request that ended it", async (t) => {
-      const lab = await open(t, ["north"]);
-      const request = { path: "/once/u", method: "POST", body: FATAL };
+      const lab = await openRegions(t, ["north"]);
+      const request = { path: "/once/u", method: "POST", body: FATAL_BODY };
       for (const runner of lab.runners) {
-        runner.mood = "reset";
-        runner.onBack();
+        runner.behavior = "reset";
+        runner.onRestart();
       }
-      await attempt(lab, lab.vms[0], request);
+      await tryCall(lab, lab.vms[0], request);
       await pause(PAUSE_MS);
       t.deepEqual(lab.vms[0].gateway.dump().suspects, []);
-      for (const runner of lab.runners) runner.onBack();
-      await until(() => {
+      for (const runner of lab.runners) runner.onRestart();
+      await waitUntil(() => {
         const { suspects } = lab.vms[0].gateway.dump() as {
           suspects: readonly { standing: string }[];
         };
@@ -237,15 +244,15 @@
   describe("a request whose connections are reset", () => {
     // The upstream lives on, so that nothing speaks against the request.
     it("is served however often that was", async (t) => {
-      const lab = await open(t, ["north"]);
+      const lab = await openRegions(t, ["north"]);
       const request = { path: "/once/w", method: "POST", body: "good" };
-      for (const runner of lab.runners) runner.mood = "reset";
-      for (let at = 0; at < 6; at++) {
-        t.is((await attempt(lab, lab.vms[0], request)).status, 502);
+      for (const runner of lab.runners) runner.behavior = "reset";
+      for (let i = 0; i < 6; i++) {
+        t.is((await tryCall(lab, lab.vms[0], request)).status, 502);
       }
-      for (const runner of lab.runners) runner.mood = "well";
-      await until(async () =>
-        (await attempt(lab, lab.vms[0], request)).status === 200
+      for (const runner of lab.runners) runner.behavior = "well";
+      await waitUntil(async () =>
+        (await tryCall(lab, lab.vms[0], request)).status === 200
       );
       const { suspects } = lab.vms[0].gateway.dump();
       t.deepEqual(suspects, []);
@@ -255,45 +262,45 @@
   describe("a request whose upstreams ended for other causes", () => {
     // Three upstreams in a row end while they run it, and the fourth does not.
     it("is served after three ends", async (t) => {
-      const lab = await open(t, ["north", "north", "north"]);
+      const lab = await openRegions(t, ["north", "north", "north"]);
       const request = { path: "/once/y", method: "POST", body: "good" };
-      for (const runner of lab.runners) runner.workMs = 60;
-      for (let end = 0; end < 3; end++) {
+      for (const runner of lab.runners) runner.answerDelayMs = 60;
+      for (let i = 0; i < 3; i++) {
         const before = lab.runners.map(({ arrivals }) => arrivals.length);
-        const vm = lab.vms[end % lab.vms.length];
-        const answer = attempt(lab, vm, request);
-        const isRunning = (at: number) =>
-          lab.runners[at].arrivals.length > before[at];
-        await until(() => lab.runners.some((_, at) => isRunning(at)));
-        lab.runners.find((_, at) => isRunning(at))!.end();
+        const vm = lab.vms[i % lab.vms.length];
+        const answer = tryCall(lab, vm, request);
+        const isRunning = (index: number) =>
+          lab.runners[index].arrivals.length > before[index];
+        await waitUntil(() => lab.runners.some((_, index) => isRunning(index)));
+        lab.runners.find((_, index) => isRunning(index))!.crash();
         t.not((await answer).status, 200);
         await pause(2 * PAUSE_MS);
       }
-      const answer = await attempt(lab, lab.vms[0], request);
+      const answer = await tryCall(lab, lab.vms[0], request);
       t.is(answer.status, 200);
     });
 
     // The leave to run once more comes from the store; without it nobody knows who else tries.
     it("waits for the store to be served after three ends", async (t) => {
-      const lab = await open(t, ["north"]);
+      const lab = await openRegions(t, ["north"]);
       const request = { path: "/once/v", method: "POST", body: "good" };
       for (const runner of lab.runners) runner.isFatal = () => true;
-      for (let end = 0; end < 3; end++) {
-        await attempt(lab, lab.vms[0], request);
+      for (let i = 0; i < 3; i++) {
+        await tryCall(lab, lab.vms[0], request);
         await pause(2 * PAUSE_MS);
       }
       for (const runner of lab.runners) runner.isFatal = () => false;
-      lab.server.faults.set([{ outage: "refuse" }]);
-      const refused = await attempt(lab, lab.vms[0], request);
+      lab.store.faults.set([{ outage: "refuse" }]);
+      const refused = await tryCall(lab, lab.vms[0], request);
       t.is(refused.status, 503);
       t.is(JSON.parse(refused.body).error.code, 3015);
-      lab.server.faults.set([{ slowMs: 3_000 }]);
-      const askedMs = performance.now();
-      const late = await attempt(lab, lab.vms[0], request);
-      t.is(JSON.parse(late.body).error.code, 3015);
-      t.true(performance.now() - askedMs < 1_400, "before its deadline");
-      lab.server.faults.clear();
-      t.is((await attempt(lab, lab.vms[0], request)).status, 200);
+      lab.store.faults.set([{ slowMs: 3_000 }]);
+      const startMs = performance.now();
+      const refusedLate = await tryCall(lab, lab.vms[0], request);
+      t.is(JSON.parse(refusedLate.body).error.code, 3015);
+      t.true(performance.now() - startMs < 1_400, "before its deadline");
+      lab.store.faults.clear();
+      t.is((await tryCall(lab, lab.vms[0], request)).status, 200);
     });
   });
 });
--- a/test/gateway_engines_test.ts
+++ b/test/gateway_engines_test.ts
@@ -1,26 +1,30 @@
 import type { ExecutionContext } from "ava";
 import { describe, it } from "../src/base/describe.ts";
-import { routeRow, streamText } from "../src/standins/mod.ts";
-import { GatewayLab, openLab, until } from "./gateway_lab.ts";
+import { formatStream, makeRoute } from "../src/standins/mod.ts";
+import { GatewayLab, openLab, waitUntil } from "./gateway_lab.ts";
 
-const CALLS = 40;
+const CALL_COUNT = 40;
 /** Events of a stream that lasts long enough to move. */
-const MOVED_EVENTS = 160;
+const LONG_STREAM_EVENTS = 160;
 
 /** A lab of one route of streams that run once, whose engines are as given, and that many of them. */
-async function openEngines(
+async function openEngineLab(
   t: ExecutionContext,
-  engine: Record<string, unknown>,
-  route: Record<string, unknown>,
-  engines: number,
+  engineFields: Record<string, unknown>,
+  routeFields: Record<string, unknown>,
+  engineCount: number,
 ): Promise<GatewayLab> {
   const lab = new GatewayLab();
   t.teardown(() => lab.close());
   lab.configure(
-    [routeRow({ path_prefix: "/streamonce/", kind: "streaming", ...route })],
-    { engine: { slots: 128, kv_capacity: 300_000, ...engine } },
+    [makeRoute({
+      path_prefix: "/streamonce/",
+      kind: "streaming",
+      ...routeFields,
+    })],
+    { engine: { slots: 128, kv_capacity: 300_000, ...engineFields } },
   );
-  for (let i = 0; i < engines; i++) await lab.addRunner();
+  for (let i = 0; i < engineCount; i++) await lab.addRunner();
   return lab;
 }
 
@@ -34,31 +38,31 @@
       const cold = await lab.addRunner("north", { cold_left_ms: 60_000 });
       const warm = await lab.addRunner();
       cold.coldPerS = 4;
-      warm.workMs = 30;
+      warm.answerDelayMs = 30;
       const vms = [await lab.addVm(), await lab.addVm()];
-      for (const vm of vms) await lab.ready(vm);
+      for (const vm of vms) await lab.waitUntilReady(vm);
       for (const vm of vms) {
-        await until(() =>
+        await waitUntil(() =>
           (vm.gateway.dump().members as { reporters: unknown[] }).reporters
             .length === 1
         );
       }
       const answers = await Promise.all(
         Array.from(
-          { length: CALLS },
+          { length: CALL_COUNT },
           (_, i) => lab.call(vms[i % 2], { path: "/safe/" }),
         ),
       );
-      t.false(cold.isCrashed);
+      t.false(cold.hasColdCrashed);
       t.true(
-        answers.filter(({ status }) => status === 200).length >= CALLS / 2,
+        answers.filter(({ status }) => status === 200).length >= CALL_COUNT / 2,
       );
     });
 
     it("read a prompt that requests share once, not once each", async (t) => {
-      const lab = await openEngines(t, {}, { sticky: true }, 3);
+      const lab = await openEngineLab(t, {}, { sticky: true }, 3);
       const vm = await lab.addVm();
-      await lab.ready(vm);
+      await lab.waitUntilReady(vm);
       for (let i = 0; i < 12; i++) {
         const answer = await lab.call(vm, {
           path: "/streamonce/",
@@ -71,7 +75,7 @@
         t.is(answer.status, 200);
       }
       const readTokens = lab.runners.reduce(
-        (sum, runner) => sum + runner.readTokens,
+        (sum, runner) => sum + runner.uncachedTokens,
         0,
       );
       t.is(readTokens, 6_000 + 12 * 100);
@@ -80,41 +84,43 @@
     // A stream that must run once is under way when a long prompt comes to its engine, the only one. Then another engine
     // appears. The stream stops at the first, goes on at the second with its memory, and the caller gets each event once.
     it("that read a long prompt lose their streams to calm ones, whole and run once", async (t) => {
-      const lab = await openEngines(
+      const lab = await openEngineLab(
         t,
         { stride: 8, moves: true },
         { sticky: true, gap_target_ms: 200, timeout_ms: 30_000 },
         1,
       );
-      const [reading] = lab.runners;
-      reading.streamEvents = MOVED_EVENTS;
-      reading.eventGapMs = 25;
+      const [prefilling] = lab.runners;
+      prefilling.streamEvents = LONG_STREAM_EVENTS;
+      prefilling.eventGapMs = 25;
       const vm = await lab.addVm();
-      await lab.ready(vm);
-      const ask = (tokens: number) =>
+      await lab.waitUntilReady(vm);
+      const send = (promptTokens: number) =>
         lab.call(vm, {
           path: "/streamonce/",
           method: "POST",
           headers: {
-            "token-counts": `${tokens},${8 * MOVED_EVENTS}`,
-            "prompt-prefix": `book:100,own${tokens}:${tokens - 100}`,
+            "token-counts": `${promptTokens},${8 * LONG_STREAM_EVENTS}`,
+            "prompt-prefix": `book:100,own${promptTokens}:${
+              promptTokens - 100
+            }`,
             "deadline-ms": "30000",
           },
         });
-      const answer = ask(600);
-      await until(() => reading.arrivals.length === 1);
-      reading.workMs = 4_000;
-      const long = ask(100_000);
-      await until(() => reading.arrivals.length === 2);
-      const calm = await lab.addRunner();
-      calm.streamEvents = MOVED_EVENTS;
-      const { body, whole } = await answer;
-      reading.streamEvents = 1;
-      t.true(whole);
-      t.is(body, streamText(0, MOVED_EVENTS));
-      t.is(calm.arrivals.length, 1);
-      t.true(calm.arrivals[0].headers["kv-from"] !== undefined);
-      t.is((await long).status, 200);
+      const answer = send(600);
+      await waitUntil(() => prefilling.arrivals.length === 1);
+      prefilling.answerDelayMs = 4_000;
+      const longAnswer = send(100_000);
+      await waitUntil(() => prefilling.arrivals.length === 2);
+      const idle = await lab.addRunner();
+      idle.streamEvents = LONG_STREAM_EVENTS;
+      const { body, isComplete } = await answer;
+      prefilling.streamEvents = 1;
+      t.true(isComplete);
+      t.is(body, formatStream(0, LONG_STREAM_EVENTS));
+      t.is(idle.arrivals.length, 1);
+      t.true(idle.arrivals[0].headers["kv-from"] !== undefined);
+      t.is((await longAnswer).status, 200);
     });
 
     // The upstream says on its answers that it leaves; its store entry comes later. A connection that it ends must not
@@ -138,11 +144,11 @@
         path: "/once/",
         method: "POST",
         headers: { "content-length": "10", "deadline-ms": "300" },
-        keepOpen: true,
+        isHeadOnly: true,
       });
       t.is(answer.status, 503);
       t.is(lab.runners[0].arrivals.length, 0);
-      await until(() =>
+      await waitUntil(() =>
         (vm.gateway.dump().front as { open: number }).open === 0
       );
     });
--- a/test/gateway_keys_test.ts
+++ b/test/gateway_keys_test.ts
@@ -1,35 +1,35 @@
 import { describe, it } from "../src/base/describe.ts";
 import { secretDigest } from "../src/base/mod.ts";
 import {
-  CONFIG_ROW_KEY,
-  configRow,
-  routeRow,
-  workspaceRow,
+  makeConfig,
+  makeRoute,
+  makeWorkspace,
+  PLATFORM_CONFIG_KEY,
 } from "../src/standins/mod.ts";
 import {
   type CallerRequest,
   GatewayLab,
   type LabVm,
   ROUTES,
-  until,
+  waitUntil,
 } from "./gateway_lab.ts";
 
 const KEY = "key-of-the-convoys-1";
 const OTHER_KEY = "key-of-the-clinic-2";
 const WORKSPACES = [
-  workspaceRow("convoys", [KEY, "key-of-the-convoys-2"]),
-  workspaceRow("clinic", [OTHER_KEY]),
+  makeWorkspace("convoys", [KEY, "key-of-the-convoys-2"]),
+  makeWorkspace("clinic", [OTHER_KEY]),
 ];
 const OPEN_ROUTES = [
   ...ROUTES,
-  routeRow({ path_prefix: "/open/", anonymous: true }),
+  makeRoute({ path_prefix: "/open/", anonymous: true }),
 ];
 
 function withKey(key: string): Pick<CallerRequest, "headers"> {
   return { headers: { authorization: `Bearer ${key}` } };
 }
 
-async function openKeyed(
+async function openLabWithKeys(
   t: { teardown(run: () => Promise<void>): void },
   regions: readonly string[] = ["north"],
 ): Promise<{ readonly lab: GatewayLab; readonly vm: LabVm }> {
@@ -37,14 +37,16 @@
   t.teardown(() => lab.close());
   lab.configure(OPEN_ROUTES, {}, WORKSPACES);
   for (const region of regions) await lab.addRunner(region);
-  for (const region of regions) await lab.ready(await lab.addVm(region));
+  for (const region of regions) {
+    await lab.waitUntilReady(await lab.addVm(region));
+  }
   return { lab, vm: lab.vms[0] };
 }
 
 describe("gateway", () => {
   describe("a caller's key", () => {
     it("names its workspace to the upstream, which sees neither key nor a forged name", async (t) => {
-      const { lab, vm } = await openKeyed(t);
+      const { lab, vm } = await openLabWithKeys(t);
       const answer = await lab.call(vm, {
         path: "/safe/",
         headers: { authorization: `bearer ${OTHER_KEY}`, tenant: "convoys" },
@@ -56,7 +58,7 @@
       t.false(JSON.stringify(headers).includes(secretDigest(OTHER_KEY)));
     });
 
-    const bad: Record<string, Record<string, string | string[]>> = {
+    const refusedHeaders: Record<string, Record<string, string | string[]>> = {
       "that is missing": {},
       "that nobody holds": { authorization: "Bearer nobody" },
       "in odd case": { authorization: `Bearer ${KEY.toUpperCase()}` },
@@ -68,13 +70,13 @@
       "and a name alone": { tenant: "convoys" },
       "of another VM's relay": { "ibisgap-key-digest": secretDigest(KEY) },
     };
-    for (const [name, headers] of Object.entries(bad)) {
+    for (const [name, headers] of Object.entries(refusedHeaders)) {
       it(`${name} is refused by the head alone`, async (t) => {
-        const { lab, vm } = await openKeyed(t);
+        const { lab, vm } = await openLabWithKeys(t);
         const answer = await lab.call(vm, {
           path: "/once/",
           method: "POST",
-          keepOpen: true,
+          isHeadOnly: true,
           headers: {
             ...headers as Record<string, string>,
             "content-length": "5",
@@ -86,7 +88,7 @@
     }
 
     it("is not asked for on an anonymous route", async (t) => {
-      const { lab, vm } = await openKeyed(t);
+      const { lab, vm } = await openLabWithKeys(t);
       const answer = await lab.call(vm, {
         path: "/open/",
         headers: { tenant: "convoys" },
@@ -96,9 +98,9 @@
     });
 
     it("stays with the upstream where there are no workspaces", async (t) => {
-      const { lab, vm } = await openKeyed(t);
+      const { lab, vm } = await openLabWithKeys(t);
       lab.configure(OPEN_ROUTES);
-      await until(async () =>
+      await waitUntil(async () =>
         (await lab.call(vm, { path: "/safe/" })).status === 200
       );
       await lab.call(vm, { path: "/safe/", ...withKey("theirs") });
@@ -110,9 +112,9 @@
 
     // The other region's VM looks the workspace up by itself: what a stranger says on its port counts for nothing.
     it("is told to another region by its digest, and a forged relay is refused", async (t) => {
-      const { lab, vm } = await openKeyed(t, ["north", "south"]);
-      const ask = { path: "/south/", method: "POST", ...withKey(KEY) };
-      await until(async () => (await lab.call(vm, ask)).status === 200);
+      const { lab, vm } = await openLabWithKeys(t, ["north", "south"]);
+      const request = { path: "/south/", method: "POST", ...withKey(KEY) };
+      await waitUntil(async () => (await lab.call(vm, request)).status === 200);
       const [, south] = lab.runners;
       const arrival = south.arrivals.at(-1)!;
       t.is(arrival.headers.tenant, "convoys");
@@ -124,12 +126,12 @@
     });
 
     it("never shows in a log, a dump or what VMs tell each other", async (t) => {
-      const { lab, vm } = await openKeyed(t);
+      const { lab, vm } = await openLabWithKeys(t);
       await lab.call(vm, { path: "/safe/", ...withKey(KEY) });
       await lab.call(vm, { path: "/safe/", ...withKey("not-a-key-of-anyone") });
       const { peers } = vm.settings.listen;
       const [host, port] = peers.split(":");
-      const told = await fetch(`http://${host}:${port}/ibisgap/rpc`, {
+      const news = await fetch(`http://${host}:${port}/ibisgap/rpc`, {
         method: "POST",
         body: JSON.stringify({
           jsonrpc: "2.0",
@@ -138,64 +140,69 @@
           params: { matter: "operators", since: 0 },
         }),
       }).then((answer) => answer.text());
-      t.true(told.includes("convoys"));
+      t.true(news.includes("convoys"));
       const { ip } = vm.settings.vm;
       const metrics = await lab.get(
         `${ip}:${vm.settings.listen.metrics}`,
         "/metrics",
       );
-      const all = [
-        told,
+      const allOutput = [
+        news,
         metrics.body,
         JSON.stringify(vm.gateway.dump()),
         JSON.stringify(vm.log.lines),
       ].join();
       for (const key of [KEY, OTHER_KEY, "not-a-key-of-anyone"]) {
-        t.false(all.includes(key), key);
+        t.false(allOutput.includes(key), key);
       }
     });
   });
 
   describe("a key that is taken away", () => {
-    const LESS = [
-      workspaceRow("convoys", ["key-of-the-convoys-2"]),
-      workspaceRow("clinic", [OTHER_KEY]),
+    const FEWER_KEYS = [
+      makeWorkspace("convoys", ["key-of-the-convoys-2"]),
+      makeWorkspace("clinic", [OTHER_KEY]),
     ];
 
     it("is refused soon, and no older version brings it back", async (t) => {
-      const { lab, vm } = await openKeyed(t);
-      const ask = { path: "/safe/", ...withKey(KEY) };
-      t.is((await lab.call(vm, ask)).status, 200);
-      lab.configure(OPEN_ROUTES, {}, LESS);
-      await until(async () => (await lab.call(vm, ask)).status === 401);
-      lab.server.put(
-        CONFIG_ROW_KEY,
-        configRow(1, OPEN_ROUTES, {}, WORKSPACES),
+      const { lab, vm } = await openLabWithKeys(t);
+      const request = { path: "/safe/", ...withKey(KEY) };
+      t.is((await lab.call(vm, request)).status, 200);
+      lab.configure(OPEN_ROUTES, {}, FEWER_KEYS);
+      await waitUntil(async () => (await lab.call(vm, request)).status === 401);
+      lab.store.put(
+        PLATFORM_CONFIG_KEY,
+        makeConfig(1, OPEN_ROUTES, {}, WORKSPACES),
       );
-      await lab.call(vm, ask);
-      t.is((await lab.call(vm, ask)).status, 401);
-      const kept = { path: "/safe/", ...withKey("key-of-the-convoys-2") };
-      t.is((await lab.call(vm, kept)).status, 200);
+      await lab.call(vm, request);
+      t.is((await lab.call(vm, request)).status, 401);
+      const otherKeyRequest = {
+        path: "/safe/",
+        ...withKey("key-of-the-convoys-2"),
+      };
+      t.is((await lab.call(vm, otherKeyRequest)).status, 200);
     });
 
     // The store turns one VM away just when keys are taken away, and shows no sign of it. Its neighbour tells it.
     it("is refused by a VM that the store turns away", async (t) => {
-      const { lab, vm } = await openKeyed(t, ["north", "north"]);
-      const ask = { path: "/safe/", ...withKey(KEY) };
-      t.is((await lab.call(vm, ask)).status, 200);
-      lab.server.faults.set([{ outage: "refuse", vm: vm.settings.vm.id }]);
-      lab.configure(OPEN_ROUTES, {}, LESS);
-      await until(async () => (await lab.call(vm, ask)).status === 401);
-      t.is((await lab.call(lab.vms[1], ask)).status, 401);
+      const { lab, vm } = await openLabWithKeys(t, ["north", "north"]);
+      const request = { path: "/safe/", ...withKey(KEY) };
+      t.is((await lab.call(vm, request)).status, 200);
+      lab.store.faults.set([{ outage: "refuse", vm: vm.settings.vm.id }]);
+      lab.configure(OPEN_ROUTES, {}, FEWER_KEYS);
+      await waitUntil(async () => (await lab.call(vm, request)).status === 401);
+      t.is((await lab.call(lab.vms[1], request)).status, 401);
     });
 
     it("is refused by a VM that starts in that moment", async (t) => {
-      const { lab } = await openKeyed(t);
-      lab.configure(OPEN_ROUTES, {}, LESS);
-      const fresh = await lab.addVm();
-      const ask = { path: "/safe/", ...withKey(KEY) };
-      await until(async () => (await lab.call(fresh, ask)).status !== 503);
-      t.is((await lab.call(fresh, ask)).status, 401);
+      const { lab } = await openLabWithKeys(t);
+      lab.configure(OPEN_ROUTES, {}, FEWER_KEYS);
+      const newVm = await lab.addVm();
+      const request = { path: "/safe/", ...withKey(KEY) };
+      await waitUntil(async () =>
+        (await lab.call(newVm, request)).status !== 503
+      );
+      t.is((await lab.call(newVm, request)).status, 401);
     });
 
     // Operators would rather have callers refused. The store turns the one VM away, so it can't know any more; a VM that
@@ -206,57 +213,63 @@
       lab.configure(OPEN_ROUTES, {}, WORKSPACES);
       await lab.addRunner();
       const vm = await lab.addVm("north", { strictRevokeMs: 1_000 });
-      await lab.ready(vm);
-      const ask = { path: "/safe/", ...withKey(KEY) };
+      await lab.waitUntilReady(vm);
+      const request = { path: "/safe/", ...withKey(KEY) };
       const sleep = () => new Promise((resolve) => setTimeout(resolve, 1_500));
       await sleep();
-      t.is((await lab.call(vm, ask)).status, 200);
-      lab.server.faults.set([{ outage: "refuse", vm: vm.settings.vm.id }]);
-      await until(async () => (await lab.call(vm, ask)).status === 503);
+      t.is((await lab.call(vm, request)).status, 200);
+      lab.store.faults.set([{ outage: "refuse", vm: vm.settings.vm.id }]);
+      await waitUntil(async () => (await lab.call(vm, request)).status === 503);
       t.is((await lab.call(vm, { path: "/open/" })).status, 200);
-      await lab.ready(await lab.addVm("north", { strictRevokeMs: 1_000 }));
-      await until(async () => (await lab.call(vm, ask)).status === 200);
+      await lab.waitUntilReady(
+        await lab.addVm("north", { strictRevokeMs: 1_000 }),
+      );
+      await waitUntil(async () => (await lab.call(vm, request)).status === 200);
       await sleep();
-      t.is((await lab.call(vm, ask)).status, 200);
+      t.is((await lab.call(vm, request)).status, 200);
     });
 
     it("lets a stream that it began end", async (t) => {
-      const { lab, vm } = await openKeyed(t);
+      const { lab, vm } = await openLabWithKeys(t);
       lab.runners[0].eventGapMs = 100;
       const stream = lab.call(vm, { path: "/stream/", ...withKey(KEY) });
-      await until(() => lab.runners[0].arrivals.length > 0);
-      lab.configure(OPEN_ROUTES, {}, LESS);
-      t.true((await stream).whole);
+      await waitUntil(() => lab.runners[0].arrivals.length > 0);
+      lab.configure(OPEN_ROUTES, {}, FEWER_KEYS);
+      t.true((await stream).isComplete);
     });
   });
 
   it("knows a key that is added as soon", async (t) => {
-    const { lab, vm } = await openKeyed(t);
-    const ask = { path: "/safe/", ...withKey("new") };
-    t.is((await lab.call(vm, ask)).status, 401);
+    const { lab, vm } = await openLabWithKeys(t);
+    const request = { path: "/safe/", ...withKey("new") };
+    t.is((await lab.call(vm, request)).status, 401);
     lab.configure(OPEN_ROUTES, {}, [
       ...WORKSPACES,
-      workspaceRow("new", ["new"]),
+      makeWorkspace("new", ["new"]),
     ]);
-    await until(async () => (await lab.call(vm, ask)).status === 200);
+    await waitUntil(async () => (await lab.call(vm, request)).status === 200);
     t.is(lab.runners[0].arrivals.at(-1)?.headers.tenant, "new");
   });
 
   // A workspace's homes and a route's bind both. Where they share no region the caller is told so at once.
   it("serves a workspace in its homes alone", async (t) => {
-    const { lab, vm } = await openKeyed(t, ["north", "south"]);
+    const { lab, vm } = await openLabWithKeys(t, ["north", "south"]);
     lab.configure(OPEN_ROUTES, {}, [
-      workspaceRow("convoys", [KEY], { home_regions: ["south"] }),
-      workspaceRow("clinic", [OTHER_KEY], { home_regions: ["north"] }),
+      makeWorkspace("convoys", [KEY], { home_regions: ["south"] }),
+      makeWorkspace("clinic", [OTHER_KEY], { home_regions: ["north"] }),
     ]);
-    const south = { path: "/safe/", ...withKey(KEY) };
-    await until(async () =>
-      (await lab.call(vm, south)).body === `served by ${lab.runners[1].id}`
+    const southRequest = { path: "/safe/", ...withKey(KEY) };
+    await waitUntil(async () =>
+      (await lab.call(vm, southRequest)).body ===
+        `served by ${lab.runners[1].id}`
     );
     for (let i = 0; i < 5; i++) {
-      t.is((await lab.call(vm, south)).body, `served by ${lab.runners[1].id}`);
+      t.is(
+        (await lab.call(vm, southRequest)).body,
+        `served by ${lab.runners[1].id}`,
+      );
     }
-    const nowhere = { path: "/southsafe/", ...withKey(OTHER_KEY) };
-    t.is((await lab.call(vm, nowhere)).status, 403);
+    const unservableRequest = { path: "/southsafe/", ...withKey(OTHER_KEY) };
+    t.is((await lab.call(vm, unservableRequest)).status, 403);
   });
 });
