--- a/test/gateway_lab.ts
+++ b/test/gateway_lab.ts
@@ -10,13 +10,13 @@
 import { Gateway, type GatewaySettings } from "../src/gateway/mod.ts";
 import type { Log } from "../src/kernel/mod.ts";
 import {
-  CONFIG_ROW_KEY,
-  configRow,
   KvServer,
+  makeConfig,
+  makeRoute,
+  makeUpstreamEntry,
+  PLATFORM_CONFIG_KEY,
   ROUTE_HOST,
-  routeRow,
   Runner,
-  upstreamRow,
 } from "../src/standins/mod.ts";
 import { keepLog } from "./kept.ts";
 
@@ -26,7 +26,7 @@
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
   /** Whether the body ended in order. */
-  readonly whole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** A caller's request. */
@@ -36,14 +36,14 @@
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
   /** Sends the head alone. */
-  readonly keepOpen?: boolean;
+  readonly isHeadOnly?: boolean;
   /** Leaves as soon as this holds. */
-  readonly leaveWhen?: () => boolean;
+  readonly abortWhen?: () => boolean;
 }
 
 /** VMs of one lab, at most; each lab has as many addresses. */
-const MOST_VMS = 6;
-let labs = 0;
+const MAX_VMS = 6;
+let labCount = 0;
 
 /** One line of the log. */
 export interface LogLine {
@@ -82,12 +82,20 @@
 
 /** The routes that most tests use. */
 export const ROUTES = [
-  routeRow(),
-  routeRow({ path_prefix: "/once/", kind: "unsafe", max_attempts: 2 }),
-  routeRow({ path_prefix: "/stream/", kind: "streaming", resumable: true }),
-  routeRow({ path_prefix: "/southsafe/", home_regions: ["south"] }),
-  routeRow({ path_prefix: "/streamonce/", kind: "streaming", max_attempts: 1 }),
-  routeRow({ path_prefix: "/south/", kind: "unsafe", home_regions: ["south"] }),
+  makeRoute(),
+  makeRoute({ path_prefix: "/once/", kind: "unsafe", max_attempts: 2 }),
+  makeRoute({ path_prefix: "/stream/", kind: "streaming", resumable: true }),
+  makeRoute({ path_prefix: "/southsafe/", home_regions: ["south"] }),
+  makeRoute({
+    path_prefix: "/streamonce/",
+    kind: "streaming",
+    max_attempts: 1,
+  }),
+  makeRoute({
+    path_prefix: "/south/",
+    kind: "unsafe",
+    home_regions: ["south"],
+  }),
 ];
 
 /** One VM. */
@@ -99,36 +107,38 @@
 
 /** See the module. Addresses are 127.x.y.z, so that all VMs have the same ports, as on the platform. */
 export class GatewayLab {
-  readonly server = new KvServer({ readsPerS: 10_000, writesPerS: 10_000 });
+  readonly store = new KvServer({ readsPerS: 10_000, writesPerS: 10_000 });
   readonly runners: Runner[] = [];
   readonly vms: LabVm[] = [];
-  readonly #block = labs++;
+  readonly #addressBlock = labCount++;
   readonly #agent = new Agent({ keepAlive: true });
-  #version = 0;
+  #configVersion = 0;
 
   /** Writes a newer configuration. */
   configure(
     routes: readonly unknown[] = ROUTES,
-    more: Record<string, unknown> = {},
+    extraFields: Record<string, unknown> = {},
     workspaces?: readonly unknown[],
   ): void {
-    this.#version += 3;
-    this.server.put(
-      CONFIG_ROW_KEY,
-      configRow(this.#version, routes, more, workspaces),
+    this.#configVersion += 3;
+    this.store.put(
+      PLATFORM_CONFIG_KEY,
+      makeConfig(this.#configVersion, routes, extraFields, workspaces),
     );
   }
 
   /** Opens an upstream in a region and registers it. */
   async addRunner(
     region = "north",
-    more: Record<string, unknown> = {},
+    entryFields: Record<string, unknown> = {},
   ): Promise<Runner> {
-    const runner = await Runner.open(`i-${this.#block}-${this.runners.length}`);
+    const runner = await Runner.open(
+      `i-${this.#addressBlock}-${this.runners.length}`,
+    );
     this.runners.push(runner);
-    this.register(runner, region, more);
-    runner.onBack = () =>
-      this.register(runner, region, { ...more, born: Date.now() });
+    this.register(runner, region, entryFields);
+    runner.onRestart = () =>
+      this.register(runner, region, { ...entryFields, born: Date.now() });
     return runner;
   }
 
@@ -136,11 +146,11 @@
   register(
     runner: Runner,
     region = "north",
-    more: Record<string, unknown> = {},
+    entryFields: Record<string, unknown> = {},
   ): void {
-    this.server.put(
+    this.store.put(
       `servers/${runner.id}`,
-      upstreamRow(runner.address, region, more),
+      makeUpstreamEntry(runner.address, region, entryFields),
     );
   }
 
@@ -152,7 +162,7 @@
     const index = this.vms.length + 1;
     // Test files run in threads of one process; each lab of each gets addresses of its own.
     const ip = `127.${20 + threadId % 200}.${process.pid & 255}.${
-      this.#block * MOST_VMS + index
+      this.#addressBlock * MAX_VMS + index
     }`;
     const settings: GatewaySettings = {
       vm: {
@@ -176,7 +186,7 @@
       seeds: this.vms.map((vm) => vm.settings.listen.peers),
       failureDomains: { "north-a": "north", "south-a": "south" },
       store: {
-        address: await this.server.addressFor(`vm-${index}`),
+        address: await this.store.openAddressFor(`vm-${index}`),
         leastLeaseMs: 1_000,
       },
       bounds: {
@@ -199,11 +209,11 @@
   }
 
   /** Waits until a VM says that it is ready. */
-  async ready(vm: LabVm): Promise<void> {
-    await until(async () =>
+  async waitUntilReady(vm: LabVm): Promise<void> {
+    await waitUntil(async () =>
       (await this.get(vm.settings.listen.ready, "/api/ready")).status === 200
     );
-    await until(() => {
+    await waitUntil(() => {
       const { fleet } = vm.gateway.dump().beliefs as {
         fleet: { upstreams: unknown[] };
       };
@@ -213,28 +223,29 @@
 
   /** Asks one of a VM's listeners. */
   get(address: string, path: string): Promise<CallerAnswer> {
-    return this.#ask(address, { path });
+    return this.#send(address, { path });
   }
 
   /** Sends a caller's request. */
   call(vm: LabVm, input: CallerRequest): Promise<CallerAnswer> {
-    return this.#ask(vm.settings.listen.callers, input);
+    return this.#send(vm.settings.listen.callers, input);
   }
 
   async close(): Promise<void> {
     this.#agent.destroy();
     for (const { gateway } of this.vms) await gateway.close();
     for (const runner of this.runners) await runner.close();
-    await this.server.close();
+    await this.store.close();
   }
 
-  #ask(
+  #send(
     address: string,
-    { path, method = "GET", headers, body, leaveWhen, keepOpen }: CallerRequest,
+    { path, method = "GET", headers, body, abortWhen, isHeadOnly }:
+      CallerRequest,
   ): Promise<CallerAnswer> {
     const [host, port] = address.split(":");
     return new Promise((resolve, reject) => {
-      const call = request({
+      const clientRequest = request({
         agent: this.#agent,
         host,
         port,
@@ -247,19 +258,22 @@
           ...headers,
         },
       });
-      call.on("response", (answer) => void readAnswer(answer).then(resolve));
-      call.on(
+      clientRequest.on(
+        "response",
+        (answer) => void readAnswer(answer).then(resolve),
+      );
+      clientRequest.on(
         "error",
         (error) =>
-          leaveWhen === undefined
+          abortWhen === undefined
             ? reject(error)
-            : resolve({ status: 0, headers: {}, body: "", whole: false }),
+            : resolve({ status: 0, headers: {}, body: "", isComplete: false }),
       );
-      if (leaveWhen !== undefined) {
-        void until(leaveWhen).then(() => call.destroy());
+      if (abortWhen !== undefined) {
+        void waitUntil(abortWhen).then(() => clientRequest.destroy());
       }
-      if (keepOpen) call.flushHeaders();
-      else call.end(body);
+      if (isHeadOnly) clientRequest.flushHeaders();
+      else clientRequest.end(body);
     });
   }
 }
@@ -272,7 +286,7 @@
         status: answer.statusCode ?? 0,
         headers: answer.headers,
         body: Buffer.concat(chunks).toString("utf8"),
-        whole: answer.complete,
+        isComplete: answer.complete,
       });
     answer.on("data", (chunk: Buffer) => chunks.push(chunk));
     answer.on("error", finish);
@@ -281,11 +295,11 @@
 }
 
 /** Waits for a condition; a hang guard only, no verdict depends on how long it takes. */
-export async function until(
-  done: () => boolean | Promise<boolean>,
+export async function waitUntil(
+  condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
   for (let i = 0; i < 2_000; i++) {
-    if (await done()) return;
+    if (await condition()) return;
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
   throw new Error("waited in vain");
@@ -294,24 +308,24 @@
 /** One VM before some upstreams of its region. */
 export async function openLab(
   t: ExecutionContext,
-  runners: number,
+  runnerCount: number,
 ): Promise<{ readonly lab: GatewayLab; readonly vm: LabVm }> {
   const lab = new GatewayLab();
   t.teardown(() => lab.close());
   lab.configure();
-  for (let i = 0; i < runners; i++) await lab.addRunner();
+  for (let i = 0; i < runnerCount; i++) await lab.addRunner();
   const vm = await lab.addVm();
-  await lab.ready(vm);
+  await lab.waitUntilReady(vm);
   return { lab, vm };
 }
 
 /** Calls until the other region has been found, and answers through it. */
-export async function reach(
+export async function waitUntilServedBy(
   lab: GatewayLab,
   vm: LabVm,
   runnerId: string,
 ): Promise<void> {
-  await until(async () => {
+  await waitUntil(async () => {
     const answer = await lab.call(vm, { path: "/south/", method: "POST" });
     return answer.status === 200 && answer.body === `served by ${runnerId}`;
   });
--- a/test/gateway_quota_test.ts
+++ b/test/gateway_quota_test.ts
@@ -1,35 +1,35 @@
 import { describe, it } from "../src/base/describe.ts";
-import { workspaceRow } from "../src/standins/mod.ts";
+import { makeWorkspace } from "../src/standins/mod.ts";
 import {
   type CallerAnswer,
   GatewayLab,
   type LabVm,
   ROUTES,
-  until,
+  waitUntil,
 } from "./gateway_lab.ts";
 
 const KEYS = { convoys: "key-1", clinic: "key-2" } as const;
 type Workspace = keyof typeof KEYS;
 /** Tokens of each request. */
-const UNITS = 500;
+const REQUEST_UNITS = 500;
 /** As the lab's settings have it. */
-const EXCESS = 0.1;
+const EXCESS_RATIO = 0.1;
 const SLACK_UNITS = 1_000;
 
-function limits(unitsPerS: number) {
+function limitedWorkspaces(unitsPerS: number) {
   return [
-    workspaceRow("convoys", [KEYS.convoys], {
+    makeWorkspace("convoys", [KEYS.convoys], {
       rate_per_s: unitsPerS,
       burst: unitsPerS,
     }),
-    workspaceRow("clinic", [KEYS.clinic], {
+    makeWorkspace("clinic", [KEYS.clinic], {
       rate_per_s: 100_000,
       burst: 100_000,
     }),
   ];
 }
 
-function call(
+function sendRequest(
   lab: GatewayLab,
   vm: LabVm,
   workspace: Workspace = "convoys",
@@ -38,7 +38,7 @@
     path: "/safe/",
     headers: {
       authorization: `Bearer ${KEYS[workspace]}`,
-      "token-counts": `${UNITS - 100},100`,
+      "token-counts": `${REQUEST_UNITS - 100},100`,
     },
   });
 }
@@ -50,7 +50,7 @@
 }
 
 /** What is left of the flooding workspace's limit, at each VM that counts it. */
-function levels(lab: GatewayLab): number[] {
+function readLevels(lab: GatewayLab): number[] {
   return lab.vms.flatMap((vm) => {
     const { workspaces } = vm.gateway.dump().quotas as QuotasDump;
     return workspaces.convoys ? [workspaces.convoys.level] : [];
@@ -58,38 +58,38 @@
 }
 
 /** Two VMs in the north and one in the south, whose leads count. */
-async function openLimited(
+async function openLabWithLimits(
   t: { teardown(run: () => Promise<void>): void },
   unitsPerS: number,
 ): Promise<GatewayLab> {
   const lab = new GatewayLab();
   t.teardown(() => lab.close());
-  lab.configure(ROUTES, {}, limits(unitsPerS));
+  lab.configure(ROUTES, {}, limitedWorkspaces(unitsPerS));
   await lab.addRunner("north", { slots: 64 });
   await lab.addRunner("south");
   for (const region of ["north", "north", "south"]) {
-    await lab.ready(await lab.addVm(region));
+    await lab.waitUntilReady(await lab.addVm(region));
   }
-  const quotas = () =>
+  const dumpQuotas = () =>
     lab.vms.map((vm) => vm.gateway.dump().quotas as QuotasDump);
-  await until(() =>
-    quotas().every(({ vms }) => vms === lab.vms.length) &&
-    quotas().filter(({ isAuthority }) => isAuthority).length === 2
+  await waitUntil(() =>
+    dumpQuotas().every(({ vms }) => vms === lab.vms.length) &&
+    dumpQuotas().filter(({ isAuthority }) => isAuthority).length === 2
   );
   return lab;
 }
 
 /** Calls from both northern VMs for some time; what passed and what was refused. */
-async function flood(lab: GatewayLab, forMs: number) {
+async function flood(lab: GatewayLab, durationMs: number) {
   const startMs = performance.now();
   const answers: CallerAnswer[] = [];
-  while (performance.now() - startMs < forMs) {
+  while (performance.now() - startMs < durationMs) {
     const [first, second] = lab.vms;
     answers.push(
       ...await Promise.all([
-        call(lab, first),
-        call(lab, second),
-        call(lab, second),
+        sendRequest(lab, first),
+        sendRequest(lab, second),
+        sendRequest(lab, second),
       ]),
     );
     await new Promise((resolve) => setTimeout(resolve, 10));
@@ -107,37 +107,40 @@
     // A flood comes to both VMs of a region at once. Each alone would let the whole limit pass.
     it("is refused over all VMs together, and told when to come back", async (t) => {
       const unitsPerS = 5_000;
-      const lab = await openLimited(t, unitsPerS);
+      const lab = await openLabWithLimits(t, unitsPerS);
       const { tookMs, passed, refused, answers } = await flood(lab, 2_000);
       t.is(passed + refused.length, answers.length);
-      const most = unitsPerS * (tookMs / 1_000 + 1) * (1 + EXCESS) +
+      const maxUnits = unitsPerS * (tookMs / 1_000 + 1) * (1 + EXCESS_RATIO) +
         SLACK_UNITS;
-      t.true(passed * UNITS <= most, `${passed * UNITS} of ${most}`);
+      t.true(
+        passed * REQUEST_UNITS <= maxUnits,
+        `${passed * REQUEST_UNITS} of ${maxUnits}`,
+      );
       t.true(refused.length > 0);
       for (const { headers } of refused) {
         t.true(Number(headers["retry-after"]) > 0);
       }
       const waitMs = Number(refused.at(-1)!.headers["retry-after"]) * 1_000;
       await new Promise((resolve) => setTimeout(resolve, waitMs + 20));
-      t.is((await call(lab, lab.vms[0])).status, 200);
+      t.is((await sendRequest(lab, lab.vms[0])).status, 200);
       t.is(lab.runners[0].arrivals.length, passed + 1);
     });
 
     it("leaves the others alone", async (t) => {
-      const lab = await openLimited(t, 1_000);
+      const lab = await openLabWithLimits(t, 1_000);
       const [first] = lab.vms;
       const flooding = flood(lab, 600);
       for (let i = 0; i < 10; i++) {
-        t.is((await call(lab, first, "clinic")).status, 200);
+        t.is((await sendRequest(lab, first, "clinic")).status, 200);
       }
       t.true((await flooding).refused.length > 0);
     });
 
     it("is served again when operators raise the limit", async (t) => {
-      const lab = await openLimited(t, 1_000);
+      const lab = await openLabWithLimits(t, 1_000);
       await flood(lab, 300);
-      lab.configure(ROUTES, {}, limits(1_000_000));
-      await until(() =>
+      lab.configure(ROUTES, {}, limitedWorkspaces(1_000_000));
+      await waitUntil(() =>
         lab.vms.every(({ log }) =>
           log.lines.some(({ event, fields }) =>
             event === "config in force" && fields.configVersion === 6
@@ -150,17 +153,17 @@
 
   // The upstream refuses and runs nothing, and the caller is told so: a limit that counted it would refuse it twice.
   it("counts nothing of a workspace's limit for what has not run", async (t) => {
-    const lab = await openLimited(t, 5_000);
+    const lab = await openLabWithLimits(t, 5_000);
     const [first, second] = lab.vms;
-    await until(async () => (await call(lab, first)).status === 200);
-    await until(() => levels(lab).some((level) => level === 1));
-    for (const runner of lab.runners) runner.mood = "shed";
+    await waitUntil(async () => (await sendRequest(lab, first)).status === 200);
+    await waitUntil(() => readLevels(lab).some((level) => level === 1));
+    for (const runner of lab.runners) runner.behavior = "shed";
     // Counted, they would use several times what the limit gives in the time that they take.
     for (let i = 0; i < 40; i++) {
-      const { status } = await call(lab, i % 2 === 0 ? first : second);
+      const { status } = await sendRequest(lab, i % 2 === 0 ? first : second);
       t.is(status, 503);
     }
-    for (const runner of lab.runners) runner.mood = "well";
-    t.is((await call(lab, second)).status, 200);
+    for (const runner of lab.runners) runner.behavior = "well";
+    t.is((await sendRequest(lab, second)).status, 200);
   });
 });
--- a/test/gateway_repeats_test.ts
+++ b/test/gateway_repeats_test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from "../src/base/describe.ts";
-import { openLab, until } from "./gateway_lab.ts";
+import { openLab, waitUntil } from "./gateway_lab.ts";
 
 describe("gateway", () => {
   describe("the budget of repeats", () => {
@@ -13,25 +13,25 @@
         bounds: { ...bounds, repeatRatio: 0, repeatSlack: 0 },
       });
       // Both entries name addresses that other upstreams have.
-      for (const [at, runner] of lab.runners.entries()) {
-        lab.server.put(`servers/${runner.id}`, {
+      for (const [index, runner] of lab.runners.entries()) {
+        lab.store.put(`servers/${runner.id}`, {
           service: "s",
-          address: lab.runners[1 - at].address,
+          address: lab.runners[1 - index].address,
           zone: "north-a",
           slots: 8,
           state: "ready",
           seq: 2,
         });
       }
-      const portOf = (id: string) => {
+      const findPort = (id: string) => {
         const { fleet } = vm.gateway.dump().beliefs as {
           fleet: { upstreams: { id: string; port: number }[] };
         };
         return fleet.upstreams.find((known) => known.id === id)?.port;
       };
-      await until(() =>
-        lab.runners.every((runner, at) =>
-          lab.runners[1 - at].address.endsWith(`:${portOf(runner.id)}`)
+      await waitUntil(() =>
+        lab.runners.every((runner, index) =>
+          lab.runners[1 - index].address.endsWith(`:${findPort(runner.id)}`)
         )
       );
       const answer = await lab.call(vm, { path: "/safe/" });
@@ -51,7 +51,7 @@
         ...vm.settings,
         bounds: { ...bounds, repeatRatio: 0, repeatSlack: 0 },
       });
-      for (const runner of lab.runners) runner.workMs = 500;
+      for (const runner of lab.runners) runner.answerDelayMs = 500;
       t.is((await lab.call(vm, { path: "/safe/" })).status, 200);
     });
   });
--- a/test/gateway_test.ts
+++ b/test/gateway_test.ts
@@ -3,8 +3,8 @@
 import { connect } from "node:net";
 import { fileURLToPath } from "node:url";
 import { describe, it } from "../src/base/describe.ts";
-import { STREAM_EVENTS, streamText } from "../src/standins/mod.ts";
-import { openLab, reach, until } from "./gateway_lab.ts";
+import { DEFAULT_STREAM_EVENTS, formatStream } from "../src/standins/mod.ts";
+import { openLab, waitUntil, waitUntilServedBy } from "./gateway_lab.ts";
 
 describe("gateway", () => {
   describe("a request", () => {
@@ -56,17 +56,17 @@
 
     it("too large in head or body is refused and not run", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      const large = await lab.call(vm, {
+      const largeBody = await lab.call(vm, {
         path: "/once/",
         method: "POST",
         body: "x".repeat(10_001),
       });
-      t.is(large.status, 413);
-      const head = await lab.call(vm, {
+      t.is(largeBody.status, 413);
+      const largeHead = await lab.call(vm, {
         path: "/once/",
         headers: { "x-long": "y".repeat(5_000) },
       });
-      t.is(head.status, 431);
+      t.is(largeHead.status, 431);
       t.is(lab.runners[0].arrivals.length, 0);
     });
 
@@ -89,7 +89,7 @@
   describe("an upstream that fails", () => {
     it("by refusing is replaced by another", async (t) => {
       const { lab, vm } = await openLab(t, 2);
-      lab.runners[0].mood = "shed";
+      lab.runners[0].behavior = "shed";
       for (let i = 0; i < 6; i++) {
         t.is(
           (await lab.call(vm, { path: "/once/", method: "POST" })).status,
@@ -101,7 +101,7 @@
 
     it("by refusing alone leaves a promise that nothing was run, with a time", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.runners[0].mood = "shed";
+      lab.runners[0].behavior = "shed";
       const answer = await lab.call(vm, { path: "/once/", method: "POST" });
       t.is(answer.status, 503);
       t.true(Number(answer.headers["retry-after"]) > 0);
@@ -111,7 +111,7 @@
     // caller would send it again.
     it("after it ran an at-most-once call is not replaced, and nothing is promised", async (t) => {
       const { lab, vm } = await openLab(t, 2);
-      for (const runner of lab.runners) runner.mood = "reset";
+      for (const runner of lab.runners) runner.behavior = "reset";
       const answer = await lab.call(vm, { path: "/once/", method: "POST" });
       t.is(answer.status, 502);
       t.is(lab.runners[0].arrivals.length + lab.runners[1].arrivals.length, 1);
@@ -119,7 +119,7 @@
 
     it("after it ran an idempotent call is replaced", async (t) => {
       const { lab, vm } = await openLab(t, 2);
-      lab.runners[0].mood = "reset";
+      lab.runners[0].behavior = "reset";
       for (let i = 0; i < 4; i++) {
         t.is((await lab.call(vm, { path: "/safe/" })).status, 200);
       }
@@ -127,7 +127,7 @@
 
     it("by silence is replaced for an idempotent call", async (t) => {
       const { lab, vm } = await openLab(t, 2);
-      lab.runners[0].mood = "silent";
+      lab.runners[0].behavior = "silent";
       for (let i = 0; i < 3; i++) {
         t.is((await lab.call(vm, { path: "/safe/" })).status, 200);
       }
@@ -135,19 +135,19 @@
 
     it("by silence ends an at-most-once call at its deadline, without a promise", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.runners[0].mood = "silent";
+      lab.runners[0].behavior = "silent";
       const answer = await lab.call(vm, {
         path: "/once/",
         method: "POST",
         headers: { "deadline-ms": "300" },
       });
       t.is(answer.status, 504);
-      await until(() => lab.runners[0].arrivals[0].cut);
+      await waitUntil(() => lab.runners[0].arrivals[0].isCut);
     });
 
     it("with an error of its own passes it on if nobody else is there", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.runners[0].mood = "error";
+      lab.runners[0].behavior = "error";
       const answer = await lab.call(vm, { path: "/safe/" });
       t.is(answer.status, 500);
       t.is(answer.headers["response-stamp"], `stamp-${lab.runners[0].id}`);
@@ -157,15 +157,15 @@
     // for a whole one.
     it("in the middle of an answer without a length breaks the caller's connection", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.runners[0].mood = "resetUnframed";
+      lab.runners[0].behavior = "resetUnframed";
       const answer = await lab.call(vm, { path: "/once/", method: "POST" });
-      t.false(answer.whole && answer.status === 200);
+      t.false(answer.isComplete && answer.status === 200);
     });
 
     it("with an answer to another attempt, or unsigned, gives its caller none of it", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       for (const mood of ["crossed", "unsigned"] as const) {
-        lab.runners[0].mood = mood;
+        lab.runners[0].behavior = mood;
         const answer = await lab.call(vm, { path: "/once/", method: "POST" });
         t.is(answer.status, 502, mood);
         t.false(answer.body.includes("served by"));
@@ -176,7 +176,7 @@
     // somebody else's.
     it("with a second answer loses its connection, and the next request gets its own", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.runners[0].mood = "surplus";
+      lab.runners[0].behavior = "surplus";
       for (let i = 0; i < 4; i++) {
         const answer = await lab.call(vm, { path: "/once/", method: "POST" });
         t.is(answer.body, `served by ${lab.runners[0].id}`);
@@ -186,18 +186,18 @@
     // Its address was given to another upstream, which would run what is meant for the first.
     it("and whose address another has now is passed over", async (t) => {
       const { lab, vm } = await openLab(t, 2);
-      const [gone, next] = lab.runners;
-      lab.server.put(`servers/${gone.id}`, {
+      const [replaced, current] = lab.runners;
+      lab.store.put(`servers/${replaced.id}`, {
         service: "s",
-        address: next.address,
+        address: current.address,
         zone: "north-a",
         slots: 8,
         state: "ready",
         seq: 2,
       });
-      await until(() =>
+      await waitUntil(() =>
         JSON.stringify(vm.gateway.dump().beliefs).split(
-          next.address.split(":")[1],
+          current.address.split(":")[1],
         ).length > 2
       );
       for (let i = 0; i < 4; i++) {
@@ -206,7 +206,7 @@
           200,
         );
       }
-      t.is(gone.arrivals.length, 0);
+      t.is(replaced.arrivals.length, 0);
     });
   });
 
@@ -217,43 +217,43 @@
         path: "/streamonce/",
         method: "POST",
       });
-      t.is(answer.body, streamText());
-      t.true(answer.whole);
+      t.is(answer.body, formatStream());
+      t.true(answer.isComplete);
     });
 
     // Its engine stops in the middle of an event. The caller sees one stream, each event once, with the first engine's
     // head.
     it("that can be resumed goes on elsewhere after its last whole event", async (t) => {
       const { lab, vm } = await openLab(t, 2);
-      for (const runner of lab.runners) runner.mood = "halfStream";
+      for (const runner of lab.runners) runner.behavior = "halfStream";
       const call = lab.call(vm, { path: "/stream/", method: "POST" });
-      await until(() =>
+      await waitUntil(() =>
         lab.runners.some(({ arrivals }) => arrivals.length > 0)
       );
       const first = lab.runners.find(({ arrivals }) => arrivals.length > 0)!;
       for (const runner of lab.runners) {
-        if (runner !== first) runner.mood = "well";
+        if (runner !== first) runner.behavior = "well";
       }
       const answer = await call;
-      t.is(answer.body, streamText());
-      t.true(answer.whole);
+      t.is(answer.body, formatStream());
+      t.true(answer.isComplete);
       t.is(answer.headers["response-stamp"], `stamp-${first.id}`);
       const second = lab.runners.find((runner) => runner !== first)!;
       t.is(
         second.arrivals[0].headers["last-event-id"],
-        String(STREAM_EVENTS / 2),
+        String(DEFAULT_STREAM_EVENTS / 2),
       );
     });
 
     it("that cannot be resumed breaks visibly", async (t) => {
       const { lab, vm } = await openLab(t, 2);
-      for (const runner of lab.runners) runner.mood = "halfStream";
+      for (const runner of lab.runners) runner.behavior = "halfStream";
       const answer = await lab.call(vm, {
         path: "/streamonce/",
         method: "POST",
       });
       t.is(answer.status, 200);
-      t.false(answer.whole);
+      t.false(answer.isComplete);
       t.is(lab.runners[0].arrivals.length + lab.runners[1].arrivals.length, 1);
     });
   });
@@ -261,30 +261,30 @@
   describe("a caller that leaves", () => {
     it("ends its work at the upstream", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      lab.runners[0].mood = "silent";
+      lab.runners[0].behavior = "silent";
       await lab.call(vm, {
         path: "/once/",
         method: "POST",
-        leaveWhen: () => lab.runners[0].arrivals.length > 0,
+        abortWhen: () => lab.runners[0].arrivals.length > 0,
       });
-      await until(() => lab.runners[0].arrivals[0]?.cut);
+      await waitUntil(() => lab.runners[0].arrivals[0]?.isCut);
       t.pass();
     });
 
     it("ends it through the other region too", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      const far = await lab.addRunner("south");
-      const vmFar = await lab.addVm("south");
-      await lab.ready(vmFar);
-      await reach(lab, vm, far.id);
-      far.mood = "silent";
-      const before = far.arrivals.length;
+      const remoteRunner = await lab.addRunner("south");
+      const remoteVm = await lab.addVm("south");
+      await lab.waitUntilReady(remoteVm);
+      await waitUntilServedBy(lab, vm, remoteRunner.id);
+      remoteRunner.behavior = "silent";
+      const before = remoteRunner.arrivals.length;
       await lab.call(vm, {
         path: "/south/",
         method: "POST",
-        leaveWhen: () => far.arrivals.length > before,
+        abortWhen: () => remoteRunner.arrivals.length > before,
       });
-      await until(() => far.arrivals.at(-1)?.cut ?? false);
+      await waitUntil(() => remoteRunner.arrivals.at(-1)?.isCut ?? false);
       t.pass();
     });
   });
@@ -292,10 +292,10 @@
   describe("another region", () => {
     it("serves what is bound to it, and only that region runs it", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      const far = await lab.addRunner("south");
-      const vmFar = await lab.addVm("south");
-      await lab.ready(vmFar);
-      await reach(lab, vm, far.id);
+      const remoteRunner = await lab.addRunner("south");
+      const remoteVm = await lab.addVm("south");
+      await lab.waitUntilReady(remoteVm);
+      await waitUntilServedBy(lab, vm, remoteRunner.id);
       t.is(lab.runners[0].arrivals.length, 0);
     });
 
@@ -303,15 +303,21 @@
     // the route's upstreams meanwhile, the request would run on more than it may.
     it("sends what it was handed to one upstream only", async (t) => {
       const { lab, vm } = await openLab(t, 1);
-      const far = [await lab.addRunner("south"), await lab.addRunner("south")];
-      const vmFar = await lab.addVm("south");
-      await lab.ready(vmFar);
-      for (const runner of far) runner.mood = "error";
-      await until(async () => {
+      const remoteRunners = [
+        await lab.addRunner("south"),
+        await lab.addRunner("south"),
+      ];
+      const remoteVm = await lab.addVm("south");
+      await lab.waitUntilReady(remoteVm);
+      for (const runner of remoteRunners) runner.behavior = "error";
+      await waitUntil(async () => {
         const answer = await lab.call(vm, { path: "/southsafe/" });
         return answer.status === 500;
       });
-      t.is(far[0].arrivals.length + far[1].arrivals.length, 1);
+      t.is(
+        remoteRunners[0].arrivals.length + remoteRunners[1].arrivals.length,
+        1,
+      );
     });
 
     // One VM of the other region loses power. Its heartbeats are missed only after a second or more; until then half of
@@ -319,11 +325,11 @@
     it("that lost one VM serves on through another", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const runner = await lab.addRunner("south");
-      const lost = await lab.addVm("south");
-      await reach(lab, vm, runner.id);
-      const other = await lab.addVm("south");
-      await lab.ready(other);
-      await until(() => {
+      const lostVm = await lab.addVm("south");
+      await waitUntilServedBy(lab, vm, runner.id);
+      const otherVm = await lab.addVm("south");
+      await lab.waitUntilReady(otherVm);
+      await waitUntil(() => {
         const { regions } = vm.gateway.dump().members as {
           regions: { digest: { from: { region: string }; ready: string[] } }[];
         };
@@ -331,13 +337,13 @@
           digest.from.region === "south" && digest.ready.length === 2
         );
       });
-      await lost.gateway.close();
+      await lostVm.gateway.close();
       // A request that crosses the close of a kept connection may have run; that is another case.
-      await until(() => {
+      await waitUntil(() => {
         const { idleConnections } = vm.gateway.dump().relays as {
           idleConnections: Record<string, number>;
         };
-        return idleConnections[lost.settings.vm.ip] === 0;
+        return idleConnections[lostVm.settings.vm.ip] === 0;
       });
       for (let i = 0; i < 6; i++) {
         const answer = await lab.call(vm, { path: "/south/", method: "POST" });
@@ -360,8 +366,8 @@
       stdio: ["ignore", "pipe", "pipe"],
     });
     t.teardown(() => child.kill("SIGKILL"));
-    const [told] = await once(child.stderr, "data") as [Buffer];
-    t.regex(told.toString(), /^written 20000, waiting \d+/);
-    t.true(Number(/waiting (\d+)/.exec(told.toString())?.[1]) < 400_000);
+    const [output] = await once(child.stderr, "data") as [Buffer];
+    t.regex(output.toString(), /^written 20000, waiting \d+/);
+    t.true(Number(/waiting (\d+)/.exec(output.toString())?.[1]) < 400_000);
   });
 });
--- a/test/path_test.ts
+++ b/test/path_test.ts
@@ -1,6 +1,6 @@
 import type { ExecutionContext } from "ava";
 import { describe, itAlone as it } from "../src/base/describe.ts";
-import { answerText } from "../src/standins/mod.ts";
+import { formatAnswer } from "../src/standins/mod.ts";
 import {
   caller,
   Cluster,
@@ -50,7 +50,7 @@
       t.is(answer.statusCode, 200, answer.body);
       t.is(
         JSON.parse(answer.body).choices[0].message.content,
-        answerText(vm.id, 6),
+        formatAnswer(vm.id, 6),
       );
       t.is(answer.headers["x-ibisgap-region"], REGION);
     }
@@ -107,7 +107,7 @@
     }
     t.is(
       streamedText(Buffer.concat(chunks).toString()),
-      answerText("slow", 150),
+      formatAnswer("slow", 150),
     );
     t.is(await leaving.proc.exited, 0);
     const after = await caller(staying, KEY, "/v1/chat/completions", {
--- a/test/promises_test.ts
+++ b/test/promises_test.ts
@@ -6,7 +6,7 @@
 import got from "got";
 import { describe, itAlone as it } from "../src/base/describe.ts";
 import { secretDigest } from "../src/base/mod.ts";
-import { answerText, type RunRecord } from "../src/standins/mod.ts";
+import { formatAnswer, type RunRecord } from "../src/standins/mod.ts";
 import {
   caller,
   Cluster,
@@ -178,7 +178,7 @@
         keyOf(HOME),
         `iso${i}`,
       );
-      t.is(text, answerText(`iso${i}`, 10));
+      t.is(text, formatAnswer(`iso${i}`, 10));
     }
     const first = await depart(vm(`${HOME}-1`), keyOf(HOME), "cut-off");
     t.is(first.statusCode, 200, first.body);
@@ -237,7 +237,7 @@
         record.nonce === `round${i}`
       ).length;
       if (answer.statusCode === 200) {
-        t.is(text, answerText(`round${i}`, 30));
+        t.is(text, formatAnswer(`round${i}`, 30));
         t.is(arrivals, 1);
       } else {
         t.is(
@@ -270,7 +270,7 @@
     const answers = await Promise.all(waiting);
     vm(lead).proc.signal("SIGCONT");
     for (const [i, { answer, text }] of answers.entries()) {
-      t.is(text, answerText(`frozen${i}`, 30), answer.body);
+      t.is(text, formatAnswer(`frozen${i}`, 30), answer.body);
     }
     const deadline = { "x-ibisgap-deadline": String(Date.now() + 12_000) };
     await Promise.all([lead, other].map(async (name) => {
@@ -281,7 +281,7 @@
         10,
         deadline,
       );
-      t.is(text, answerText(`woken-${name}`, 10), answer.body);
+      t.is(text, formatAnswer(`woken-${name}`, 10), answer.body);
     }));
   });
 
@@ -318,7 +318,7 @@
     t.is((await records(engines[0])).length, before);
     const texts = await Promise.all(streams);
     for (const [i, text] of texts.entries()) {
-      t.is(text, answerText(`leave${i}`, 300));
+      t.is(text, formatAnswer(`leave${i}`, 300));
     }
   });
 
@@ -370,7 +370,7 @@
     vm(`${HOME}-1`).proc.signal("SIGKILL");
     t.deepEqual(await Promise.all(lost), [undefined, undefined]);
     for (const [i, text] of (await Promise.all(kept)).entries()) {
-      t.is(text, answerText(`kept${i}`, 400));
+      t.is(text, formatAnswer(`kept${i}`, 400));
     }
     const after = await Promise.all(
       Array.from(
--- a/test/shift_test.ts
+++ b/test/shift_test.ts
@@ -1,7 +1,7 @@
 import type { ExecutionContext } from "ava";
 import { describe, itAlone as it } from "../src/base/describe.ts";
 import { secretDigest } from "../src/base/mod.ts";
-import { answerText } from "../src/standins/mod.ts";
+import { formatAnswer } from "../src/standins/mod.ts";
 import {
   caller,
   Cluster,
@@ -107,7 +107,7 @@
     t.true(moved.some((told) => told.region === FAR), "nothing moved");
     for (const [i, told] of moved.entries()) {
       t.is(told.httpStatus, 200, told.text);
-      t.is(told.text, answerText(`${FREE_KEY}-${i % 8}`, 60));
+      t.is(told.text, formatAnswer(`${FREE_KEY}-${i % 8}`, 60));
     }
     const bound = await burst(home, keyOf(HOME), 8);
     t.deepEqual([...new Set(bound.map((told) => told.region))], [HOME]);
