--- a/soak/faults.ts
+++ b/soak/fault_injector.ts
@@ -7,7 +7,7 @@
 import { Random } from "../src/base/mod.ts";
 import type { PlatformFault } from "../src/standins/mod.ts";
 import { sleep } from "../test/cluster.ts";
-import { sendFatalRequests } from "./crashes.ts";
+import { sendFatalRequests } from "./fatal_requests.ts";
 import type { Fault } from "./plan.ts";
 import { getFailureDomain, REGIONS, type World } from "./world.ts";
 
--- a/soak/runner_place.ts
+++ b/soak/runner_host.ts
@@ -6,7 +6,7 @@
 
 import { Runner } from "../src/standins/mod.ts";
 import { sleep } from "../test/cluster.ts";
-import { isFatal } from "./crashes.ts";
+import { isFatal } from "./fatal_requests.ts";
 import { FaultProxy } from "./proxy.ts";
 import { getFailureDomain, REGIONS, type World } from "./world.ts";
 
--- a/soak/world.ts
+++ b/soak/world.ts
@@ -11,10 +11,10 @@
 import type { GatewaySettings } from "../src/gateway/mod.ts";
 import { KvServer, makeRoute } from "../src/standins/mod.ts";
 import { Proc, sleep } from "../test/cluster.ts";
-import { AddressBlock } from "./block.ts";
+import { AddressBlock } from "./address_block.ts";
 import { type Endpoint, FaultProxy } from "./proxy.ts";
 import type { VmLink } from "./plan.ts";
-import { RunnerHost, type RunnerInstance } from "./runner_place.ts";
+import { RunnerHost, type RunnerInstance } from "./runner_host.ts";
 
 /** Ports of every VM, the same on each, as on the platform. */
 const PORTS = {
--- a/src/edge/call_run.ts
+++ b/src/edge/call_handler.ts
@@ -9,8 +9,8 @@
 import type { Attempt } from "./attempts.ts";
 import type { Call } from "./call.ts";
 import type { EdgeContext } from "./context.ts";
-import { RequestStats } from "./seen.ts";
-import { SuspectCheck } from "./suspicion.ts";
+import { RequestStats } from "./request_stats.ts";
+import { SuspectCheck } from "./suspect_check.ts";
 
 /** What to do after an attempt: the caller has its answer, or another attempt may follow. */
 export type AttemptResult = "answered" | "retry";
--- a/src/edge/edge.ts
+++ b/src/edge/edge.ts
@@ -19,7 +19,7 @@
 import type { CallerListener } from "./listener.ts";
 import { ModelCallHandler } from "./model_call.ts";
 import { PlainCallHandler } from "./plain_call.ts";
-import type { ModelPath } from "./prompt.ts";
+import type { ModelPath } from "./model_request.ts";
 
 /** How the edge is set up. */
 export interface EdgeOptions {
--- a/src/edge/mod.ts
+++ b/src/edge/mod.ts
@@ -10,5 +10,5 @@
 export * from "./edge.ts";
 export * from "./identity.ts";
 export * from "./listener.ts";
-export * from "./prompt.ts";
+export * from "./model_request.ts";
 export * from "./stream_check.ts";
--- a/src/edge/model_call.ts
+++ b/src/edge/model_call.ts
@@ -11,17 +11,17 @@
 import { type Attempt, AttemptIterator } from "./attempts.ts";
 import { readAnswerBody, readBody } from "./body.ts";
 import { type Call, getDeadlineMs } from "./call.ts";
-import { type AttemptResult, CallHandler } from "./call_run.ts";
+import { type AttemptResult, CallHandler } from "./call_handler.ts";
 import type { EdgeContext } from "./context.ts";
 import {
   type ModelPath,
   type ModelRequest,
   parseModelRequest,
   withPriority,
-} from "./prompt.ts";
+} from "./model_request.ts";
 import { type RelayResult, relayStream } from "./relay.ts";
 import { StreamCheck } from "./stream_check.ts";
-import type { SuspectCheck } from "./suspicion.ts";
+import type { SuspectCheck } from "./suspect_check.ts";
 
 /** Reconnections to one engine for one broken stream: an engine that cuts again and again is not waited for. */
 const MAX_RESUMES = 3;
--- a/src/edge/plain_call.ts
+++ b/src/edge/plain_call.ts
@@ -12,10 +12,10 @@
 import { type Attempt, AttemptIterator } from "./attempts.ts";
 import { readAnswerBody, readBody } from "./body.ts";
 import { type Call, getDeadlineMs } from "./call.ts";
-import { type AttemptResult, CallHandler } from "./call_run.ts";
+import { type AttemptResult, CallHandler } from "./call_handler.ts";
 import type { EdgeContext } from "./context.ts";
 import { selectForwardedHeaders } from "./headers.ts";
-import type { SuspectCheck } from "./suspicion.ts";
+import type { SuspectCheck } from "./suspect_check.ts";
 
 /** Methods that change nothing, by HTTP's own definition: they need no claim and may be sent again. */
 const SAFE_METHODS = new Set(["GET", "HEAD", "OPTIONS"]);
--- a/src/edge/suspicion.ts
+++ b/src/edge/suspect_check.ts
@@ -9,7 +9,7 @@
 import type { Attempt } from "./attempts.ts";
 import type { Call } from "./call.ts";
 import type { EdgeContext } from "./context.ts";
-import type { RequestStats } from "./seen.ts";
+import type { RequestStats } from "./request_stats.ts";
 
 /** See the module. */
 export class SuspectCheck {
--- a/src/replay/attempt.ts
+++ b/src/replay/attempt.ts
@@ -10,7 +10,7 @@
 import { type Ran, secretDigest } from "../base/mod.ts";
 import { checkAnswer } from "../standins/mod.ts";
 import { buildPrompt } from "./prompt.ts";
-import type { AttemptRecord } from "./seen.ts";
+import type { AttemptRecord } from "./request_record.ts";
 import type { TraceRequest } from "./trace.ts";
 
 /** What an attempt needs besides its request. */
--- a/src/replay/caller.ts
+++ b/src/replay/caller.ts
@@ -8,7 +8,7 @@
 import { codes } from "../base/mod.ts";
 import { makeAttempt } from "./attempt.ts";
 import type { DirectoryClient } from "./directory.ts";
-import type { AttemptRecord, RequestRecord } from "./seen.ts";
+import type { AttemptRecord, RequestRecord } from "./request_record.ts";
 import type { TraceRequest } from "./trace.ts";
 
 /** What callers of a replay share. */
--- a/src/replay/mod.ts
+++ b/src/replay/mod.ts
@@ -12,5 +12,5 @@
 export * from "./replay.ts";
 export * from "./report.ts";
 export * from "./runs.ts";
-export * from "./seen.ts";
+export * from "./request_record.ts";
 export * from "./trace.ts";
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -8,7 +8,7 @@
 import { DirectoryClient, type Target } from "./directory.ts";
 import { Report } from "./report.ts";
 import { fetchRuns, type RecordSource, RunIndex } from "./runs.ts";
-import type { RequestRecord } from "./seen.ts";
+import type { RequestRecord } from "./request_record.ts";
 import type { Trace, TraceFault } from "./trace.ts";
 
 /** Brings about the faults of a trace. */
--- a/src/replay/report.ts
+++ b/src/replay/report.ts
@@ -7,7 +7,11 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { codes } from "../base/mod.ts";
 import type { RunIndex } from "./runs.ts";
-import { getLastAttempt, isComplete, type RequestRecord } from "./seen.ts";
+import {
+  getLastAttempt,
+  isComplete,
+  type RequestRecord,
+} from "./request_record.ts";
 
 /** All measures by name; see docs/TRACE.md. */
 export const measureNames = [
--- a/src/replay/runs.ts
+++ b/src/replay/runs.ts
@@ -6,7 +6,7 @@
 
 import got from "got";
 import type { RunRecord } from "../standins/mod.ts";
-import type { AttemptRecord, RequestRecord } from "./seen.ts";
+import type { AttemptRecord, RequestRecord } from "./request_record.ts";
 
 /** A run with the upstream that it was at. */
 export interface UpstreamRun extends RunRecord {
--- a/src/standins/mod.ts
+++ b/src/standins/mod.ts
@@ -6,7 +6,7 @@
 
 export * from "./answer.ts";
 export * from "./batch.ts";
-export * from "./config_rows.ts";
+export * from "./config_fixtures.ts";
 export * from "./engine.ts";
 export * from "./faults.ts";
 export * from "./orders.ts";
--- a/src/standins/platform.ts
+++ b/src/standins/platform.ts
@@ -23,7 +23,7 @@
   type EtcdResponse,
   makeEtcdError,
   type WatchRequest,
-} from "./platform_etcd.ts";
+} from "./etcd_gateway.ts";
 import { PlatformStore, type StoreCopy } from "./platform_store.ts";
 
 /** Settings of the stand-in; every field has a default. */
