--- a/bench/awake_meter.ts
+++ b/bench/awake_meter.ts
@@ -1,5 +1,5 @@
 /**
- * Counts the upstream-hours that are paid for: of every upstream that is not parked.
+ * Counts the upstream-hours that are paid for. An upstream is paid for while it is not parked.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 const SAMPLE_INTERVAL_MS = 100;
 const HOUR_MS = 3_600_000;
 
-/** See the module. */
+/** Samples how many upstreams are not parked and sums their hours. */
 export class UpstreamHoursMeter {
   readonly #samples: { readonly atMs: number; readonly active: number }[] = [];
 
@@ -21,7 +21,7 @@
     });
   }
 
-  /** Upstream-hours between these times. */
+  /** Returns the upstream-hours from `fromMs` up to `toMs`. */
   hoursBetween(fromMs: number, toMs: number): number {
     let activeMs = 0;
     for (const { atMs, active } of this.#samples) {
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,8 +1,9 @@
 /**
- * Slopes for docs/CAPACITY.md: runs the benches of the parts at several sizes, fits a line to each figure, and reads it
- * at the letter's size. `npm run bench -- capacity --json [--parts pool,table,members,claims,path]`
+ * Figures for docs/CAPACITY.md: runs the benches of the parts at several sizes, fits a line to each figure, and
+ * evaluates it at the target size. `npm run bench -- capacity --json [--parts pool,table,members,claims,path]`
  *
- * A fitted row's `case` names the role and what the figure grows with, its `policy` the sizes that were measured.
+ * The `case` of a fitted row names the role and what the figure grows with; its `policy` names the sizes that were
+ * measured.
  *
  * @module
  */
@@ -14,26 +15,26 @@
 import { run as runPath } from "./path.ts";
 import type { Row } from "./row.ts";
 
-/** The letter's target, and what follows from it for one region or VM. */
+/** The target size of the fleet. The sizes for one region or VM below follow from it. */
 const TARGET = { vms: 1400, runners: 10_000, regions: 21, tokensPerS: 14e6 };
-/** Regions of one to ten sizes, evenly spread: the largest has 10 / 5.5 times the average. */
+/** Region sizes are evenly spread from 1 to 10, so the largest region has 10 / 5.5 times the average size. */
 const LARGEST_REGION_FACTOR = 10 / 5.5;
 const VMS_PER_REGION = TARGET.vms / TARGET.regions;
 const TOKENS_PER_S_PER_VM = TARGET.tokensPerS / TARGET.vms;
-/** 23 requests/s of 440 tokens at 60 ms each are open at once on a VM. */
+/** Streams open at once on a VM: 23 requests/s of 440 tokens at 60 ms each. */
 const STREAMS_PER_VM = 600;
-/** 4,500 workspaces, 10,000 upstreams, 21 x 5 traffic rows, regions and services. */
+/** Rows for 4,500 workspaces, 10,000 upstreams, 21 x 5 traffic rows, the regions and the services. */
 const TABLE_ROWS = 14_700;
 const POOL_SIZE = 64;
 
-/** A figure that grows with a size. */
+/** A figure that grows with a size, and the sizes at which its fitted line is evaluated. */
 interface Fit {
   readonly role: string;
   readonly growsWith: string;
   readonly bench: string;
   readonly measure: string;
   readonly policy?: string;
-  /** The size that a row was measured at; undefined: the row does not belong here. */
+  /** The size that a row was measured at, or `undefined` if the row is not part of this fit. */
   readonly sizeOf: (row: Row, rows: readonly Row[]) => number | undefined;
   readonly averageSize: number;
   readonly largestSize: number;
@@ -131,7 +132,7 @@
   })),
 ];
 
-/** Runs the parts and fits. */
+/** Runs the benches of the parts and fits a line to each figure. */
 export async function run(args: readonly string[]): Promise<Row[]> {
   const at = args.indexOf("--parts");
   const parts = at < 0
@@ -152,7 +153,7 @@
   return [...rows, ...FITS.flatMap((fit) => fitRows(fit, rows))];
 }
 
-/** The line through the measured points, read at the target. */
+/** Fits a line through the measured points and evaluates it at the target sizes. */
 function fitRows(fit: Fit, rows: readonly Row[]): Row[] {
   const points: [size: number, value: number][] = [];
   let unit = "";
--- a/bench/control_claims.ts
+++ b/bench/control_claims.ts
@@ -1,6 +1,6 @@
 /**
- * Claims a second, added latency, store writes, CPU and memory, over the stand-in platform's HTTP, with group commit and
- * with one write for each claim. `npm run bench -- control_claims [--json] [--seconds N] [--seed N]`.
+ * Measures claims per second, added latency, store writes, CPU and memory, over HTTP to the stand-in platform, with
+ * group commit and with one write for each claim. `npm run bench -- control_claims [--json] [--seconds N] [--seed N]`.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 import { ClaimsService } from "../src/services/mod.ts";
 import type { Bench, Row } from "./row.ts";
 
-/** Whether claims share writes, and how many writes a second they may take. */
+/** Whether claims share writes, and how many writes per second are allowed. */
 interface Policy {
   readonly name: string;
   readonly limits: Partial<ShardLimits>;
@@ -43,10 +43,10 @@
     writesPerS: 1e6,
   },
 ];
-/** One claim in 10 s is as good as idle: what is left is the owner's sign of life. */
+/** At one claim in 10 s the shard is nearly idle: only the owner's periodic writes remain, which show it is alive. */
 const RATES_PER_S = [0.1, 30, 100, 300, 1000];
 
-/** The platform runs in a process of its own, so that its CPU and memory are not counted here. */
+/** The stand-in platform in a process of its own, so that its CPU and memory are not counted here. */
 class PlatformProcess {
   readonly #child: ChildProcess;
 
@@ -56,20 +56,20 @@
       stdio: ["ignore", "pipe", "inherit"],
     });
   }
-  /** The URL it listens at, once it does. */
+  /** Waits until the platform listens and returns its URL. */
   async waitForUrl(): Promise<string> {
     for await (const line of createInterface({ input: this.#child.stdout! })) {
       const match = /listening (\S+)/.exec(line);
       if (match) return match[1];
     }
-    throw new Error("the platform's stand-in did not start");
+    throw new Error("the stand-in platform exited before it printed its URL");
   }
   close(): void {
     this.#child.kill();
   }
 }
 
-/** Counts what is written. */
+/** Counts the bytes of the values written to the store. */
 class CountingStore extends EtcdKeyValue {
   writtenBytes = 0;
 
@@ -91,7 +91,7 @@
   readonly seed: number;
 }
 
-/** Claims arrive at random times at a mean rate; a third of them is finished at once with a short answer. */
+/** Offers claims at random times at a mean rate. A third of them are finished at once with a short answer. */
 async function measure(load: Load): Promise<Row[]> {
   const platform = new PlatformProcess();
   const url = await platform.waitForUrl();
@@ -200,7 +200,7 @@
   return { granted, refused, latencyMs };
 }
 
-/** The bytes that the claims take in the store. */
+/** Sums the bytes of the claims in the store; NaN if the store cannot be listed. */
 async function sumStoredBytes(store: EtcdKeyValue): Promise<number> {
   const listed = await store.list("claims/", {}, "other");
   if (listed.isErr()) return NaN;
@@ -219,7 +219,7 @@
   return at < 0 ? defaultValue : Number(args[at + 1]);
 }
 
-/** Runs all policies at all rates. */
+/** Runs all policies at all rates. `--policy TEXT` runs only the policies whose names contain the text. */
 export const run: Bench = async (args) => {
   const seconds = parseOption(args, "--seconds", 8);
   const seed = parseOption(args, "--seed", 1);
--- a/bench/control_claims_faults.ts
+++ b/bench/control_claims_faults.ts
@@ -1,5 +1,5 @@
 /**
- * How long a clerk waits for the first call that is served after a fault, at daemons of one region as processes.
+ * Measures how long a caller waits after a fault until a call is served. The daemons of one region run as processes.
  * `npm run bench -- control_claims_faults [--json] [--runs N]`.
  *
  * @module
@@ -20,7 +20,7 @@
 const REGION = "agadir";
 const MAX_WAIT_MS = 60_000;
 
-/** A fault that is brought about at the shard's owner. */
+/** A fault that affects the shard's owner. */
 interface Fault {
   readonly name: string;
   inject(cluster: Cluster, owner: Vm): Promise<void>;
@@ -55,10 +55,10 @@
     }
     await sleep(100);
   }
-  throw new Error("no owner");
+  throw new Error("no VM became the shard's owner with two witnesses in time");
 }
 
-/** The wait at a VM that is not struck, and how many calls it refused before. */
+/** Measures the wait at a VM other than the shard's owner, and how many calls it refused before one was served. */
 async function measure(fault: Fault, run: number) {
   const cluster = new Cluster();
   try {
@@ -88,7 +88,7 @@
   }
 }
 
-/** Runs each fault several times. */
+/** Runs each fault several times; `--runs N` sets how often. */
 export const run: Bench = async (args) => {
   const at = args.indexOf("--runs");
   const runs = at < 0 ? 3 : Number(args[at + 1]);
--- a/bench/control_members.ts
+++ b/bench/control_members.ts
@@ -1,9 +1,9 @@
 /**
- * `npm run bench -- control_members [--cases 1x1,3x2,...]`: what membership and leads cost and how fast they are, with
- * many VMs in this process over loopback; and leads against each VM choosing alone. A case `RxN` is R regions of N VMs,
- * `over` the comparison with VMs that choose alone.
+ * `npm run bench -- control_members [--cases 1x1,3x2,...]`: measures the cost and speed of membership and leads, with
+ * many VMs in this process over loopback. It also compares a lead with VMs that each choose upstreams independently. A
+ * case `RxN` has R regions of N VMs; the case `over` is that comparison.
  *
- * Times and bytes are of the real services. CPU and memory are those of the process divided by its VMs.
+ * Times and bytes are those of the real services. CPU and memory are those of the process divided by its number of VMs.
  *
  * @module
  */
@@ -23,10 +23,10 @@
 const SEED = 1;
 const UPSTREAMS = 40;
 const SLOTS = 8;
-/** Slots that each VM holds while bytes are counted, so that renewals are among them. */
+/** Slots that each VM holds while bytes are counted, so that the bytes include renewals. */
 const HELD_SLOTS_PER_VM = 2;
 const MEASURE_MS = 20_000;
-/** Topics that a region publishes beside the pool's own. */
+/** Interval at which each region publishes a topic in addition to the pool's own. */
 const PUBLISH_INTERVAL_MS = 1000;
 const MAX_CRASHES = 5;
 const REQUESTS = 200;
@@ -39,7 +39,7 @@
   readonly vms: number;
 }
 
-/** See the module's comment. */
+/** Runs the cases given by `--cases`, or the default ones. */
 export async function run(args: readonly string[]): Promise<Row[]> {
   const at = args.indexOf("--cases");
   const names = at >= 0 ? args[at + 1] : DEFAULT_CASES;
@@ -84,7 +84,7 @@
   return fleet;
 }
 
-/** A fleet in which nothing happens but heartbeats, digests and renewals. */
+/** Measures an idle fleet, in which only heartbeats, digests and renewals are sent. */
 async function measureSteady(fleet: Vm[][], row: MakeRow): Promise<Row[]> {
   const vms = fleet.flat();
   for (const region of fleet) await holdSlots(region);
@@ -121,12 +121,12 @@
   return rows;
 }
 
-/** What a dump says of news about VMs that waits to be passed on. */
+/** The part of a VM's dump that counts the news about VMs not yet passed on. */
 interface MembersDump {
   readonly news: { readonly members: number };
 }
 
-/** Waits until the news of the start has been passed on; answers with how long that took. */
+/** Waits until the news of the start has been passed on, and returns how long that took. */
 async function waitUntilSettled(vms: readonly Vm[]): Promise<number> {
   const startMs = performance.now();
   const countNews = (vm: Vm) =>
@@ -188,7 +188,7 @@
   return maxAgeMs;
 }
 
-/** What one request costs between an entry VM and a lead that is another: a question, its answer, two reports. */
+/** Measures the bytes of a request between an entry VM and a lead on another VM: a call, its answer and two reports. */
 async function measureRequestBytes(
   region: readonly Vm[],
   row: MakeRow,
@@ -219,7 +219,7 @@
   return row("bytes a request", (countSlotBytes() - before) / REQUESTS, "B");
 }
 
-/** Crashes the lead of the first region's pool several times, while it has VMs left. */
+/** Crashes the lead of the first region's pool several times, while more than one VM of the region is left. */
 async function measureCrashes(fleet: Vm[][], row: MakeRow): Promise<Row[]> {
   const [region] = fleet;
   const detectedMs: number[] = [];
@@ -262,7 +262,7 @@
   ];
 }
 
-/** A VM whose links stay open and carry nothing; answers with how long the others take to find it. */
+/** Freezes a VM: its links stay open but carry nothing. Returns how long the others take to remove it. */
 async function measureFreeze(vms: readonly Vm[]): Promise<number> {
   const [frozen, ...others] = vms;
   const startMs = performance.now();
--- a/bench/control_table.ts
+++ b/bench/control_table.ts
@@ -1,6 +1,6 @@
 /**
- * What the table costs: time until an edit is in force, store calls, watches, bytes between VMs, and memory and
- * processor time by the table's size. `npm run bench -- control_table [--json] [--vms 6,24] [--edits 200]`
+ * Measures the cost of the table: the time until an edit is in force, store calls, watches, bytes between VMs, and
+ * memory and processor time by the table's size. `npm run bench -- control_table [--json] [--vms 6,24] [--edits 200]`
  *
  * @module
  */
@@ -32,15 +32,15 @@
 const REGIONS = ["casablanca", "marrakech", "agadir"];
 const TABLE_SIZES = [1000, 4500, 15_000, 30_000];
 const IDLE_MS = 10_000;
-/** Between two edits: many times the target's average of 0.75 a second. */
+/** Pause between two edits. The rate is many times the target's average of 0.75 edits per second. */
 const EDIT_PAUSE_MS = 20;
 const RACE_EDITS_PER_VM = 5;
-/** Enough to include the merges of the layers of a table. */
+/** Enough edits to include merges of the table's layers. */
 const APPLIED_EDITS = 1024;
 const OUTAGE_MS = 5000;
 const CUT_EDITS = 10;
 
-/** Runs all parts. */
+/** Measures each table size, and each fleet size given by `--vms`. */
 export async function run(args: readonly string[]): Promise<Row[]> {
   const fleets = parseOption(args, "--vms", "6,24").split(",").map(Number);
   const edits = Number(parseOption(args, "--edits", "200"));
@@ -108,7 +108,7 @@
   }
 }
 
-/** Waits until all VMs know their region and its watchers watch. */
+/** Waits until every VM knows all VMs of its region and has the table, and each region's watchers watch the store. */
 async function waitUntilSettled(
   platform: Platform,
   vms: TableVm[],
@@ -167,7 +167,7 @@
   };
 }
 
-/** Every VM's operator edits a row of their own at once, several times. */
+/** Measures concurrent edits: at each VM a row of its own is edited several times, all at once. */
 async function measureRace(platform: Platform, vms: readonly TableVm[]) {
   const writesBefore = platform.counts.writes;
   const startMs = performance.now();
@@ -188,7 +188,7 @@
   };
 }
 
-/** The store is away for a while; an edit is tried again until it is accepted after the store's return. */
+/** Measures recovery from a store outage: an edit is retried until it is accepted after the store is back. */
 async function measureStoreRecovery(
   platform: Platform,
   vms: readonly TableVm[],
@@ -213,7 +213,7 @@
   return { inForceMs, maxCalls };
 }
 
-/** One region cannot reach the store; edits are made in the others. */
+/** Measures edits made in another region while one region cannot reach the store. */
 async function measureCutRegion(platform: Platform, vms: readonly TableVm[]) {
   platform.faults.set([{ vm: `^${REGIONS[2]}-`, outage: "cut" }]);
   await sleep(OUTAGE_MS);
@@ -227,7 +227,7 @@
   return inForceMs;
 }
 
-/** Both watchers of a region crash, and an edit is made at once. */
+/** Crashes both watchers of a region and measures an edit made right after. */
 async function measureCrash(vms: readonly TableVm[], region: string) {
   const live = vms.filter((vm) => !vm.closed);
   const crashed = live.filter((vm) =>
@@ -261,7 +261,7 @@
   return vms.reduce((sum, vm) => sum + Number(vm.dump().pulls), 0);
 }
 
-/** Memory and processor time of one VM's table, by its number of rows. */
+/** Measures the memory and processor time of one VM's table with `size` rows. */
 function measureSize(size: number): Row[] {
   const row = createRowMaker(`${size} rows`);
   collectGarbage();
--- a/bench/decision_cases.ts
+++ b/bench/decision_cases.ts
@@ -1,5 +1,5 @@
 /**
- * The loads that the decision modules are put to; see `decisions.ts`.
+ * Load cases for the bench of the decision modules; see `decisions.ts`.
  *
  * @module
  */
@@ -9,9 +9,12 @@
 import type { Stream } from "./workload.ts";
 import type { Outcome, World } from "./world.ts";
 
-/** Workspaces of the common mix. */
+/** Workspaces of the default mix. */
 export const WORKSPACES = Array.from({ length: 20 }, (_, i) => `w${i}`);
-/** Where queues stand for long, the oracle's greedy order is no bound and slow to work out; `capacity` is the bound. */
+/**
+ * Policies for cases with long queues. There the oracle's greedy order is slow to compute and not an upper bound; the
+ * rows of the case `capacity` are the bound instead.
+ */
 const POLICIES_WITHOUT_ORACLE = [
   "round-robin",
   "least-requests",
@@ -21,7 +24,7 @@
 ];
 const SKEW_POLICIES = ["least-requests", "lead"];
 
-/** One load, and the policies that are put to it. */
+/** One load, and the policies that run under it. */
 export interface Case {
   readonly name: string;
   readonly streams: readonly Stream[];
@@ -30,7 +33,7 @@
   readonly lagMs?: number;
   readonly regions?: readonly string[];
   readonly objective?: object;
-  /** Runs put together, where one has too few requests for its p99. */
+  /** Number of runs that are counted together where one run has too few requests for a p99. */
   readonly seeds?: number;
   readonly schedule?: (world: World) => void;
   readonly measureExtra?: (
@@ -38,7 +41,7 @@
   ) => Record<string, number>;
 }
 
-/** The common mix of a region: 38% bound to it, one long prompt in four. */
+/** Builds a region's default mix: 38% of the requests are bound to the region, and one prompt in four is long. */
 export function buildMix(
   region: string,
   requestsPerS: (atMs: number) => number,
@@ -54,7 +57,7 @@
   }));
 }
 
-/** Cases of one region that serves `perS` requests a second. */
+/** Builds the cases of one region that can serve `capacityPerS` requests per second. */
 export function buildCases(capacityPerS: number): Case[] {
   const constantLoad = (load: number) => () => load * capacityPerS;
   return [
@@ -148,7 +151,7 @@
 }
 
 const REGIONS = ["casablanca", "marrakech", "agadir"];
-/** Runners of each region in the cases of three regions. */
+/** Upstreams per region in the cases of three regions. */
 export const MULTI_REGION_UPSTREAMS = 5;
 const COOPERATIVE_OBJECTIVE = {
   latencyWeight: 4,
@@ -161,11 +164,11 @@
   awayWeight: 2,
 };
 
-/** Cases of three regions; `perS` is what one of them serves. */
+/** Builds the cases of three regions, each of which can serve `capacityPerS` requests per second. */
 export function buildRegionCases(capacityPerS: number): Case[] {
   const constantLoads = (load: number) =>
     REGIONS.flatMap((region) => buildMix(region, () => load * capacityPerS));
-  // Each region's peak lasts a third of the run; the other two are quiet meanwhile.
+  // Each region has its peak for a third of the run, while the other two have little load.
   const peaks = REGIONS.flatMap((region, i) =>
     buildMix(region, (ms) => {
       const phase = Math.floor(ms / 20_000) % REGIONS.length;
@@ -218,11 +221,15 @@
   ];
 }
 
-/** Demand of a night, as part of capacity; by day it is twice as much. The day begins at once. */
+/** Demand at night as a share of capacity. By day it is twice as high. */
 const NIGHT_LOAD = 0.3;
+/** Time when the demand changes from night to day, in one step. */
 export const DAY_START_MS = 45_000;
 
-/** A night and a morning of both users' fleets: demand halves, and an upstream without work is paid for all the same. */
+/**
+ * Builds the cases of a night and the following morning, for the fleets of both users. At night demand is half that of
+ * the day, and an upstream without work is still paid for until it is parked.
+ */
 export function buildNightCases(
   capacityOf: (upstreams: number) => number,
 ): Case[] {
@@ -245,7 +252,7 @@
   });
 }
 
-/** How those fared that stayed, and that went. */
+/** Compares the requests that stayed in their region with those that were sent to another. */
 function compareMoved(outcomes: readonly Outcome[]): Record<string, number> {
   const stayed = outcomes.filter((o) => o.moves === 0);
   const moved = outcomes.filter((o) => o.moves > 0);
@@ -257,6 +264,7 @@
   };
 }
 
+/** Measures the requests of all workspaces except `hog`. */
 function measureOthers(outcomes: readonly Outcome[]): Record<string, number> {
   const otherOutcomes = outcomes.filter((o) =>
     !o.request.workspace.includes("hog")
--- a/bench/decision_cost.ts
+++ b/bench/decision_cost.ts
@@ -1,5 +1,6 @@
 /**
- * Processor time of a decision as pools and queues grow: real time, so the figures differ a little from run to run.
+ * Measures the processor time of a decision as pools and queues grow. It is real time, so the figures differ a little
+ * from run to run.
  *
  * @module
  */
@@ -14,7 +15,7 @@
 const STEPS = 4000;
 const WORKSPACES = Array.from({ length: 50 }, (_, i) => `w${i}`);
 
-/** A pool whose upstreams are full and whose queue has this many requests. */
+/** A pool whose upstreams are full and whose queue holds a given number of requests. */
 class LoadedPool {
   readonly #pool = new Pool({ service: "plan", region: "agadir", seed: SEED });
   readonly #random = new Random(SEED);
@@ -45,7 +46,7 @@
     for (let i = 0; i < queued; i++) this.#sendRequest();
   }
 
-  /** One request comes and one answer ends. */
+  /** Sends one request and ends one response. */
   step(): void {
     this.#sendRequest();
     const attemptId = this.#grantedIds.shift();
@@ -105,10 +106,10 @@
   return (used.user + used.system) / STEPS;
 }
 
-/** See the module: one step is one request and one end of an answer. */
+/** Measures a step, which is one request and the end of one response, at several sizes. */
 export function run(): Promise<readonly Row[]> {
   const rows: Row[] = [];
-  // The first run compiles the code and is not counted.
+  // The first run lets V8 compile the code and is not counted.
   measureStepUs(8, 1000);
   const sizes = [[8, 10], [8, 1000], [8, 100_000], [64, 1000], [512, 1000]];
   for (const [upstreams, queued] of sizes) {
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,6 +1,6 @@
 /**
- * The decision modules under load, in virtual time, beside other policies. Each case is seeded: the same figures on
- * every run. See `docs/design/decisions.md`.
+ * Compares the decision modules with other policies under load, in virtual time. Each case is seeded and gives the same
+ * figures on every run. See `docs/design/decisions.md`.
  *
  * @module
  */
@@ -202,7 +202,7 @@
   readonly cachedShare: number;
 }
 
-/** Work and requests a second of one always full pool, each document at a home of its own. */
+/** Measures the work and requests per second of a pool that is always full. Each document is assigned to one engine. */
 function measureCapacity(upstreams: number): Capacity {
   const sim = new Sim();
   const requests = generate(buildMix("agadir", () => 500), END_MS, SEED);
@@ -262,7 +262,7 @@
   };
 }
 
-/** See the module. `--case NAME` runs one case, `--policy NAME` one policy. */
+/** Runs the cases. `--case NAME` runs one case, `--policy NAME` one policy. */
 export function run(args: readonly string[]): Promise<readonly Row[]> {
   const onlyCase = optionValue(args, "--case");
   const onlyPolicy = optionValue(args, "--policy");
--- a/bench/engine.ts
+++ b/bench/engine.ts
@@ -1,20 +1,20 @@
 /**
- * A model engine in virtual time: continuous batching with a token budget a step, chunked prefill in order of priority
- * and arrival, and a bounded prefix cache that evicts what was used least recently.
+ * A simulated model engine in virtual time: continuous batching with a token budget per step, chunked prefill in order
+ * of priority and arrival, and a bounded prefix cache that evicts the least recently used block.
  *
  * @module
  */
 
 import type { Sim } from "./sim.ts";
 
-/** Tokens a step may take: prefill chunks get what the running answers leave. */
+/** Token budget of a step. Prefill chunks get what the decoding jobs leave. */
 const MAX_STEP_TOKENS = 512;
-/** Time a step takes whatever it holds. */
+/** Fixed time of a step, whatever it processes. */
 const STEP_BASE_MS = 4;
 /** Tokens in a block of the prefix cache. */
 export const BLOCK_TOKENS = 256;
 
-/** Rates and bounds of an engine. */
+/** Rates and limits of an engine. */
 export interface EngineOptions {
   readonly id: string;
   readonly slots: number;
@@ -23,13 +23,13 @@
   readonly cacheBlocks: number;
 }
 
-/** A request as an engine gets it. */
+/** A request as submitted to an engine. */
 export interface EngineJob {
   readonly id: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly prefixHashes: readonly number[];
-  /** Higher is admitted and prefilled first. */
+  /** Jobs with a higher priority are admitted and prefilled first. */
   readonly priority: number;
   readonly onFirstToken: (cachedTokens: number) => void;
   readonly onDone: () => void;
@@ -43,13 +43,13 @@
   outputTokensLeft: number;
 }
 
-/** See the module. */
+/** Runs jobs in steps and keeps the prefix cache. */
 export class Engine {
   readonly options: EngineOptions;
-  /** Factor of every step's time. */
+  /** Factor by which every step takes longer. */
   slowdown = 1;
   isDead = false;
-  /** Accepts connections and answers nothing. */
+  /** Accepts requests but never answers. */
   isSilent = false;
   isParked = false;
   busyMs = 0;
@@ -73,7 +73,7 @@
   get waiting(): number {
     return this.#waiting.length;
   }
-  /** Time until a running answer ends, at the present speed. */
+  /** Estimated time until the first running job ends, at the current speed. */
   get slotFreeMs(): number {
     const minTokensLeft = Math.min(
       ...this.#running.map((r) => r.outputTokensLeft),
@@ -81,7 +81,7 @@
     return minTokensLeft * (STEP_BASE_MS + this.running * this.#tokenMs) *
       this.slowdown;
   }
-  /** Tokens still to prefill, as the engine itself knows them. */
+  /** Tokens still to prefill in all jobs, from the engine's own state. */
   get prefillTokensLeft(): number {
     let sum = 0;
     for (const r of this.#running) sum += r.prefillTokensLeft;
@@ -90,7 +90,7 @@
     }
     return sum;
   }
-  /** Time to the first token of this job, as the engine itself would know it. */
+  /** Estimates the time to the first token of this job from the engine's own state. */
   estimateFirstTokenMs(
     job: Pick<EngineJob, "promptTokens" | "prefixHashes">,
   ): number {
@@ -122,7 +122,7 @@
     this.#waiting = this.#waiting.filter((job) => job.id !== id);
     this.#running = this.#running.filter((r) => r.job.id !== id);
   }
-  /** Stops and loses all it holds. */
+  /** Stops the engine, fails all its jobs and clears its cache. */
   crash(): void {
     this.isDead = true;
     const lost = [...this.#running.map((r) => r.job), ...this.#waiting];
--- a/bench/measures.ts
+++ b/bench/measures.ts
@@ -1,19 +1,19 @@
 /**
- * Figures of a run's outcomes.
+ * Computes figures from the outcomes of a run.
  *
  * @module
  */
 
 import type { Outcome } from "./world.ts";
 
-/** The value below which this share of the sorted values lies. */
+/** Returns the value at or below which this share of the sorted values lies. */
 export function percentile(sorted: readonly number[], share: number): number {
   if (sorted.length === 0) return NaN;
   const index = Math.ceil(share * sorted.length) - 1;
   return sorted[Math.max(0, index)];
 }
 
-/** First-token times of those that were served, sorted. */
+/** Returns the first-token times of the requests that were served, sorted. */
 export function sortedFirstTokenMs(outcomes: readonly Outcome[]): number[] {
   return outcomes
     .filter((o) => o.result === "served")
@@ -21,12 +21,12 @@
     .sort((a, b) => a - b);
 }
 
-/** Work of a request, whatever is cached: its whole prompt, and its answer at the cost of output. */
+/** Returns the work of a request in tokens: its whole prompt, cached or not, and five times its output tokens. */
 export function workOf({ request: ask }: Outcome): number {
   return ask.promptTokens + 5 * ask.outputTokens;
 }
 
-/** Work served in time, a second. */
+/** Returns the work per second of the requests that were served in time. */
 export function goodputPerS(
   outcomes: readonly Outcome[],
   seconds: number,
@@ -35,25 +35,26 @@
   return served.reduce((sum, o) => sum + workOf(o), 0) / seconds;
 }
 
+/** Whether the request was served with its first token by the deadline. */
 export function isInTime(outcome: Outcome): boolean {
   return outcome.result === "served" &&
     outcome.request.atMs + outcome.firstTokenMs! <=
       outcome.request.deadlineMs + 1;
 }
 
-/** Jain's index of the values: 1 when all are equal. */
+/** Returns Jain's fairness index of the values, which is 1 when all are equal. */
 export function jainIndex(values: readonly number[]): number {
   const sum = values.reduce((a, b) => a + b, 0);
   const squares = values.reduce((a, b) => a + b * b, 0);
   return squares === 0 ? 1 : (sum * sum) / (values.length * squares);
 }
 
-/** The mean of the values. */
+/** Returns the mean of the values. */
 export function mean(values: readonly number[]): number {
   return values.reduce((a, b) => a + b, 0) / values.length;
 }
 
-/** The part of the values for which this holds. */
+/** Returns the share of the values that match. */
 export function share<T>(
   values: readonly T[],
   matches: (value: T) => boolean,
@@ -63,7 +64,7 @@
     : values.filter(matches).length / values.length;
 }
 
-/** A figure short enough to compare. */
+/** Rounds a figure to four significant digits, so that figures are easy to compare. */
 export function roundTo4Digits(value: number): number {
   return Number(value.toPrecision(4));
 }
--- a/bench/over_admission.ts
+++ b/bench/over_admission.ts
@@ -1,6 +1,7 @@
 /**
- * Leads against each VM choosing alone: how far upstreams are filled beyond their slots. Runs the same pool decisions
- * once with one lead, once at each VM with what upstreams report of their load, and once split between two leads.
+ * Measures how far upstreams are filled beyond their slots with a lead, and with VMs that each choose independently.
+ * The same pool decisions run once at one lead, once split between two leads, and once at each VM; where there is more
+ * than one, each knows the work of the others only from the upstreams' load reports.
  *
  * @module
  */
@@ -16,11 +17,12 @@
 const STEP_MS = 50;
 const DURATION_MS = 120_000;
 const MEAN_HOLD_MS = 2000;
-/** Load reports are read once a second and are this old when they are used. */
+/** Interval at which load reports are read. */
 const REPORT_INTERVAL_MS = 1000;
+/** Age of a load report when it is used. */
 const REPORT_AGE_MS = 500;
 const RENEW_INTERVAL_MS = 2000;
-/** A prompt that takes as long as the table says, so that no upstream looks slow. */
+/** A prompt whose first token takes as long as the table's rates predict, so that no upstream is judged slow. */
 const PROMPT_TOKENS = 400;
 const FIRST_TOKEN_MS = 50;
 const OUTPUT_TOKENS = 150;
@@ -40,7 +42,7 @@
   readonly granted: number;
 }
 
-/** Figures at two loads; `load` is offered work over the pool's slots. */
+/** Measures all policies at two loads. A load is the offered work divided by the pool's slots. */
 export function measureOverAdmission(): Row[] {
   const rows: Row[] = [];
   for (const load of [0.8, 1.2]) {
@@ -70,7 +72,7 @@
   ["each of 24 VMs alone", 24],
 ];
 
-/** Requests go to `count` pools in turn that know of each other only by the upstreams' reports. */
+/** Sends requests in turn to `count` pools that know of each other only from the upstreams' load reports. */
 function simulate(count: number, load: number): SimulationResult {
   const random = new Random(SEED);
   const table = planTable(1, ["r"], UPSTREAMS, SLOTS);
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,12 +1,13 @@
 /**
- * What the gateway adds to the path of a stream: the same callers and engines, directly, through a bare `node:http`
- * pipe, and through one daemon, one after the other in the same run.
+ * Measures what the gateway adds to the path of a stream. The same callers and engines are connected directly, through
+ * a bare `node:http` pipe, and through one daemon, one after the other in the same run.
  *
  * `npm run bench -- path [--json] [--streams 1,64,1024] [--mode paced|flat]`; with `PATH_PROFILE=DIR` the pipe's and
  * the daemon's processor profiles are written to `DIR`.
  *
- * - `paced`: engines generate at a steady rate that all three carry: first-token time, memory, event-loop delay.
- * - `flat out`: engines offer more than one process can carry: tokens per second.
+ * - `paced`: engines generate at a steady rate that all three setups can carry. It shows the time to the first token,
+ *   memory and event-loop delay.
+ * - `flat out`: engines offer more than one process can carry. It shows tokens per second.
  *
  * @module
  */
@@ -22,14 +23,15 @@
 const REGION = "bench";
 const MEASURE_MS = 4000;
 const SLOTS = 1024;
-/** Many times the target of 23 a VM. */
+/** Many times the target of 23 requests per second on a VM. */
 const MAX_REQUESTS_PER_S = 200;
 const MIN_RESPONSE_S = 0.5;
 
 interface Mode {
   readonly name: "paced" | "flat out";
-  /** Tokens per second that all streams together are offered, and one at most. */
+  /** Rate at which all streams together are offered tokens. */
   readonly offeredTokensPerS: number;
+  /** Maximum rate of one stream. */
   readonly maxStreamTokensPerS: number;
 }
 
@@ -51,7 +53,7 @@
   readonly busy?: ProbeReport | undefined;
 }
 
-/** Runs the bench. */
+/** Measures each mode with each number of streams. */
 export async function run(args: readonly string[]): Promise<Row[]> {
   const at = args.indexOf("--streams");
   const sizes = at < 0 ? [1, 64, 1024] : args[at + 1].split(",").map(Number);
@@ -119,7 +121,7 @@
   }
 }
 
-/** Child processes that are started inside `start` report by the probe. */
+/** Loads the probe into the child processes that `start` starts. */
 async function withProbe<T>(start: () => Promise<T>): Promise<T> {
   const before = process.env.NODE_OPTIONS;
   const probeUrl = new URL("./path_probe.js", import.meta.url);
@@ -165,7 +167,7 @@
   return vm;
 }
 
-/** Measures a process from the beginning to the end of the counting. */
+/** Measures a process while the load is counted, and before it when the process is idle. */
 async function measureProcess(
   proc: Proc,
   load: (onMeasureStart: () => void) => Promise<LoadResult>,
--- a/bench/path_load.ts
+++ b/bench/path_load.ts
@@ -1,5 +1,5 @@
 /**
- * The callers of the path bench: a number of streams in a closed loop, counted with as little work as can be.
+ * The callers of the path bench: a number of streams in a closed loop, counted with as little work as possible.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import { Agent, type IncomingMessage, request } from "node:http";
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** What to load, and how. */
+/** The load to generate, and the URLs that it goes to. */
 export interface Load {
-  /** Base URLs, taken in turn. */
+  /** Base URLs, used in turn. */
   readonly urls: readonly string[];
   readonly key: string;
   readonly model: string;
   readonly streams: number;
-  /** Tokens of each answer. */
+  /** Tokens in each response. */
   readonly tokens: number;
-  /** Time in which the streams start, one after the other, so that their ends are spread too. */
+  /** Time over which the streams start one after the other, so that their ends are spread too. */
   readonly rampMs: number;
-  /** How long is counted, once all streams have started and the code is warm. */
+  /** How long the load is counted, once all streams have started and the code is warm. */
   readonly measureMs: number;
-  /** Called when the counting begins. */
+  /** Called when counting begins. */
   readonly onMeasureStart?: () => void;
 }
 
-/** What the callers saw. */
+/** What the callers measured. */
 export interface LoadResult {
   /** Time from the call to the first event, in microseconds. */
   readonly firstEventUs: Histogram;
@@ -35,17 +35,17 @@
 
 const EVENT_END = Buffer.from("\n\n");
 const DONE_EVENT = "data: [DONE]\n\n";
-/** An answer's last events, which are no tokens: its end and `[DONE]`. */
+/** The last events of a response, which carry no tokens: its finish event and `[DONE]`. */
 const NON_TOKEN_EVENTS = 2;
 const WARM_UP_MS = 2000;
 
-/** Calls until an answer is whole: a gateway that has just started may refuse at first. */
+/** Calls until a response is complete, because a gateway that has just started may refuse at first. */
 export async function waitUntilServed(load: Load): Promise<void> {
   const callers = new Callers(load);
   while (!await callers.tryOnce()) await sleep(100);
 }
 
-/** Runs the load once. */
+/** Runs the load once and returns what the callers measured. */
 export async function runLoad(load: Load): Promise<LoadResult> {
   const callers = new Callers(load);
   return await callers.run();
@@ -107,7 +107,7 @@
     }
   }
 
-  /** One call; whether its answer was whole. */
+  /** Makes one call and returns whether its response was complete. */
   #call(): Promise<boolean> {
     const { urls, key, model, tokens } = this.#load;
     const url = urls[this.#calls++ % urls.length];
@@ -152,7 +152,7 @@
   }
 }
 
-/** Ends of events in a chunk; one that is parted between two chunks is missed, at most one a chunk. */
+/** Counts the ends of events in a chunk. An end that is split between two chunks is missed, at most one per chunk. */
 function countEvents(chunk: Buffer): number {
   let count = 0;
   for (
--- a/bench/path_pipe.ts
+++ b/bench/path_pipe.ts
@@ -1,6 +1,6 @@
 /**
- * The least a gateway can do: a `node:http` server that pipes each call to the next of its upstreams and the answer
- * back. `node dist/bench/path_pipe.js URL...` prints `ready: URL`.
+ * A minimal proxy for comparison: a `node:http` server that pipes each call to the next of its upstreams and the
+ * response back. `node dist/bench/path_pipe.js URL...` prints `ready: URL`.
  *
  * @module
  */
--- a/bench/path_probe.ts
+++ b/bench/path_probe.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded into a measured process by `--import`: on SIGUSR2 it prints what the process used since the last time, as one
- * line `probe {...}`, so that every process is measured by the same instrument. With `PATH_PROFILE=DIR` it also writes
+ * Loaded into a measured process by `--import`, so that every process is measured by the same code. On SIGUSR2 it
+ * prints what the process used since the last signal, as one line `probe {...}`. With `PATH_PROFILE=DIR` it also writes
  * a processor profile of the time between the second and the third signal.
  *
  * @module
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -1,5 +1,5 @@
 /**
- * Policies under comparison: those of common proxies, ours, and an oracle.
+ * The policies that the bench compares: those of common proxies, the lead of this gateway, and an oracle.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 } from "../src/decisions/mod.ts";
 import type { Engine } from "./engine.ts";
 
-/** What a policy may know of its region. */
+/** What a policy may know of its region, and how it returns its decisions. */
 export interface PolicyContext {
   readonly region: string;
   readonly service: string;
@@ -29,7 +29,7 @@
   readonly onOrder: (upstreamId: string, want: "active" | "parked") => void;
 }
 
-/** A way to choose upstreams; the names stand in the rows of the bench. */
+/** Chooses upstreams for requests. The bench's rows name the policies. */
 export abstract class Policy {
   readonly context: PolicyContext;
 
@@ -66,7 +66,7 @@
   }
 }
 
-/** A load report as old as the lag. */
+/** A load report that arrives after the configured lag. */
 export interface LaggedLoad {
   readonly upstreamId: string;
   readonly running: number;
@@ -74,7 +74,7 @@
   readonly atMs: number;
 }
 
-/** Each upstream in turn. */
+/** Uses each upstream in turn. */
 export class RoundRobin extends Policy {
   #next = 0;
   requestSlot(request: SlotRequest): void {
@@ -83,10 +83,10 @@
   }
 }
 
-/** VMs that choose alone, as proxies do today. */
+/** Number of VMs that choose independently of each other, as common proxies do. */
 const VM_COUNT = 6;
 
-/** What one VM knows: the last reports, and what it sent itself since. */
+/** The load that one VM knows of: the last reports, and what it has sent itself since. */
 class VmLoadView {
   readonly #reported = new Map<string, number>();
   readonly #sentSince = new Map<string, number>();
@@ -126,7 +126,7 @@
   ): Engine;
 }
 
-/** The least loaded by reports that lag. */
+/** Chooses the least loaded upstream by load reports that lag. */
 export class LeastRequests extends LoadPolicy {
   protected choose(engines: readonly Engine[], view: VmLoadView): Engine {
     const least = Math.min(...engines.map((e) => view.load(e)));
@@ -134,7 +134,7 @@
   }
 }
 
-/** The less loaded of two drawn at random. */
+/** Draws two upstreams at random and chooses the less loaded one. */
 export class PowerOfTwo extends LoadPolicy {
   protected choose(engines: readonly Engine[], view: VmLoadView): Engine {
     const a = this.random.pick(engines);
@@ -143,7 +143,7 @@
   }
 }
 
-/** Our lead. */
+/** Uses the decisions of this gateway's lead. */
 export class Lead extends Policy {
   readonly pool: Pool;
 
@@ -153,7 +153,7 @@
     this.pool = new Pool({ service, region, seed });
     this.pool.configure(table, table.upstreams(service, region), startMs);
   }
-  /** A new lead is told what VMs hold. */
+  /** Tells a new lead which slots VMs hold. */
   adopt(held: readonly HeldSlot[], nowMs: number): void {
     this.#deliver(this.pool.adopt(held, nowMs));
   }
@@ -193,7 +193,7 @@
   }
 }
 
-/** The same decisions made by each VM alone, with a sixth of every upstream's slots. */
+/** Runs the lead's decisions at each VM independently, with a sixth of every upstream's slots and prefill rate. */
 export class Alone extends Policy {
   readonly #vms: Lead[];
   readonly #random: Random;
@@ -233,15 +233,15 @@
   }
 }
 
-/** Requests an oracle weighs at a time. */
+/** Maximum number of queued requests that the oracle considers at a time. */
 const ORACLE_MAX_REQUESTS = 150;
-/** How much more it weighs a ms of prefill than one of waiting: prefills delay others as well. */
+/** Weight of the request's own prefill time, which the oracle adds to the cost because a prefill also delays others. */
 const ORACLE_PREFILL_WEIGHT = 2;
 
 /**
- * Sees the engines themselves: speed, queue and cache, without a lag. It keeps a queue, starts what costs the least
- * prefill first, drops what can no longer be in time, and places where the first token comes soonest. No lead can know
- * as much.
+ * Reads the engines' speed, queue and cache directly and without lag, which no lead can do. It keeps a queue, starts
+ * the requests that need the least prefill first, drops those that can no longer meet their deadline, and places each
+ * where its cost, the time to the first token plus a weight for prefill, is lowest.
  */
 export class Oracle extends Policy {
   #queue: SlotRequest[] = [];
--- a/bench/region_news.ts
+++ b/bench/region_news.ts
@@ -1,5 +1,5 @@
 /**
- * What regions learn of their engines and of each other, late as on real links.
+ * Delivers load reports and digests with the delay of real links.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 const DIGEST_INTERVAL_MS = 1000;
 const MIN_REPORT_INTERVAL_MS = 100;
 
-/** See the module. */
+/** Sends each region its engines' load reports and the other regions' digests. */
 export class RegionReports {
   /** Regions cut off from all others. */
   readonly cutRegions = new Set<string>();
@@ -45,7 +45,10 @@
     return a !== b && (this.cutRegions.has(a.id) || this.cutRegions.has(b.id));
   }
 
-  /** Where the digests promise the shortest wait; `undefined` if that is at home, or the request is bound to it. */
+  /**
+   * Returns the remote region with the shortest wait by the digests; `undefined` if the home region is at least as fast
+   * or the request is bound to it.
+   */
   findFastestRegion(
     home: Region,
     request: WorkloadRequest,
--- a/bench/replay_lab.ts
+++ b/bench/replay_lab.ts
@@ -1,6 +1,6 @@
 /**
- * A system for a trace: the topology of its header as child processes on loopback (daemons, stand-in platform and
- * upstreams), its table, and its faults.
+ * A testbed for a trace: it starts the topology of the trace's header as child processes on loopback (daemons, stand-in
+ * platform and upstreams), writes the table, and injects the faults.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 type Service = TraceHeader["topology"]["services"][number];
 type VmFault = Extract<TraceFault, { target: "vm" }>;
 
-/** The running system of one trace. */
+/** Runs the processes of one trace's topology and injects its faults. */
 export class ReplayTestbed extends FaultInjector {
   readonly #trace: Trace;
   readonly #cluster = new Cluster();
@@ -35,7 +35,7 @@
     this.#trace = trace;
   }
 
-  /** Starts all and waits until every VM knows its region and the table. */
+  /** Starts all processes and waits until every VM knows its region and the table. */
   static async open(trace: Trace): Promise<ReplayTestbed> {
     const testbed = new ReplayTestbed(trace);
     try {
@@ -47,7 +47,7 @@
     return testbed;
   }
 
-  /** Where callers start: every VM, as its region's. */
+  /** The VMs that callers send to, each with its region. */
   targets(): Target[] {
     return [...this.#cluster.vms.values()].map(({ url, region }) => ({
       url,
@@ -55,7 +55,7 @@
     }));
   }
 
-  /** Where the records of what ran are read. */
+  /** The upstreams' control URLs, where the records of the requests that ran are read. */
   records(): RecordSource[] {
     return [...this.#upstreams].map(([upstream, { region, controlUrl }]) => ({
       upstream,
@@ -68,7 +68,7 @@
     switch (fault.target) {
       case "upstream": {
         const upstream = this.#upstreams.get(fault.upstream);
-        if (!upstream) throw new Error(`no upstream ${fault.upstream}`);
+        if (!upstream) throw new Error(`unknown upstream ${fault.upstream}`);
         const json = { set: fault.faults };
         await got.post(`${upstream.controlUrl}/faults`, { json });
         return;
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Ends all processes. */
+  /** Stops all processes. */
   async close(): Promise<void> {
     await this.#cluster.close();
   }
@@ -206,7 +206,7 @@
 
   async #injectVmFault({ vm: id, action }: VmFault): Promise<void> {
     const vm = this.#cluster.vms.get(id);
-    if (!vm) throw new Error(`no VM ${id}`);
+    if (!vm) throw new Error(`unknown VM ${id}`);
     const signals = {
       kill: "SIGKILL",
       stop: "SIGTERM",
@@ -220,7 +220,7 @@
     await this.#applyLinkFaults();
   }
 
-  /** A region that is cut off does not reach the store either. */
+  /** Sets the store's faults. A region that is cut off does not reach the store either. */
   async #applyPlatformFaults(): Promise<void> {
     const faults = this.#isStoreDown
       ? [{ outage: "cut" }]
@@ -231,7 +231,7 @@
     await this.#cluster.setPlatformFaults(faults);
   }
 
-  /** Sets the delays of all links, and the cuts in force. */
+  /** Sets the delays of all links, and which links are cut. */
   async #applyLinkFaults(): Promise<void> {
     const { regions } = this.#trace.header.topology;
     const running = [...this.#cluster.vms.values()].filter((vm) =>
@@ -251,7 +251,7 @@
   }
 }
 
-/** Opens the system of a trace, waits for it to be at rest, and calls `use`. */
+/** Opens the testbed of a trace, waits until it is ready, calls `use` and closes it. */
 export async function withTestbed<T>(
   trace: Trace,
   use: (testbed: ReplayTestbed) => Promise<T>,
--- a/bench/replay_main.ts
+++ b/bench/replay_main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run replay [-- NAME...] [--json]`: replays the traces that ship against a system of child processes, prints
- * their tables, and exits with 1 if a stated outcome was not held. `--calls DIR` writes what each caller saw to
+ * `npm run replay [-- NAME...] [--json]`: replays the traces of the repository against child processes, prints their
+ * tables, and exits with 1 if an expected outcome was missed. `--calls DIR` writes what each caller saw to
  * `DIR/NAME.calls.jsonl`.
  *
  * @module
@@ -30,7 +30,7 @@
   if (!await replayTrace(name)) process.exitCode = 1;
 }
 
-/** Replays one; whether all its outcomes were held. */
+/** Replays one trace and returns whether all its expected outcomes were met. */
 async function replayTrace(name: string): Promise<boolean> {
   const trace = readTrace(`traces/${name}.jsonl`)._unsafeUnwrap();
   const outcomes = readOutcomes(`traces/${name}.outcomes.json`)
--- a/bench/row.ts
+++ b/bench/row.ts
@@ -1,10 +1,10 @@
 /**
- * What a bench returns.
+ * The rows that a bench returns.
  *
  * @module
  */
 
-/** One figure. */
+/** One figure of a bench, with the case and policy that it was measured for. */
 export interface Row {
   readonly bench: string;
   readonly case: string;
@@ -15,5 +15,5 @@
   readonly seed: number;
 }
 
-/** A bench: its module exports it as `run`. */
+/** Runs a bench. A bench's module exports it as `run`. */
 export type Bench = (args: readonly string[]) => Promise<readonly Row[]>;
--- a/bench/scenario.ts
+++ b/bench/scenario.ts
@@ -1,5 +1,5 @@
 /**
- * Small runs of the lead's decisions for tests: one or more regions of six upstreams in virtual time.
+ * Small runs of the lead's decisions for tests, with one or more regions of six upstreams each in virtual time.
  *
  * @module
  */
@@ -14,20 +14,21 @@
 const WORKSPACES = Array.from({ length: 8 }, (_, i) => `w${i}`);
 const DRAIN_MS = 10_000;
 
-/** A run; see the fields' uses in `outcomesOf`. */
+/** The load, regions and faults of a run. */
 export interface Scenario {
-  /** Requests a second that arrive in a region at a time. */
+  /** Rate at which requests arrive in a region at a given time. */
   readonly requestsPerS: (atMs: number, region: string) => number;
-  /** Requests a second of one more workspace in the first region. */
+  /** Request rate of an additional workspace, `flood`, in the first region. */
   readonly floodPerS?: number;
   readonly longShare?: number;
   readonly regions?: readonly string[];
   readonly objective?: object;
   readonly endMs?: number;
+  /** Schedules faults and samples before the run starts. */
   readonly schedule?: (world: World) => void;
 }
 
-/** What became of each request; throws if a promise was broken. */
+/** Runs a scenario and returns the outcome of each request; throws if an invariant was violated. */
 export function runScenario(scenario: Scenario): readonly Outcome[] {
   const regions = scenario.regions ?? ["agadir"];
   const world = new World({
@@ -53,7 +54,9 @@
   const requests = generate(buildStreams(scenario, regions), endMs, 3);
   world.run(requests, endMs + DRAIN_MS);
   if (world.violations.size > 0) {
-    throw new Error(`broken: ${[...world.violations.keys()].join(", ")}`);
+    throw new Error(
+      `invariants violated: ${[...world.violations.keys()].join(", ")}`,
+    );
   }
   return world.outcomes;
 }
@@ -86,12 +89,12 @@
   }];
 }
 
-/** The part served by its deadline. */
+/** Returns the share of the requests that were served by their deadline. */
 export function servedShare(outcomes: readonly Outcome[]): number {
   return share(outcomes, isInTime);
 }
 
-/** First-token time below which this part of the served lies. */
+/** Returns the first-token time at or below which this share of the served requests lies. */
 export function firstTokenPercentileMs(
   outcomes: readonly Outcome[],
   quantile: number,
@@ -99,7 +102,7 @@
   return percentile(sortedFirstTokenMs(outcomes), quantile);
 }
 
-/** The upstream that a request was last placed on. */
+/** Returns the upstream that a request was last placed on. */
 export function lastUpstreamOf(outcome: Outcome): string | undefined {
   return outcome.upstreamId;
 }
--- a/bench/sim.ts
+++ b/bench/sim.ts
@@ -1,5 +1,5 @@
 /**
- * Virtual time: events in order of time, and of their making where times are equal.
+ * Virtual time. Events run in order of time; events of the same time run in the order in which they were scheduled.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   readonly run: () => void;
 }
 
-/** See the module. */
+/** Runs scheduled events and advances the virtual clock. */
 export class Sim {
   nowMs = 0;
   #nextSequence = 0;
--- a/bench/tables.ts
+++ b/bench/tables.ts
@@ -1,27 +1,26 @@
 /**
- * Tables of one model service for benches and tests.
+ * Builds tables with one model service for benches and tests.
  *
  * @module
  */
 
 import { Table, type TableRow, tableRow } from "../src/agreement/mod.ts";
 
-/** What a table holds. */
+/** What the table to build holds. */
 export interface TableSpec {
   readonly regions: readonly string[];
-  /** Upstreams of each region. */
   readonly upstreamsPerRegion: number;
   readonly objective: object;
-  /** Each becomes a bound and a free workspace in each region; see {@link workspaceName}. */
+  /** Each name becomes one bound and one free workspace in each region; see {@link workspaceName}. */
   readonly workspaces: readonly string[];
-  /** Whether there is a workspace `flood`, bound to the first region. */
+  /** Whether there is a workspace `flood`, which is bound to the first region. */
   readonly flood?: boolean;
   /** Whether requests may be sent to other regions. */
   readonly canShift: boolean;
   readonly queueLimit?: number;
 }
 
-/** The workspace's name in a region. */
+/** Returns the workspace's name in a region. */
 export function workspaceName(
   region: string,
   workspace: string,
@@ -30,7 +29,7 @@
   return `${region}-${workspace}-${bound ? "bound" : "free"}`;
 }
 
-/** Makes the table, at version 1. */
+/** Builds the table at version 1. */
 export function buildTable(spec: TableSpec): Table {
   const rows: unknown[] = [{
     kind: "service",
--- a/bench/vm_cost.ts
+++ b/bench/vm_cost.ts
@@ -1,7 +1,8 @@
 /**
- * What one real VM costs in processor time among more and more others: a start, an idle second, a request.
+ * Measures the processor time of one real VM in fleets of growing size: for a start, an idle second and a request.
  *
- * The VM is the bundle as it is deployed, in a process of its own; the others are stand-ins that say what VMs say.
+ * The VM is the bundle as it is deployed, in a process of its own. The others are stand-ins that send the same messages
+ * as VMs.
  *
  * @module
  */
@@ -35,29 +36,29 @@
 
 const REGIONS = ["north", "south", "west"];
 const FLEET_SIZES = [7, 30, 90, 195, 300];
-/** Upstreams of the VM's region by size of the fleet: about one for two VMs. */
+/** Returns the number of upstreams of the VM's region by the size of the fleet: about one for two VMs. */
 const countUpstreams = (vms: number) => Math.max(4, Math.round(vms * 0.16));
 const PORT = 18_104;
 const IDLE_MS = 6_000;
-/** A VM that is replaced daily, among many, runs few requests before its code is compiled to its best. */
+/** Requests counted apart: a VM of a large fleet that is replaced daily runs few before its code is fully optimized. */
 const FIRST_REQUESTS = 150;
 const LATER_REQUESTS = 500;
 const CONCURRENCY = 10;
 const TICK_INTERVAL_MS = 50;
-/** Cores of the measured VM and of the others: more make it its region's first lead. */
+/** Cores of the measured VM by its role, and of the others. With the most cores it is its region's first lead. */
 const CORES = { lead: 2, other: 0.1, peers: 1 };
 const SEED = 1;
 
 const sleep = (ms: number) =>
   new Promise<void>((resolve) => setTimeout(resolve, ms));
 
-/** Processor time of a process so far, in ms. */
+/** Reads the processor time that a process has used so far. */
 function readCpuMs({ pid }: ChildProcess): number {
   return Number(readFileSync(`/proc/${pid}/schedstat`, "utf8").split(" ")[0]) /
     1e6;
 }
 
-/** VMs that say what VMs say, and do nothing. */
+/** Stand-ins for VMs that send the same messages as VMs and do nothing else. */
 class FakePeers {
   readonly #sockets: Socket[] = [];
   readonly #timers: NodeJS.Timeout[] = [];
@@ -213,7 +214,7 @@
   readonly laterCpuMs: number;
 }
 
-/** Starts the VM among `vms` others in all, and measures it. */
+/** Starts the VM in a fleet of `vms` VMs in all and measures it. */
 async function measure(
   vms: number,
   cores: number,
@@ -284,7 +285,10 @@
   }
 }
 
-/** `--vms 7,195`: sizes of the fleet. `--role lead`: that one alone. `--node "FLAGS"`: options of Node.js. */
+/**
+ * Measures each fleet size and role. `--vms 7,195` sets the fleet sizes, `--role lead` runs that role only, and
+ * `--node "FLAGS"` sets options of Node.js.
+ */
 export async function run(args: readonly string[]): Promise<readonly Row[]> {
   const option = (name: string) => {
     const at = args.indexOf(name);
--- a/bench/workload.ts
+++ b/bench/workload.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded traffic: workspaces that ask short questions and long plans about documents they share.
+ * Generates seeded traffic: short and long requests of workspaces, whose prompts begin with shared documents.
  *
  * @module
  */
@@ -21,25 +21,25 @@
   readonly deadlineMs: number;
 }
 
-/** One stream of requests. */
+/** A stream of requests of several workspaces, with a rate that may change over time. */
 export interface Stream {
   readonly region: string;
   readonly workspaces: readonly string[];
   readonly bound: boolean;
   /** Share of long prompts. */
   readonly longShare: number;
-  /** Requests a second at a time. */
+  /** Request rate at a given time. */
   readonly requestsPerS: (atMs: number) => number;
 }
 
-/** Documents of one workspace; each is the shared beginning of many prompts. */
+/** Documents of one workspace. Each is the shared prefix of many prompts. */
 const DOCUMENTS_PER_WORKSPACE = 3;
-/** Part of a long prompt that is the shared document. */
+/** Share of a long prompt that is the shared document. */
 const SHARED_PROMPT_SHARE = 0.75;
-/** Time to the first token that callers allow. */
+/** Time that callers allow until the first token. */
 export const DEADLINE_MS = { short: 3000, long: 8000 };
 
-/** The requests of some streams up to `endMs`, in order of time. */
+/** Generates the requests of all streams up to `endMs`, in order of time. */
 export function generate(
   streams: readonly Stream[],
   endMs: number,
@@ -60,7 +60,7 @@
   const requests: WorkloadRequest[] = [];
   let atMs = 0;
   for (;;) {
-    // Steps of at most 100 ms follow a rate that changes.
+    // Time advances by at most 100 ms at once, so that the arrivals follow a changing rate.
     const perMs = stream.requestsPerS(atMs) / 1000;
     const gapMs = perMs > 0 ? random.exponential(1 / perMs) : Infinity;
     if (gapMs > 100) {
@@ -111,7 +111,7 @@
   random: Random,
 ): number[] {
   const blocks = Math.floor(promptTokens / BLOCK_TOKENS);
-  // Squaring makes the first documents the popular ones.
+  // Squaring the random number makes the first documents the most popular ones.
   const document = Math.floor(random.next() ** 2 * DOCUMENTS_PER_WORKSPACE);
   const sharedBlocks = type === "long"
     ? Math.floor(blocks * SHARED_PROMPT_SHARE)
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -1,5 +1,5 @@
 /**
- * Regions of engines, callers and links in virtual time, and what became of each request.
+ * Simulates regions of engines, callers and links in virtual time, and records the outcome of each request.
  *
  * @module
  */
@@ -27,21 +27,22 @@
 
 export type { Outcome, WorldOptions } from "./world_types.ts";
 
-/** One-way time between VMs, and between a VM and an upstream, of one region. */
+/** One-way time between two VMs, or a VM and an upstream, of the same region. */
 const HOP_MS = 0.5;
 const TICK_MS = 50;
 const RENEW_MS = 2000;
-/** Time until a VM knows that a connection to another region cannot be made. */
+/** Time until a VM gives up connecting to another region. */
 const CONNECT_TIMEOUT_MS = 300;
-/** Time from the loss of a lead until VMs ask its successor, and until they have told it what they hold. */
+/** Time from the loss of a lead until VMs send their queued requests to its successor. */
 const REREQUEST_MS = 500;
+/** Time from the loss of a lead until VMs have told its successor which slots they hold. */
 const ADOPT_MS = 800;
 
-/** See the module. */
+/** Runs requests through the policies and engines of all regions. */
 export class World {
   readonly sim = new Sim();
   readonly outcomes: Outcome[] = [];
-  /** Promises of the brief that were broken, by name. */
+  /** Number of violations of each invariant, by its name. */
   readonly violations = new Map<string, number>();
   readonly #options: WorldOptions;
   readonly #regions = new Map<string, Region>();
@@ -68,7 +69,7 @@
     this.#reports = new RegionReports(this.sim, options, this.#regions);
   }
 
-  /** Regions cut off from all others. */
+  /** Regions that are cut off from all others. */
   get cutRegions(): Set<string> {
     return this.#reports.cutRegions;
   }
@@ -82,19 +83,19 @@
     return this.#regions.get(region)!.policy;
   }
 
-  /** The state of a region's lead. */
+  /** Returns the state of a region's lead. */
   dump(region: string): { readonly upstreams: { health: string }[] } {
     const policy = this.policy(region);
-    if (!(policy instanceof Lead)) throw new Error("only a lead has a dump");
+    if (!(policy instanceof Lead)) throw new Error("policy has no dump");
     return policy.pool.dump() as { upstreams: { health: string }[] };
   }
 
-  /** Upstream-hours that were paid for between these times. */
+  /** Returns the upstream-hours that were paid for between these times. */
   upstreamHours(fromMs: number, toMs: number): number {
     return this.#hoursMeter.hoursBetween(fromMs, toMs);
   }
 
-  /** Runs the requests to their ends. */
+  /** Runs the requests until `endMs`. */
   run(requests: readonly WorkloadRequest[], endMs: number): void {
     for (const r of requests) this.sim.after(r.atMs, () => this.#arrive(r));
     this.sim.runUntil(endMs);
@@ -130,8 +131,8 @@
   }
 
   /**
-   * The lead is lost; a new one knows nothing but the table. Entry VMs ask it again for what was queued, and a little
-   * later tell it what they hold.
+   * Replaces a lost lead by a new one that knows only the table. Entry VMs send it again what was queued, and a little
+   * later tell it which slots they hold.
    */
   replaceLead(regionId: string): void {
     const region = this.#regions.get(regionId)!;
@@ -201,7 +202,7 @@
 
   #request({ id, outcome, region, home, exclude, isReturned }: Attempt): void {
     const { request } = outcome;
-    // The policy that knows only latency takes what others send as its own.
+    // The latency-only policy treats requests from other regions like its own.
     const isRemote = region !== home && !this.#options.isLatencyOnly;
     region.policy.requestSlot({
       attemptId: id,
@@ -251,7 +252,7 @@
 
   #forward(outcome: Outcome, home: Region, remote: Region): void {
     const { linkMs } = this.#options;
-    if (outcome.request.bound) this.#violate("bound sent away");
+    if (outcome.request.bound) this.#violate("bound request moved");
     outcome.moves++;
     if (this.#reports.isCut(home, remote)) {
       this.sim.after(
@@ -263,10 +264,7 @@
     this.sim.after(linkMs, () => this.#attempt(outcome, home, remote, []));
   }
 
-  #onGrant(
-    attempt: Attempt,
-    grant: SlotAnswer & { type: "grant" },
-  ): void {
+  #onGrant(attempt: Attempt, grant: SlotAnswer & { type: "grant" }): void {
     const { outcome, region } = attempt;
     attempt.state = "granted";
     attempt.upstreamId = grant.upstreamId;
@@ -275,7 +273,7 @@
     region.held.add(attempt.id);
     if (outcome.result !== "open") return this.#end(attempt, "canceled");
     if (attempt.exclude.includes(grant.upstreamId)) {
-      this.#violate("visited again");
+      this.#violate("excluded upstream granted again");
     }
     this.sim.after(
       2 * HOP_MS,
@@ -316,7 +314,7 @@
     attempt.state = "started";
     if (outcome.result !== "open") return;
     outcome.responses++;
-    if (outcome.responses > 1) this.#violate("two answers");
+    if (outcome.responses > 1) this.#violate("two responses");
     const backMs = HOP_MS + (region === home ? 0 : this.#options.linkMs);
     outcome.firstTokenMs = this.now + backMs - outcome.request.atMs;
     outcome.result = "served";
@@ -372,12 +370,12 @@
     this.#attempt(outcome, home, region, exclude, attempt.isReturned);
   }
 
-  /** Whether this answer's usage tells what was cached: some engines leave it out of some answers. */
+  /** Whether the response's usage reports cached tokens; some engines leave them out of some responses. */
   #hasUsage(): boolean {
     return this.#random.next() < this.#options.usageShare;
   }
 
-  /** The caller's deadline: one without a first token goes away. */
+  /** Handles the caller's deadline: a caller without a first token by then leaves. */
   #expire(outcome: Outcome): void {
     if (outcome.result !== "open") return;
     outcome.result = "late";
--- a/bench/world_types.ts
+++ b/bench/world_types.ts
@@ -1,5 +1,5 @@
 /**
- * What a {@link World} is made of, and what it leaves behind.
+ * Types of a {@link World}: its options, its state and the outcomes that it records.
  *
  * @module
  */
@@ -14,34 +14,35 @@
 import type { Policy, PolicyContext } from "./policies.ts";
 import type { WorkloadRequest } from "./workload.ts";
 
-/** How a world is made. */
+/** Options of a world. */
 export interface WorldOptions {
   readonly table: Table;
   readonly service: string;
   readonly regions: readonly string[];
   readonly linkMs: number;
-  /** Age of load reports. */
+  /** Delay of load reports. Also their interval, unless it is shorter than 100 ms. */
   readonly lagMs: number;
   readonly seed: number;
   readonly cacheBlocks: number;
-  /** Share of the answers whose usage tells what was cached. */
+  /** Share of the responses whose usage reports cached tokens. */
   readonly usageShare: number;
   readonly createPolicy: (context: PolicyContext) => Policy;
-  /** Requests go wherever the digests show the shortest wait. */
+  /** Whether requests that are not bound go to the region with the shortest wait by the digests. */
   readonly isLatencyOnly?: boolean;
 }
 
-/** What became of a request. */
+/** The outcome of a request. */
 export interface Outcome {
   readonly request: WorkloadRequest;
   result: "open" | "served" | "late" | "refused" | "broken";
   firstTokenMs?: number;
-  /** Region that served it. */
+  /** Region that served the request. */
   servedIn?: string;
-  /** The upstream it was last placed on. */
+  /** Upstream that the request was last placed on. */
   upstreamId?: string;
   code?: string;
   attempts: number;
+  /** How often the request was sent to another region. */
   moves: number;
   cachedTokens: number;
   responses: number;
@@ -49,13 +50,15 @@
   refusedAfterMs?: number;
 }
 
-/** A region while the world runs. */
+/** A region of a running world. */
 export interface Region {
   readonly id: string;
   readonly engines: readonly Engine[];
   readonly byId: ReadonlyMap<string, Engine>;
   policy: Policy;
+  /** The last digest of each other region, by its id. */
   readonly remotes: Map<string, RemoteRegion>;
+  /** Ids of the attempts that hold a slot. */
   readonly held: Set<string>;
 }
 
@@ -66,13 +69,14 @@
   readonly region: Region;
   readonly home: Region;
   readonly exclude: readonly string[];
+  /** Whether the request has come back from another region or could not reach it. */
   readonly isReturned: boolean;
   upstreamId?: string;
   grantedAtMs: number;
   state: "asked" | "granted" | "started" | "closed";
 }
 
-/** What an entry VM tells a new lead of a slot that it holds. */
+/** Builds what an entry VM tells a new lead of a slot that it holds. */
 export function heldSlot(attempt: Attempt, nowMs: number): HeldSlot {
   const { request } = attempt.outcome;
   return {
