--- a/src/standins/answer.ts
+++ b/src/standins/answer.ts
@@ -1,26 +1,26 @@
 /**
- * The text a stand-in engine answers with. It follows from the prompt's nonce and the number of tokens alone, so that
- * a caller can tell its own complete answer from a cut, doubled, garbled or foreign one.
+ * The text of a stand-in engine's answer. It depends only on the prompt's nonce and the number of tokens, so that a
+ * caller can tell its own complete answer from one that is truncated, duplicated, garbled or meant for another request.
  *
  * @module
  */
 
 import { hash32 } from "../base/mod.ts";
 
-/** Fewest tokens of an answer: the nonce, one numbered token and the checksum. */
+/** Least number of tokens of an answer: the nonce, one numbered token and the checksum. */
 export const MIN_ANSWER_TOKENS = 3;
 
 const NONCE_PATTERN = /nonce:([A-Za-z0-9_-]{1,128})/;
 
-/** What {@link checkAnswer} finds. */
+/** Result of {@link checkAnswer}: `cut` is a truncated answer, `foreign` one of another request. */
 export type AnswerCheck = "complete" | "cut" | "foreign" | "garbled";
 
-/** The nonce in a prompt (`nonce:…`); a prompt without one gets a hash of its text. */
+/** Returns the nonce in a prompt (`nonce:…`), or a hash of the prompt if it has none. */
 export function extractNonce(prompt: string): string {
   return NONCE_PATTERN.exec(prompt)?.[1] ?? `h${hash32(prompt).toString(16)}`;
 }
 
-/** Token `index` (from 0) of the answer with `count` tokens. */
+/** Returns token `index` (from 0) of the answer with `count` tokens. */
 export function formatToken(
   nonce: string,
   index: number,
@@ -31,7 +31,7 @@
   return ` #${hash32(`${nonce}:${count}`).toString(16)}`;
 }
 
-/** The whole answer. */
+/** Returns the whole answer. */
 export function formatAnswer(nonce: string, count: number): string {
   let text = "";
   for (let index = 0; index < count; index++) {
@@ -40,7 +40,7 @@
   return text;
 }
 
-/** Compares what a caller received with the answer that its nonce stands for. */
+/** Compares the text that a caller received with the answer that belongs to its nonce. */
 export function checkAnswer(text: string, nonce: string): AnswerCheck {
   const words = text.split(" ");
   if (words[0] !== nonce) {
@@ -51,7 +51,7 @@
   return isPrefix ? "cut" : "garbled";
 }
 
-/** Tokens of a prompt, by the usual rule of thumb of four characters a token. */
+/** Estimates the tokens of a prompt, by the usual rule of thumb of four characters per token. */
 export function estimateTokens(prompt: string): number {
   return Math.ceil(prompt.length / 4);
 }
--- a/src/standins/batch.ts
+++ b/src/standins/batch.ts
@@ -1,6 +1,6 @@
 /**
- * A small timing model of a continuously batching engine: slots, a prefill rate, and a decode rate that the running
- * batch shares. It knows no sockets and no clock.
+ * A small timing model of an engine with continuous batching: slots, a prefill rate, and a decode rate that the running
+ * requests share. It uses no sockets and no clock.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 import { estimateTokens } from "./answer.ts";
 import { PrefixCache } from "./prefix_cache.ts";
 
-/** How fast the modelled engine is. */
+/** Capacity and speed of the modelled engine. */
 export interface BatchTiming {
-  /** Requests that run side by side. */
+  /** Requests that run concurrently. */
   readonly slots: number;
   readonly prefillTokensPerS: number;
-  /** Shared by the requests that generate. */
+  /** Decode rate that all generating requests share. */
   readonly decodeTokensPerS: number;
-  /** Most a single request gets of it. */
+  /** Maximum decode rate of a single request. */
   readonly streamTokensPerS: number;
   /** Size of the prefix cache. */
   readonly cacheTokens: number;
 }
 
-/** A request to the model. Lower `priority` runs first, as with vLLM. */
+/** A request to the model. A lower `priority` runs first, as in vLLM. */
 export interface BatchJob {
   readonly id: number;
   readonly priority: number;
@@ -30,7 +30,7 @@
   readonly outputTokens: number;
 }
 
-/** What happened to a job in a step. `tokens` counts the newly generated ones. */
+/** A change of a job in one step. `tokens` is the number of newly generated tokens. */
 export type BatchEvent =
   | {
     readonly type: "started";
@@ -42,11 +42,12 @@
 interface RunningJob {
   readonly job: BatchJob;
   prefillTokensLeft: number;
+  /** Tokens that the elapsed time allows but that are not generated yet; may be fractional. */
   decodeCredit: number;
   generatedTokens: number;
 }
 
-/** The engine's batch and its queue. */
+/** The requests that an engine runs, and those that wait for a slot. */
 export class Batch {
   readonly #timing: BatchTiming;
   readonly #cache: PrefixCache;
@@ -54,39 +55,39 @@
   #waiting: BatchJob[] = [];
   #lastMs = 0;
 
-  /** An idle engine. */
+  /** Creates an idle engine. */
   constructor(timing: BatchTiming) {
     this.#timing = timing;
     this.#cache = new PrefixCache(timing.cacheTokens);
   }
 
-  /** Requests in the batch. */
+  /** Number of requests in the batch. */
   get running(): number {
     return this.#running.size;
   }
-  /** Requests that wait for a slot. */
+  /** Number of requests that wait for a slot. */
   get waiting(): number {
     return this.#waiting.length;
   }
-  /** Share of the cache in use, 0 to 1. */
+  /** Share of the prefix cache in use, 0 to 1. */
   get cacheUsage(): number {
     return this.#cache.usage;
   }
 
-  /** Queues a job behind those of its priority. */
+  /** Queues a job behind the waiting jobs of the same priority. */
   submit(job: BatchJob, nowMs: number): void {
     if (this.running + this.waiting === 0) this.#lastMs = nowMs;
     const insertAt = this.#waiting.findIndex((w) => w.priority > job.priority);
     this.#waiting.splice(insertAt < 0 ? this.waiting : insertAt, 0, job);
   }
 
-  /** Drops a job wherever it is. */
+  /** Removes a job, whether it waits or runs. */
   cancel(id: number): void {
     this.#waiting = this.#waiting.filter((job) => job.id !== id);
     this.#running.delete(id);
   }
 
-  /** Lets time pass until `nowMs`; `speed` below 1 models a slow engine. */
+  /** Advances the model to `nowMs`; a `speed` below 1 models a slow engine. */
   step(nowMs: number, speed: number): BatchEvent[] {
     const events: BatchEvent[] = [];
     const elapsedS = Math.max(0, nowMs - this.#lastMs) / 1000 * speed;
@@ -144,7 +145,7 @@
     newCredit: number,
     events: BatchEvent[],
   ): void {
-    // The first token comes with the end of the prefill.
+    // The end of the prefill yields the first token.
     running.decodeCredit +=
       running.generatedTokens === 0 && running.decodeCredit === 0
         ? 1
--- a/src/standins/batch_test.ts
+++ b/src/standins/batch_test.ts
@@ -18,7 +18,7 @@
   return { id, priority, prompt, outputTokens };
 }
 
-/** Steps by 10 ms until the batch is empty; each event with its time. */
+/** Steps by 10 ms until the batch is empty; returns each event with its time. */
 function runUntilEmpty(batch: Batch, fromMs = 0): [number, BatchEvent][] {
   const events: [number, BatchEvent][] = [];
   for (let nowMs = fromMs; batch.running + batch.waiting > 0; nowMs += 10) {
@@ -32,7 +32,7 @@
 }
 
 describe("a stand-in engine's batch", () => {
-  it("runs the lowest priority value first, and equals in order", (t) => {
+  it("runs the lowest priority value first, and equal priorities in order of arrival", (t) => {
     const batch = new Batch(TIMING);
     batch.submit(makeJob(1, 5, "x"), 0);
     batch.submit(makeJob(2, 0, "x"), 0);
@@ -44,17 +44,17 @@
     ]);
   });
 
-  it("gives the first token after the prefill, the others at the stream's rate", (t) => {
+  it("generates the first token after the prefill and the others at the stream's rate", (t) => {
     const batch = new Batch(TIMING);
     batch.submit(makeJob(1, 0, "x".repeat(400), 3), 0);
     const tokens = runUntilEmpty(batch).filter(([, event]) =>
       event.type === "tokens"
     );
-    // 100 tokens at 1,000 a second, then one each 20 ms.
+    // 100 prompt tokens at 1,000 a second, then one token every 20 ms.
     t.deepEqual(tokens.map(([atMs]) => atMs), [100, 120, 140]);
   });
 
-  it("finds a prompt's prefix warm until its bounded cache drops it", (t) => {
+  it("finds a prompt's prefix in the cache until the bounded cache evicts it", (t) => {
     const batch = new Batch(TIMING);
     const prompts = ["a", "a", "b", "a"].map((letter) =>
       letter.repeat(4 * 1024)
--- a/src/standins/config_fixtures.ts
+++ b/src/standins/config_fixtures.ts
@@ -1,13 +1,13 @@
 /**
- * Rows of the operators' configuration for tests, as the users' platform has them.
+ * Configuration and upstream entries for tests, in the JSON format of the users' platform.
  *
  * @module
  */
 
-/** The host that all of them are for. */
+/** The host of all routes. */
 export const ROUTE_HOST = "h.example";
 
-/** A route to the service `s`, less what `more` replaces. */
+/** Makes a route to the service `s`; `overrides` replaces fields. */
 export function makeRoute(overrides: Record<string, unknown> = {}) {
   return {
     name: `r${overrides.path_prefix ?? "/safe/"}`,
@@ -25,10 +25,10 @@
   };
 }
 
-/** The key under which the operators' configuration stands. */
+/** The store's key of the operators' configuration. */
 export const PLATFORM_CONFIG_KEY = "op/config";
 
-/** A workspace, less what `more` replaces. */
+/** Makes a workspace; `overrides` replaces fields. */
 export function makeWorkspace(
   name: string,
   keys: readonly string[],
@@ -47,8 +47,8 @@
 }
 
 /**
- * A configuration of one service, `s`; `service` replaces what it says of it. Without `workspaces` nobody is asked for a
- * key.
+ * Makes a configuration with one service, `s`; `serviceOverrides` replaces the service's fields. Without `workspaces`,
+ * callers need no key.
  */
 export function makeConfig(
   version: number,
@@ -76,7 +76,7 @@
   };
 }
 
-/** An upstream's entry in the store, of the service `s` in a region's failure domain `a`, less what `more` replaces. */
+/** Makes the store entry of an upstream of service `s` in a region's failure domain `a`; `overrides` replaces fields. */
 export function makeUpstreamEntry(
   address: string,
   region: string,
--- a/src/standins/engine.ts
+++ b/src/standins/engine.ts
@@ -1,11 +1,12 @@
 /**
- * A stand-in model engine: the OpenAI-compatible protocol as vLLM publishes it, on a timing model, with faults and a
- * record of what ran.
+ * A stand-in model engine. It serves the OpenAI-compatible protocol as vLLM publishes it, takes its timing from a model
+ * of a batching engine, injects faults and records the requests that ran.
  *
- * Beyond vLLM's protocol, as the brief says the platform's engines do:
- * - `last-event-id: N` on a request (same body) continues its answer after the event numbered N, if the engine `resumes`; the answer
- *   then carries `x-resumed-from: N`. An engine that does not resume answers from the start, without that header.
- * - a refusal before running carries `x-ran: no`.
+ * The platform's engines, and this one, extend vLLM's protocol:
+ * - `last-event-id: N` on a request with the same body continues its answer after the event numbered N if the engine
+ *   `resumes`; the answer then carries `x-resumed-from: N`. An engine that does not resume answers from the start,
+ *   without that header.
+ * - A refusal before the request runs carries `x-ran: no`.
  * - `POST /orders` with `x-fencing-token` takes `{"want": "active" | "parked"}` or `{"load": MODEL}`.
  *
  * @module
@@ -35,16 +36,16 @@
 import { engineOrderSchema, FENCING_HEADER, Orders } from "./orders.ts";
 import { type RunRecord, RunRecords } from "./records.ts";
 
-/** How the engine is and what it can do. */
+/** Settings of a stand-in engine. */
 export interface EngineOptions extends ListenOptions, Partial<BatchTiming> {
   readonly model?: string;
   /** Whether it continues a broken stream. */
   readonly resumes?: boolean;
-  /** Whether it refuses an order with an old fencing number. */
+  /** Whether it refuses an order with a stale fencing number. */
   readonly checksFence?: boolean;
-  /** How old its reported load may be. */
+  /** Maximum age of the load that it reports. */
   readonly loadLagMs?: number;
-  /** How often the batch moves on. */
+  /** Interval between steps of the batch. */
   readonly stepMs?: number;
 }
 
@@ -86,7 +87,7 @@
   #reportedLoad: Load = { running: 0, waiting: 0, cacheUsage: 0 };
   #previousRequest: AnswerIdentity = { requestId: "other", nonce: "other" };
 
-  /** Use {@link openEngine}. */
+  /** Creates an engine that does not listen yet; use {@link openEngine}. */
   constructor(options: EngineOptions) {
     this.#options = options;
     this.#batch = new Batch({ ...DEFAULT_TIMING, ...options });
@@ -111,17 +112,17 @@
   get controlUrl(): string {
     return this.#control.url;
   }
-  /** The model it was started with. */
+  /** The model that it was started with. */
   get model(): string {
     return this.#options.model ?? "standin";
   }
 
-  /** What arrived and ran. */
+  /** Records of all requests that arrived. */
   records(): readonly RunRecord[] {
     return this.#records.list();
   }
 
-  /** Listens. */
+  /** Starts to listen. */
   async open(): Promise<void> {
     const control = createControlRouter(this.faults, this.#records);
     const app = new Koa();
@@ -131,7 +132,7 @@
     this.#control = await listenControl(control, this.#options);
   }
 
-  /** Closes all connections, those with answers too. */
+  /** Closes the listeners and all connections, including those with requests in flight. */
   async close(): Promise<void> {
     clearInterval(this.#loadTimer);
     clearInterval(this.#stepTimer);
@@ -335,7 +336,7 @@
   }
 }
 
-/** The text of chat messages, one a line; their parts of type `text` count. */
+/** Joins the text of chat messages, one message per line; of a message in parts, the `text` of each part. */
 function joinMessages(messages: unknown): string | undefined {
   if (!Array.isArray(messages)) return undefined;
   return messages.map((message) => {
--- a/src/standins/engine_answer.ts
+++ b/src/standins/engine_answer.ts
@@ -1,5 +1,5 @@
 /**
- * One answer of a stand-in engine: writes generated tokens as JSON or as server-sent events, with the request's faults.
+ * Writes one answer of a stand-in engine, as JSON or as server-sent events, and applies the request's faults to it.
  *
  * @module
  */
@@ -9,29 +9,30 @@
 import type { EngineFault } from "./faults.ts";
 import type { FaultSet } from "./faults.ts";
 
-/** What the answer is made from. */
+/** A parsed request, from which the answer is made. */
 export interface AnswerRequest {
   readonly kind: "chat" | "completion";
   readonly isStream: boolean;
   /** Whether the last event carries the usage. */
   readonly includeUsage: boolean;
-  /** Whether every event carries the usage so far, as vLLM's `continuous_usage_stats` asks. */
+  /** Whether every event carries the usage so far, as vLLM's `continuous_usage_stats` requests it. */
   readonly includeRunningUsage: boolean;
   readonly requestId: string;
   readonly model: string;
   readonly prompt: string;
   readonly nonce: string;
-  /** Tokens of the whole answer, those before a resume counted. */
+  /** Tokens of the whole answer, including those before `resumeFrom`. */
   readonly outputTokens: number;
+  /** Index of the first token to send; 0 unless the request resumes a stream. */
   readonly resumeFrom: number;
-  /** Whether each event carries its place in the answer as its `id`. */
+  /** Whether each event carries its index in the answer as its `id`. */
   readonly hasEventIds: boolean;
 }
 
-/** Another request, whose answer a crossed one carries. */
+/** The parts of a request that identify its answer. */
 export type AnswerIdentity = Pick<AnswerRequest, "requestId" | "nonce">;
 
-/** Writes one answer. */
+/** Writes one answer as its tokens are generated. */
 export class AnswerWriter {
   readonly #request: AnswerRequest;
   readonly #res: ServerResponse;
@@ -46,7 +47,7 @@
   #hasPaused = false;
   #cachedTokens = 0;
 
-  /** `other` is whose answer is sent if the request is struck by the fault `crossed`. */
+  /** `other` is the request whose answer is sent if the fault `crossed` applies. */
   constructor(
     request: AnswerRequest,
     res: ServerResponse,
@@ -60,12 +61,12 @@
     this.#generated = this.#sent = this.#eventId = request.resumeFrom;
   }
 
-  /** Prompt tokens that were warm, for the usage. */
+  /** Sets the number of cached prompt tokens that the usage reports. */
   setCachedTokens(tokens: number): void {
     this.#cachedTokens = tokens;
   }
 
-  /** More tokens were generated. */
+  /** Adds newly generated tokens and writes what can be sent. */
   addTokens(tokens: number): void {
     this.#generated += tokens;
     this.#writeReady();
@@ -87,7 +88,7 @@
     this.#res.end(
       this.#request.isStream
         ? out + this.#formatLastEvents()
-        : this.#writeJsonHead(),
+        : this.#openJson(),
     );
   }
 
@@ -111,7 +112,7 @@
     };
   }
 
-  /** Whose answer token `index` belongs to. */
+  /** The request to whose answer the token `index` belongs. */
   #identityAt(index: number): AnswerIdentity {
     const crossed = this.#faults.get("crossed");
     return crossed && index >= (crossed.afterTokens ?? 0)
@@ -126,7 +127,7 @@
   #breakConnection(out: string): void {
     const destroy = () => this.#res.socket?.resetAndDestroy();
     if (out === "" || !this.#request.isStream) return void destroy();
-    // A reset would throw away what was written before it.
+    // A reset would discard the data that was written before it.
     this.#res.write(out, () => setTimeout(() => this.#res.destroy(), 5));
     this.#isPaused = true;
   }
@@ -156,7 +157,7 @@
       this.#isPaused = false;
       this.#writeReady();
     }, pauseMs);
-    // A timer that outlives its answer keeps the process from ending.
+    // A timer that outlives its answer would keep the process from exiting.
     this.#res.once("close", () => clearTimeout(timer));
   }
 
@@ -224,7 +225,8 @@
     };
   }
 
-  #writeJsonHead(): string {
+  /** Writes the response head and returns the JSON body. */
+  #openJson(): string {
     const isChat = this.#request.kind === "chat";
     const content = isChat
       ? { message: { role: "assistant", content: this.#text } }
--- a/src/standins/engine_test.ts
+++ b/src/standins/engine_test.ts
@@ -34,7 +34,7 @@
   };
 }
 
-/** Streams one answer and keeps what a caller saw of it. */
+/** Requests one streamed answer and returns it as the caller received it. */
 async function streamAnswer(
   engine: Engine,
   json: object,
@@ -69,7 +69,7 @@
 }
 
 describe("a stand-in engine", () => {
-  it("a stock client gets its own answer, streamed and whole", async (t) => {
+  it("gives an OpenAI client its own answer, streamed and whole", async (t) => {
     const engine = await openEngine(FAST);
     const client = new OpenAI({ baseURL: `${engine.url}/v1`, apiKey: "none" });
     const whole = await client.chat.completions.create({
@@ -157,7 +157,7 @@
   ];
 
   for (const { name, fault, check, done, broken } of faultCases) {
-    it(`fault ${name}`, async (t) => {
+    it(`applies the fault "${name}" to one request only`, async (t) => {
       const engine = await openEngine(FAST);
       engine.faults.add({ ...fault, times: 1 });
       const faulty = await streamAnswer(engine, chatRequest("f1", 20), {
@@ -176,7 +176,7 @@
     });
   }
 
-  it("a broken stream is continued where the engine resumes", async (t) => {
+  it("continues a broken stream if the engine resumes", async (t) => {
     const engine = await openEngine({ ...FAST, resumes: true });
     engine.faults.add({ type: "cut", afterTokens: 7, times: 1 });
     const first = await streamAnswer(engine, chatRequest("r", 20));
@@ -189,7 +189,7 @@
     await engine.close();
   });
 
-  it("a closed connection cancels the request and frees its slot", async (t) => {
+  it("cancels a request whose connection closes and frees its slot", async (t) => {
     const engine = await openEngine({
       ...FAST,
       slots: 1,
@@ -210,7 +210,7 @@
     await engine.close();
   });
 
-  it("refusals say that nothing ran, and faults are set over HTTP", async (t) => {
+  it("marks refusals as not run and takes faults over HTTP", async (t) => {
     const engine = await openEngine(FAST);
     const post = (path: string, json: object) =>
       got.post(`${engine.controlUrl}${path}`, { json });
@@ -230,7 +230,7 @@
     await engine.close();
   });
 
-  it("load is read from the metrics page, late or false on request", async (t) => {
+  it("reports its load in its metrics, or a false load if a fault says so", async (t) => {
     const engine = await openEngine({
       ...FAST,
       slots: 1,
@@ -252,7 +252,7 @@
     await engine.close();
   });
 
-  it("orders with an old fencing number are refused where checked", async (t) => {
+  it("refuses an order with a stale fencing number only if it checks numbers", async (t) => {
     for (const checksFence of [true, false]) {
       const engine = await openEngine({ ...FAST, checksFence });
       const order = async (want: string, fence: number) => {
--- a/src/standins/etcd_gateway.ts
+++ b/src/standins/etcd_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * The subset of etcd v3's HTTP/JSON gateway that the stand-in serves.
+ * The subset of etcd v3's HTTP/JSON gateway that the platform's stand-in serves.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   StoredEntry,
 } from "./platform_store.ts";
 
-/** An answer: an HTTP status with its JSON body. */
+/** An HTTP status with its JSON body. */
 export interface EtcdResponse {
   readonly status: number;
   readonly body: unknown;
@@ -48,7 +48,7 @@
   };
 }
 
-/** Makes a gateway error with its gRPC code. */
+/** Makes an error response of etcd's gateway; `code` is the gRPC code. */
 export function makeEtcdError(
   status: number,
   code: number,
@@ -57,10 +57,10 @@
   return { status, body: { code, message, error: message } };
 }
 
-/** Most operations in one transaction, as etcd has it. */
+/** Maximum number of operations in one transaction, as in etcd. */
 const MAX_TXN_OPERATIONS = 128;
 
-/** Answers the gateway's calls on a store. */
+/** Answers calls of etcd's gateway from a {@link PlatformStore}. */
 export class EtcdGateway {
   readonly #store: PlatformStore;
 
--- a/src/standins/faults.ts
+++ b/src/standins/faults.ts
@@ -1,17 +1,17 @@
 /**
- * Faults that a stand-in upstream can be told to have, by code or by `POST /faults`.
+ * Faults that can be injected into a stand-in upstream, by code or by `POST /faults`.
  *
  * @module
  */
 
 import { z } from "zod";
 
-/** How many requests the fault strikes; absent: all until it is cleared. */
+/** Number of requests that the fault applies to; absent: all until it is cleared. */
 const times = z.number().int().min(1).optional();
 const ms = z.number().min(0).max(3_600_000);
 const tokens = z.number().int().min(0);
 
-/** Faults of a stand-in engine; see docs/TRACE.md for what each does. */
+/** Faults of a stand-in engine; docs/TRACE.md describes each. */
 export const engineFaultSchema = z.discriminatedUnion("type", [
   z.strictObject({ type: z.literal("cut"), afterTokens: tokens, times }),
   z.strictObject({ type: z.literal("truncate"), afterTokens: tokens, times }),
@@ -60,19 +60,19 @@
   requestsLeft: number;
 }
 
-/** The faults in force. A fault with `times` is used up by the requests that take it. */
+/** The faults in force. A fault with `times` ends after that many requests. */
 export class Faults<F extends { readonly type: string; times?: number }> {
   readonly #parse: (input: unknown) => F;
   readonly #onChange: () => void;
   #active: ActiveFault<F>[] = [];
 
-  /** `parse` checks a fault; `onChange` is told of each change of the set. */
+  /** `parse` validates a fault; `onChange` is called after `set`, `add` and `clear`. */
   constructor(parse: (input: unknown) => F, onChange: () => void) {
     this.#parse = parse;
     this.#onChange = onChange;
   }
 
-  /** Puts these in place of all others. */
+  /** Replaces all faults. */
   set(faults: readonly unknown[]): void {
     this.#active = faults.map((input) => {
       const fault = this.#parse(input);
@@ -81,48 +81,47 @@
     this.#onChange();
   }
 
-  /** Adds one to those in force. */
+  /** Adds a fault. */
   add(input: unknown): void {
     const fault = this.#parse(input);
     this.#active.push({ fault, requestsLeft: fault.times ?? Infinity });
     this.#onChange();
   }
 
-  /** Ends all faults. */
+  /** Removes all faults. */
   clear(): void {
     this.set([]);
   }
 
-  /** The fault of this type, if it is in force; uses nothing up. */
+  /** Returns the fault of this type if it is in force, without counting a request. */
   peek<T extends F["type"]>(type: T): Extract<F, { type: T }> | undefined {
-    const found = this.#active.find((s) => s.fault.type === type);
+    const found = this.#active.find((active) => active.fault.type === type);
     return found?.fault as Extract<F, { type: T }> | undefined;
   }
 
-  /** The faults that strike a request which arrives now. */
+  /** Returns the faults that apply to a request that arrives now, and counts the request. */
   take(): FaultSet<F> {
-    const taken = this.#active.map((s) => s.fault);
+    const taken = this.#active.map((active) => active.fault);
     for (const active of this.#active) active.requestsLeft--;
-    this.#active = this.#active.filter((s) => s.requestsLeft > 0);
+    this.#active = this.#active.filter((active) => active.requestsLeft > 0);
     return new FaultSet(taken);
   }
 
   /** All faults in force. */
   list(): readonly F[] {
-    return this.#active.map((s) => s.fault);
+    return this.#active.map((active) => active.fault);
   }
 }
 
-/** The faults one request meets. */
+/** The faults that apply to one request. */
 export class FaultSet<F extends { readonly type: string }> {
   readonly #faults: readonly F[];
 
-  /** Holds these faults. */
   constructor(faults: readonly F[]) {
     this.#faults = faults;
   }
 
-  /** The fault of this type, if the request meets it. */
+  /** The fault of this type, if it applies to the request. */
   get<T extends F["type"]>(type: T): Extract<F, { type: T }> | undefined {
     return this.#faults.find((fault) => fault.type === type) as
       | Extract<F, { type: T }>
--- a/src/standins/http.ts
+++ b/src/standins/http.ts
@@ -1,5 +1,5 @@
 /**
- * What the stand-in upstreams share: a listener on loopback, and routes for faults and records.
+ * HTTP parts that the stand-in upstreams share: a listener on loopback, and control routes for faults and records.
  *
  * @module
  */
@@ -14,22 +14,22 @@
 
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
-/** Where a stand-in listens. */
+/** The address that a stand-in listens on. */
 export interface ListenOptions {
-  /** 0 lets the system choose. */
+  /** 0 lets the system choose a port. */
   readonly port?: number;
   readonly host?: string;
 }
 
-/** A listener whose connections can be reset at will. */
+/** A listener that can reset all its connections. */
 export interface Listener {
   readonly url: string;
-  /** While dead, every open and new connection is reset, except on `/faults`' own listener. */
+  /** While dead, every open and new connection is reset; the separate listener of `/faults` still answers. */
   setDead(dead: boolean): void;
   close(): Promise<void>;
 }
 
-/** Serves a Koa application. */
+/** Starts to serve a Koa application. */
 export async function listen(
   app: Koa,
   options: ListenOptions,
@@ -69,8 +69,8 @@
 }
 
 /**
- * The control routes: `GET /records`, `DELETE /records`, `GET /faults`, and `POST /faults` with `{"set": [...]}`,
- * `{"add": {...}}` or `{"clear": true}`.
+ * Creates the control routes: `GET /records`, `DELETE /records`, `GET /faults`, and `POST /faults` with
+ * `{"set": [...]}`, `{"add": {...}}` or `{"clear": true}`.
  */
 export function createControlRouter(
   // deno-lint-ignore no-explicit-any
@@ -103,7 +103,7 @@
   return router;
 }
 
-/** A separate listener for the control routes, so that a dead upstream can be told to live again. */
+/** Serves the control routes on a separate listener, so that the fault `dead` of an upstream can be cleared. */
 export async function listenControl(
   router: Router,
   options: ListenOptions,
@@ -113,19 +113,19 @@
   return await listen(app, { host: options.host, port: 0 });
 }
 
-/** Reads a request's body whole. */
+/** Reads the whole body of a request. */
 export async function readBody(req: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let bytes = 0;
   for await (const chunk of req) {
     bytes += chunk.length;
-    if (bytes > MAX_BODY_BYTES) throw new Error("body too large");
+    if (bytes > MAX_BODY_BYTES) throw new Error("request body is too large");
     chunks.push(chunk);
   }
   return Buffer.concat(chunks);
 }
 
-/** Reads a body as JSON; `undefined` if it is none. */
+/** Reads a body as JSON; returns `undefined` if it is not valid JSON or cannot be read. */
 export async function readJson(req: IncomingMessage): Promise<unknown> {
   try {
     return JSON.parse((await readBody(req)).toString("utf8"));
@@ -134,13 +134,13 @@
   }
 }
 
-/** The value of a header that is sent once. */
+/** Returns the value of a header; `undefined` if it is absent or repeated. */
 export function getHeader(ctx: Context, name: string): string | undefined {
   const value = ctx.req.headers[name];
   return typeof value === "string" ? value : undefined;
 }
 
-/** Answers with an error in the OpenAI shape. */
+/** Answers with an error body in OpenAI's format. */
 export function sendError(ctx: Context, status: number, message: string): void {
   ctx.status = status;
   ctx.body = { error: { message, type: "error", param: null, code: status } };
--- a/src/standins/key_value_contract_test.ts
+++ b/src/standins/key_value_contract_test.ts
@@ -12,7 +12,7 @@
 import type { PlatformFaults } from "./platform_faults.ts";
 import type { PlatformStore } from "./platform_store.ts";
 
-/** One subject of the contract: two VMs' connections to one store. */
+/** An implementation to test: the connections of two VMs to one store. */
 interface StoreUnderTest {
   readonly a: KeyValue;
   readonly b: KeyValue;
@@ -61,7 +61,7 @@
   string,
   (t: ExecutionContext, stores: StoreUnderTest) => Promise<void>
 > = {
-  "a value is read back with its revision": async (t, { a, b }) => {
+  "reads a value back with its revision": async (t, { a, b }) => {
     t.is((await a.get("k", "other"))._unsafeUnwrap(), undefined);
     const rev = (await a.put("k", "v é", {}, "other"))._unsafeUnwrap();
     t.deepEqual((await b.get("k", "other"))._unsafeUnwrap(), {
@@ -70,7 +70,10 @@
       rev,
     });
   },
-  "compare-and-swap lets one of two writers win": async (t, { a, b }) => {
+  "lets only one of two writers succeed in a compare-and-swap": async (
+    t,
+    { a, b },
+  ) => {
     const made = await a.put("k", "1", { ifRev: 0 }, "other");
     const late = (await b.put("k", "2", { ifRev: 0 }, "other"))
       ._unsafeUnwrapErr();
@@ -79,7 +82,7 @@
     const rev = made._unsafeUnwrap();
     t.true((await b.put("k", "3", { ifRev: rev }, "other")).isOk());
   },
-  "a transaction takes effect whole or not at all": async (t, { a }) => {
+  "applies all writes of a transaction or none": async (t, { a }) => {
     await a.put("x", "1", {}, "other");
     const result = await a.transact([
       { type: "put", key: "y", value: "1" },
@@ -96,20 +99,24 @@
     t.is(y?.rev, done._unsafeUnwrap());
     t.is((await a.get("x", "other"))._unsafeUnwrap(), undefined);
   },
-  "a listing is in key order, from a key on, with more": async (t, { a }) => {
-    for (const key of ["p/3", "p/1", "q/1", "p/2"]) {
-      await a.put(key, key, {}, "other");
-    }
-    const all = (await a.list("p/", {}, "other"))._unsafeUnwrap();
-    t.deepEqual(all.entries.map((e) => e.key), ["p/1", "p/2", "p/3"]);
-    t.false(all.more);
-    const part = (await a.list("p/", { fromKey: "p/2", limit: 1 }, "other"))
-      ._unsafeUnwrap();
-    t.deepEqual(part.entries.map((e) => e.key), ["p/2"]);
-    t.true(part.more);
-    t.true(part.rev >= part.entries[0].rev);
-  },
-  "a watch reports changes in order from a revision on": async (
+  "lists in key order, from a given key, and reports whether there is more":
+    async (
+      t,
+      { a },
+    ) => {
+      for (const key of ["p/3", "p/1", "q/1", "p/2"]) {
+        await a.put(key, key, {}, "other");
+      }
+      const all = (await a.list("p/", {}, "other"))._unsafeUnwrap();
+      t.deepEqual(all.entries.map((e) => e.key), ["p/1", "p/2", "p/3"]);
+      t.false(all.more);
+      const part = (await a.list("p/", { fromKey: "p/2", limit: 1 }, "other"))
+        ._unsafeUnwrap();
+      t.deepEqual(part.entries.map((e) => e.key), ["p/2"]);
+      t.true(part.more);
+      t.true(part.rev >= part.entries[0].rev);
+    },
+  "reports changes to a watch in order, starting at a revision": async (
     t,
     { a, b },
   ) => {
@@ -128,7 +135,10 @@
       ["w/1", "w/2", "-w/1"],
     );
   },
-  "a watch from a compacted revision is lost": async (t, { a, store }) => {
+  "reports a watch from a compacted revision as lost": async (
+    t,
+    { a, store },
+  ) => {
     await a.put("w/1", "1", {}, "other");
     store.compact(store.rev);
     const events: WatchEvent[] = [];
@@ -136,7 +146,7 @@
     await waitUntil(() => events.length > 0);
     t.is(events[0].type, "lost");
   },
-  "keys go with their lease": async (t, { a }) => {
+  "deletes the keys of a revoked lease": async (t, { a }) => {
     const leaseId = (await a.grant(60_000, "other"))._unsafeUnwrap();
     t.true((await a.put("l", "1", { leaseId }, "other")).isOk());
     t.true((await a.keepAlive(leaseId, "other")).isOk());
@@ -147,7 +157,7 @@
     const kept = await a.keepAlive(leaseId, "other");
     t.is(kept._unsafeUnwrapErr().kind, "leaseGone");
   },
-  "a lease that is not kept alive lapses": async (t, { a }) => {
+  "expires a lease that is not renewed": async (t, { a }) => {
     const leaseId = (await a.grant(1000, "other"))._unsafeUnwrap();
     await a.put("l", "1", { leaseId }, "other");
     await waitUntil(async () =>
@@ -155,12 +165,12 @@
     );
     t.pass();
   },
-  "a value beyond a megabyte is refused": async (t, { a }) => {
+  "refuses a value of more than a megabyte": async (t, { a }) => {
     const result = await a.put("big", "x".repeat(1_048_577), {}, "other");
     t.is(result._unsafeUnwrapErr().kind, "tooLarge");
   },
-  // The write lands, the connection breaks before its answer: the caller must not believe that it failed.
-  "a lost answer is told as lost, and the write stands": async (
+  // The write takes effect and the connection breaks before the answer: the caller must not conclude that it failed.
+  "reports a lost answer as lost, and the write takes effect": async (
     t,
     { a, b, faults },
   ) => {
@@ -170,30 +180,31 @@
     t.is((await b.get("k", "other"))._unsafeUnwrap()?.value, "1");
     t.true((await a.put("k2", "1", { ifRev: 0 }, "other")).isOk());
   },
-  // One VM is cut off, the other goes on; the cut one's watch tells it that events may be missing.
-  "a cut VM's calls and watches fail, others' go on": async (
-    t,
-    { a, b, faults },
-  ) => {
-    const events: WatchEvent[] = [];
-    a.watch("w/", 1, (event) => events.push(event), "other");
-    await b.put("w/1", "1", {}, "other");
-    await waitUntil(() => events.length === 1);
-    faults.set([{ vm: "^a$", outage: "cut" }]);
-    await waitUntil(() => events.length === 2);
-    t.is(events[1].type, "lost");
-    t.is((await a.get("k", "other"))._unsafeUnwrapErr().kind, "lost");
-    t.true((await b.put("w/2", "1", {}, "other")).isOk());
-    faults.clear();
-    t.true((await a.get("k", "other")).isOk());
-  },
-  "a refused call is told as unavailable": async (t, { a, b, faults }) => {
+  // The watch of the VM that is cut off reports that events may be missing; the other VM still reaches the store.
+  "fails the calls and watches of a VM that is cut off, and not those of others":
+    async (
+      t,
+      { a, b, faults },
+    ) => {
+      const events: WatchEvent[] = [];
+      a.watch("w/", 1, (event) => events.push(event), "other");
+      await b.put("w/1", "1", {}, "other");
+      await waitUntil(() => events.length === 1);
+      faults.set([{ vm: "^a$", outage: "cut" }]);
+      await waitUntil(() => events.length === 2);
+      t.is(events[1].type, "lost");
+      t.is((await a.get("k", "other"))._unsafeUnwrapErr().kind, "lost");
+      t.true((await b.put("w/2", "1", {}, "other")).isOk());
+      faults.clear();
+      t.true((await a.get("k", "other")).isOk());
+    },
+  "reports a refused call as unavailable": async (t, { a, b, faults }) => {
     faults.set([{ vm: "^a$", outage: "refuse" }]);
     const result = await a.put("k", "1", {}, "other");
     t.is(result._unsafeUnwrapErr().kind, "unavailable");
     t.is((await b.get("k", "other"))._unsafeUnwrap(), undefined);
   },
-  "calls are counted by purpose": async (t, { a }) => {
+  "counts calls by purpose": async (t, { a }) => {
     await a.get("k", "claims");
     await a.put("k", "1", {}, "table");
     await a.put("k", "2", {}, "table");
@@ -215,7 +226,7 @@
 }
 
 describe("etcd adapter", () => {
-  it("tells that a store is unavailable, and tries the next address", async (t) => {
+  it("reports an unavailable store, and tries the next address", async (t) => {
     const platform = await openPlatform();
     t.teardown(() => platform.close());
     const goneUrl = "http://127.0.0.1:1";
@@ -227,7 +238,7 @@
     t.true((await both.put("k", "1", {}, "other")).isOk());
   });
 
-  it("tells the rate limit as limited", async (t) => {
+  it("reports a call above the rate limit as limited", async (t) => {
     const platform = await openPlatform({ writesPerS: 2 });
     t.teardown(() => platform.close());
     const store = new EtcdKeyValue({ urls: [platform.url], vmId: "a" });
@@ -242,7 +253,7 @@
   });
 });
 
-// A hang guard only: no verdict depends on how long it takes.
+// The time limit only guards against a hang; no result depends on how long the condition takes.
 async function waitUntil(
   isDone: () => boolean | Promise<boolean>,
 ): Promise<void> {
@@ -250,5 +261,5 @@
     if (await isDone()) return;
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  throw new Error("waited in vain");
+  throw new Error("the condition did not become true in time");
 }
--- a/src/standins/kv_server.ts
+++ b/src/standins/kv_server.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in of the users' platform's store: its HTTP interface on a {@link PlatformStore}, with faults.
+ * A stand-in for the store of the users' platform: its HTTP interface on top of a {@link PlatformStore}, with faults.
  *
  * @module
  */
@@ -20,7 +20,7 @@
   type StoredEntry,
 } from "./platform_store.ts";
 
-/** Items of one page; small, so that tests meet several. */
+/** Items of one page; small, so that listings in tests have several pages. */
 const PAGE_ITEMS = 50;
 const MAX_TXN_ENTRIES = 32;
 
@@ -61,7 +61,7 @@
   readonly remove?: readonly string[];
 }
 
-/** See the module. Each VM gets an address of its own, so that faults can be told apart by VM. */
+/** Serves a {@link PlatformStore} over HTTP. Each VM gets its own address, so that faults can apply to single VMs. */
 export class KvServer {
   readonly store = new PlatformStore(() => performance.now());
   readonly faults = new PlatformFaults();
@@ -76,7 +76,7 @@
     this.#writes = new RateLimit(options.writesPerS ?? 400, nowMs);
   }
 
-  /** Opens the address that a VM calls; `IP:PORT`. */
+  /** Opens the address that a VM calls and returns it as `IP:PORT`. */
   async openAddressFor(vmId: string): Promise<string> {
     const server = createServer((request, response) =>
       void this.#handleRequest(vmId, request, response)
@@ -87,13 +87,13 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`;
   }
 
-  /** Writes a value as an operator or an upstream does. */
+  /** Writes a value without a lease or a precondition, as an operator or an upstream would. */
   put(key: string, value: unknown): void {
     const text = typeof value === "string" ? value : JSON.stringify(value);
     this.store.transact([], [{ type: "put", key, value: text }]);
   }
 
-  /** Removes a key as an operator or a lapsed lease does. */
+  /** Removes a key, as an operator or an expired lease would. */
   remove(key: string): void {
     this.store.transact([], [{ type: "delete", key }]);
   }
@@ -214,7 +214,7 @@
     return [412, { items }];
   }
 
-  /** Answers with the changes as soon as there are any; a VM that is cut off meanwhile loses its connection. */
+  /** Answers with the changes as soon as there are any; resets the connection of a VM that is cut off meanwhile. */
   #watch(
     vmId: string,
     { searchParams }: URL,
--- a/src/standins/memory_key_value.ts
+++ b/src/standins/memory_key_value.ts
@@ -1,5 +1,6 @@
 /**
- * The key-value contract in memory, with injectable faults: for tests without sockets and for the embedded mode.
+ * An in-memory implementation of {@link KeyValue} with injectable faults, for tests without sockets and for the
+ * embedded mode.
  *
  * @module
  */
@@ -25,13 +26,13 @@
   type StoredEntry,
 } from "./platform_store.ts";
 
-/** What a {@link MemoryKeyValue} shares with others, and who it is. */
+/** Settings of a {@link MemoryKeyValue}. */
 export interface MemoryKeyValueOptions {
   readonly clock?: Clock;
-  /** Several connections to one store see each other's writes. */
+  /** The store to connect to; connections to the same store see each other's writes. Absent: a new store. */
   readonly store?: PlatformStore;
   readonly faults?: PlatformFaults;
-  /** The VM that {@link PlatformFaults} match. */
+  /** Id of the connecting VM, which {@link PlatformFaults} match. */
   readonly vmId?: string;
 }
 
@@ -165,7 +166,7 @@
     const watch = new MemoryWatch(onEvent, () => this.#watches.delete(watch));
     this.#watches.add(watch);
     if (this.faults.isCutOff(this.#vmId, prefix)) {
-      watch.reportLost("the store is out of reach");
+      watch.reportLost("the store is unreachable");
       return watch;
     }
     watch.addCleanUp(this.faults.onChange(() => {
@@ -219,7 +220,7 @@
     this.#counts[purpose]++;
     const fault = this.faults.take(this.#vmId, key, isWrite);
     if (fault.slowMs > 0) await this.#clock.sleep(fault.slowMs);
-    // Resolving later than the call, as a socket would, keeps tests from relying on the same turn.
+    // Resolving in a later turn, as a socket would, keeps tests from relying on a result in the same turn.
     else await Promise.resolve();
     if (fault.outage === "cut") return err(makeStoreError("lost"));
     if (fault.outage === "refuse") return err(makeStoreError("unavailable"));
--- a/src/standins/mod.ts
+++ b/src/standins/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for what stands around the gateway, for tests, benchmarks and the embedded default.
+ * Stand-ins for the systems around the gateway (upstreams, store, platform), for tests, benchmarks and the embedded mode.
  *
  * @module
  */
--- a/src/standins/orders.ts
+++ b/src/standins/orders.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to a stand-in engine: park, wake, load a model. Each carries a fencing number, which the engine checks or not.
+ * Orders to a stand-in engine: park, activate, load a model. Each carries a fencing number, which the engine may check.
  *
  * @module
  */
@@ -9,13 +9,13 @@
 /** The header with the fencing number of an order. */
 export const FENCING_HEADER = "x-fencing-token";
 
-/** What an order asks for: the wanted end, so that repeating it is harmless. */
+/** The body of an order. It names the desired state, so that a repeated order is harmless. */
 export const engineOrderSchema = z.union([
   z.strictObject({ want: z.enum(["active", "parked"]) }),
   z.strictObject({ load: z.string().min(1) }),
 ]);
 
-/** An order as received. */
+/** A received order and whether it was accepted. */
 export interface OrderRecord {
   readonly order: z.infer<typeof engineOrderSchema>;
   readonly fence: number;
@@ -23,7 +23,7 @@
   readonly accepted: boolean;
 }
 
-/** The engine's state as set by orders. */
+/** The state of an engine that orders change. */
 export class Orders {
   readonly #checksFence: boolean;
   readonly #models: Set<string>;
@@ -31,22 +31,22 @@
   #highestFence = 0;
   readonly log: OrderRecord[] = [];
 
-  /** An active engine with this model; with `checksFence` it refuses orders with an old fencing number. */
+  /** Starts active, with `model` loaded; with `checksFence`, orders with a stale fencing number are refused. */
   constructor(model: string, checksFence: boolean) {
     this.#models = new Set([model]);
     this.#checksFence = checksFence;
   }
 
-  /** Whether it takes requests. */
+  /** Whether the engine takes requests. */
   get isActive(): boolean {
     return this.#state === "active";
   }
-  /** The models it has loaded. */
+  /** The loaded models. */
   get models(): readonly string[] {
     return [...this.#models];
   }
 
-  /** Carries an order out; false if its fencing number is older than one seen before and the engine checks. */
+  /** Applies an order; returns false if the engine checks fencing numbers and has seen a newer one. */
   apply(order: z.infer<typeof engineOrderSchema>, fence: number): boolean {
     const accepted = !this.#checksFence || fence >= this.#highestFence;
     this.log.push({ order, fence, atMs: Date.now(), accepted });
--- a/src/standins/plain.ts
+++ b/src/standins/plain.ts
@@ -1,8 +1,9 @@
 /**
- * A stand-in plain service (a photo portal, a departure log): takes any path, method and body, and records each run.
+ * A stand-in for a plain HTTP service, such as a photo portal or a departure log. It takes any path, method and body,
+ * and records each run.
  *
  * It answers `{"service", "run", "method", "path", "idempotencyKey", "bodyDigest", "bytes"}`; a caller compares the
- * digest with that of what it sent.
+ * digest with the digest of the body that it sent.
  *
  * @module
  */
@@ -22,10 +23,10 @@
 } from "./http.ts";
 import { type RunRecord, RunRecords } from "./records.ts";
 
-/** How the service is. */
+/** Settings of a stand-in plain service. */
 export interface PlainServiceOptions extends ListenOptions {
   readonly name?: string;
-  /** How long a run takes. */
+  /** Duration of a run. */
   readonly runMs?: number;
 }
 
@@ -39,7 +40,7 @@
   #listener!: Listener;
   #control!: Listener;
 
-  /** Use {@link openPlainService}. */
+  /** Creates a service that does not listen yet; use {@link openPlainService}. */
   constructor(options: PlainServiceOptions) {
     this.#options = options;
     this.faults = new Faults(
@@ -57,12 +58,12 @@
     return this.#control.url;
   }
 
-  /** What arrived and ran. */
+  /** Records of all requests that arrived. */
   records(): readonly RunRecord[] {
     return this.#records.list();
   }
 
-  /** Listens. */
+  /** Starts to listen. */
   async open(): Promise<void> {
     const control = createControlRouter(this.faults, this.#records);
     const app = new Koa();
@@ -72,7 +73,7 @@
     this.#control = await listenControl(control, this.#options);
   }
 
-  /** Closes all connections. */
+  /** Closes the listeners and all connections. */
   async close(): Promise<void> {
     await this.#listener.close();
     await this.#control.close();
--- a/src/standins/plain_test.ts
+++ b/src/standins/plain_test.ts
@@ -12,7 +12,7 @@
   ];
 
   for (const { type, answered, ran } of cases) {
-    it(`fault ${type}`, async (t) => {
+    it(`applies the fault "${type}"`, async (t) => {
       const service = await openPlainService();
       service.faults.add({ type, times: 1 });
       const answer = await got.post(`${service.url}/orders/7`, {
@@ -30,7 +30,7 @@
     });
   }
 
-  it("answers with the digest of the body it ran", async (t) => {
+  it("answers with the digest of the body that it received", async (t) => {
     const service = await openPlainService({ name: "portal" });
     const answer = await got.put(`${service.url}/scans/a?b=c`, {
       body: "scan",
--- a/src/standins/platform.ts
+++ b/src/standins/platform.ts
@@ -1,6 +1,6 @@
 /**
- * A small stand-in for the platform: the key-value service, the weight store, the callers' directory and the lagging
- * VM list, with a fault control. It keeps nothing on disk.
+ * A small stand-in for the platform: the key-value service, the weight store, the callers' directory and the VM list,
+ * which may lag, with a control interface for faults. It stores nothing on disk.
  *
  * @module
  */
@@ -31,14 +31,14 @@
   readonly port?: number;
   readonly host?: string;
   readonly writesPerS?: number;
-  /** A waiting watch uses up one read a second. */
+  /** Each open watch uses one read a second of this rate. */
   readonly readsPerS?: number;
   readonly weightWritesPerS?: number;
-  /** Age of what `GET /vms` answers. */
+  /** Age of the list that `GET /vms` returns. */
   readonly listLagMs?: number;
 }
 
-/** How many calls the stand-in answered. */
+/** Counts of the calls to the stand-in, as `GET /counts` returns them. */
 export interface PlatformCounts {
   reads: number;
   writes: number;
@@ -102,19 +102,19 @@
     });
   }
 
-  /** Replaces the VM list; it is shown after the list's lag. */
+  /** Replaces the VM list; callers see it after the list's lag. */
   setVms(vms: readonly ListedVm[]): void {
     const lagMs = this.#settings.listLagMs ?? 0;
     if (lagMs === 0) this.#vms = vms;
     else setTimeout(() => void (this.#vms = vms), lagMs).unref();
   }
 
-  /** Keeps a copy of the key-value store under a name. */
+  /** Saves a copy of the key-value store under a name. */
   saveCopy(name: string): void {
     this.#copies.set(name, this.store.copy());
   }
 
-  /** Puts a kept copy back; false if there is none of this name. */
+  /** Restores a saved copy; returns false if there is none of this name. */
   restoreCopy(name: string): boolean {
     const copy = this.#copies.get(name);
     if (copy) this.store.restore(copy);
@@ -255,7 +255,7 @@
     });
   }
 
-  /** Applies outage and slowness to a call without an effect on the store; true if it was answered. */
+  /** Applies a delay or an outage to a call that does not touch the store; returns true if an outage ended the call. */
   async #applyFault(
     context: Koa.Context,
     target: CallTarget,
@@ -282,7 +282,7 @@
   }
 }
 
-/** Starts a stand-in; port 0 takes a free one. */
+/** Starts a stand-in; port 0 takes a free port. */
 export async function openPlatform(
   settings: PlatformSettings = {},
 ): Promise<Platform> {
@@ -331,7 +331,7 @@
   let bytes = 0;
   for await (const chunk of request) {
     bytes += (chunk as Buffer).length;
-    if (bytes > MAX_BODY_BYTES) throw new Error("the body is too large");
+    if (bytes > MAX_BODY_BYTES) throw new Error("request body is too large");
     chunks.push(chunk as Buffer);
   }
   return JSON.parse(Buffer.concat(chunks).toString("utf8"));
--- a/src/standins/platform_faults.ts
+++ b/src/standins/platform_faults.ts
@@ -1,36 +1,36 @@
 /**
- * PlatformFaults that tests put into the platform's stand-in, and its rate limits.
+ * Faults that tests inject into the platform's stand-ins, and their rate limits.
  *
  * @module
  */
 
 import { z } from "zod";
 
-/** A fault as `POST /faults` takes it. All that match a call are combined. */
+/** A fault as `POST /faults` takes it. All faults that match a call apply together. */
 export const platformFaultSchema = z.strictObject({
-  /** A regular expression on the VM's id; absent: all VMs. */
+  /** A regular expression that matches the VM's id; absent: all VMs. */
   vm: z.string().optional(),
-  /** Only calls on keys that start with this; absent: all calls. */
+  /** Prefix of the keys whose calls are affected; absent: all calls. */
   keyPrefix: z.string().optional(),
   /** `cut`: connections break before the call takes effect. `refuse`: the call is answered with 503. */
   outage: z.enum(["cut", "refuse"]).optional(),
-  /** Delay before the call takes effect: a caller that gives up earlier may still see its write land. */
+  /** Delay before the call takes effect: the write of a caller that times out earlier may still take effect. */
   slowMs: z.number().min(0).optional(),
-  /** How many of the next writes take effect while their answers are lost. */
+  /** Number of the next writes that take effect but whose answers are lost. */
   loseAnswers: z.number().int().min(0).optional(),
 });
 
 /** A fault; see {@link platformFaultSchema}. */
 export type PlatformFault = z.infer<typeof platformFaultSchema>;
 
-/** What happens to one call. */
+/** The combined faults of one call. */
 export interface CallFault {
   readonly outage?: "cut" | "refuse";
   readonly slowMs: number;
   readonly loseAnswer: boolean;
 }
 
-/** The faults in force. */
+/** The faults in force at a platform stand-in. */
 export class PlatformFaults {
   #faults: PlatformFault[] = [];
   readonly #listeners = new Set<() => void>();
@@ -43,13 +43,13 @@
   clear(): void {
     this.set([]);
   }
-  /** Runs `listener` after each change; returns a function that ends this. */
+  /** Calls `listener` after each change; returns a function that removes it. */
   onChange(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => void this.#listeners.delete(listener);
   }
 
-  /** What happens to this call; a lost answer is counted off for writes. */
+  /** Returns the faults of a call; a write whose answer is lost counts against `loseAnswers`. */
   take(vmId: string, key: string, isWrite: boolean): CallFault {
     const matching = this.#findMatching(vmId, key);
     const outage = matching.find((fault) => fault.outage)?.outage;
@@ -60,7 +60,7 @@
     return { outage, slowMs, loseAnswer: Boolean(answerLoss) };
   }
 
-  /** Whether a VM is cut off from this key. */
+  /** Whether an outage keeps a VM from this key. */
   isCutOff(vmId: string, key: string): boolean {
     return this.#findMatching(vmId, key).some((fault) => fault.outage);
   }
@@ -73,7 +73,7 @@
   }
 }
 
-/** Limits calls to a rate; allows a burst of one second. */
+/** A token bucket that limits calls to a rate, with a burst of one second. */
 export class RateLimit {
   readonly #perS: number;
   readonly #nowMs: () => number;
@@ -87,7 +87,7 @@
     this.#refilledAtMs = nowMs();
   }
 
-  /** Takes one call; `reservedPerS` is the part of the rate that waiting watches use up. */
+  /** Takes one call's token, if there is one; `reservedPerS` is the part of the rate that open watches use. */
   tryTake(reservedPerS = 0): boolean {
     const perS = Math.max(0, this.#perS - reservedPerS);
     const nowMs = this.#nowMs();
--- a/src/standins/platform_main.ts
+++ b/src/standins/platform_main.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's stand-in as a process of its own: `node dist/src/standins/platform_main.js --port N`.
- * Prints `listening URL` once it is ready.
+ * Runs the platform's stand-in as a process: `node dist/src/standins/platform_main.js --port N`.
+ * It prints `listening URL` once it is ready.
  *
  * @module
  */
--- a/src/standins/platform_store.ts
+++ b/src/standins/platform_store.ts
@@ -1,11 +1,11 @@
 /**
- * The state of the platform's key-value service: revisions, compare-and-swap transactions, leases and watches. Shared
- * by the stand-in server and by {@link MemoryKeyValue}, so that both keep the same contract.
+ * The state of the platform's key-value service: revisions, compare-and-swap transactions, leases and watches. The
+ * stand-in servers and {@link MemoryKeyValue} share it, so that all behave the same.
  *
  * @module
  */
 
-/** A stored value with its last revision and its lease, if it has one. */
+/** A stored value with the revision of its last change and its lease, if it has one. */
 export interface StoredEntry {
   readonly key: string;
   readonly value: string;
@@ -13,7 +13,7 @@
   readonly leaseId?: string;
 }
 
-/** Succeeds if the key's revision is `rev`; 0 stands for a missing key. */
+/** A condition that holds if the key's revision is `rev`; 0 stands for a missing key. */
 export interface Compare {
   readonly key: string;
   readonly rev: number;
@@ -29,19 +29,19 @@
   }
   | { readonly type: "delete"; readonly key: string };
 
-/** A change as watches report it. */
+/** A change as a watch reports it. */
 export type StoreChange =
   | { readonly type: "put"; readonly rev: number; readonly entry: StoredEntry }
   | { readonly type: "delete"; readonly rev: number; readonly key: string };
 
-/** What a transaction came to. */
+/** Result of a transaction. */
 export type TransactionResult =
   | { readonly type: "done"; readonly rev: number }
   | { readonly type: "conflict"; readonly key: string }
   | { readonly type: "leaseGone" }
   | { readonly type: "tooLarge" };
 
-/** A full copy of the store, for tests that restore an old one. */
+/** A copy of all entries of the store, which tests restore later. */
 export interface StoreCopy {
   readonly rev: number;
   readonly entries: readonly StoredEntry[];
@@ -60,9 +60,9 @@
 
 /** Limits of a {@link PlatformStore}. */
 export interface StoreLimits {
-  /** Largest value, in bytes. */
+  /** Maximum size of a value. */
   readonly maxValueBytes: number;
-  /** Changes kept for watches that start in the past. */
+  /** Number of changes kept for watches that start in the past. */
   readonly historyLength: number;
 }
 
@@ -71,7 +71,7 @@
   historyLength: 20_000,
 };
 
-/** The store. Time comes in through `nowMs`, so that a test can move it. */
+/** An in-memory key-value store. It reads the time from `nowMs`, so that a test can control it. */
 export class PlatformStore {
   readonly limits: StoreLimits;
   readonly #nowMs: () => number;
@@ -93,7 +93,7 @@
   get rev(): number {
     return this.#rev;
   }
-  /** The number of waiting watches. */
+  /** The number of open watches. */
   get watchCount(): number {
     return this.#watchers.size;
   }
@@ -120,7 +120,7 @@
     return { entries, more: false };
   }
 
-  /** Applies all writes if every compare holds, under one new revision. */
+  /** Applies all writes under one new revision if every condition holds. */
   transact(
     compares: readonly Compare[],
     writes: readonly StoreWrite[],
@@ -151,7 +151,7 @@
     return id;
   }
 
-  /** Renews a lease; false if it has lapsed. */
+  /** Renews a lease; returns false if it has expired. */
   keepAlive(id: string): boolean {
     this.expireLeases();
     const lease = this.#leases.get(id);
@@ -159,14 +159,14 @@
     return lease !== undefined;
   }
 
-  /** Ends a lease and deletes its keys; false if it has lapsed. */
+  /** Ends a lease and deletes its keys; returns false if it has expired. */
   revoke(id: string): boolean {
     if (!this.#leases.delete(id)) return false;
     this.#deleteKeysOf(id);
     return true;
   }
 
-  /** Deletes the keys of leases that have lapsed. */
+  /** Removes expired leases and deletes their keys. */
   expireLeases(): void {
     for (const [id, lease] of this.#leases) {
       if (lease.expiresAtMs > this.#nowMs()) continue;
@@ -175,7 +175,7 @@
     }
   }
 
-  /** Reports changes under `prefix` from `fromRev` on; returns a function that ends the watch. */
+  /** Reports changes of keys with `prefix`, starting at `fromRev`; returns a function that ends the watch. */
   watch(
     prefix: string,
     fromRev: number,
@@ -196,7 +196,7 @@
     return () => void this.#watchers.delete(watcher);
   }
 
-  /** Forgets changes up to `rev`; a watch from there on is told `lost`. */
+  /** Discards the history up to `rev`; a watch that starts there or earlier gets `onLost`. */
   compact(rev: number): void {
     this.#compactedRev = Math.max(this.#compactedRev, rev);
     this.#history = this.#history.filter((change) => change.rev > rev);
@@ -206,7 +206,7 @@
     return { rev: this.#rev, entries: [...this.#entries.values()] };
   }
 
-  /** Puts an old copy in place, as a restore from a backup does: revisions go back, watches break. */
+  /** Replaces the state by an old copy, as a restore from a backup does: the revision goes back and watches break. */
   restore(copy: StoreCopy): void {
     this.#rev = copy.rev;
     this.#entries = new Map(copy.entries.map((entry) => [entry.key, entry]));
--- a/src/standins/platform_test.ts
+++ b/src/standins/platform_test.ts
@@ -16,7 +16,7 @@
 };
 
 describe("platform stand-in", () => {
-  it("the VM list is read, and lags", async (t) => {
+  it("returns the VM list after its lag", async (t) => {
     const platform = await openPlatform({ listLagMs: 100_000 });
     t.teardown(() => platform.close());
     const list = new HttpVmList({ urls: [platform.url], vmId: "a" });
@@ -31,7 +31,7 @@
     t.deepEqual((await unlaggedList.list())._unsafeUnwrap(), [LISTED_VM]);
   });
 
-  it("weights are published up to the rate", async (t) => {
+  it("takes published weights up to the rate limit", async (t) => {
     const platform = await openPlatform({ weightWritesPerS: 1 });
     t.teardown(() => platform.close());
     const weights = new HttpWeightStore({ urls: [platform.url], vmId: "a" });
@@ -46,7 +46,7 @@
     t.true(kinds.includes("limited"));
   });
 
-  it("directory entries are published, and not during an outage", async (t) => {
+  it("takes published directory entries, but not during an outage", async (t) => {
     const platform = await openPlatform();
     t.teardown(() => platform.close());
     const options = { urls: [platform.url], vmId: "a" };
--- a/src/standins/prefix_cache.ts
+++ b/src/standins/prefix_cache.ts
@@ -1,5 +1,5 @@
 /**
- * A bounded prefix cache as engines have it: blocks of the prompt, chained by hash, dropped least recently used first.
+ * A bounded prefix cache as in model engines: blocks of the prompt, identified by chained hashes, with LRU eviction.
  *
  * @module
  */
@@ -9,18 +9,18 @@
 const BLOCK_CHARS = 1024;
 const BLOCK_TOKENS = BLOCK_CHARS / 4;
 
-/** Remembers the leading blocks of prompts. */
+/** Keeps the leading blocks of prompts. */
 export class PrefixCache {
   readonly #maxTokens: number;
-  /** Chained hash of a block; the order of insertion is the order of use. */
+  /** Chained hashes of the blocks, least recently used first. */
   readonly #blocks = new Set<number>();
 
-  /** A cache that holds blocks for at most `limitTokens` tokens. */
+  /** Creates a cache that holds blocks of at most `maxTokens` tokens. */
   constructor(maxTokens: number) {
     this.#maxTokens = maxTokens;
   }
 
-  /** Tokens of the prompt that are warm; afterwards all its whole blocks are. */
+  /** Adds all whole blocks of the prompt; returns how many of the prompt's tokens were cached before. */
   insert(prompt: string): number {
     let cachedBlocks = 0;
     let isCached = true;
--- a/src/standins/records.ts
+++ b/src/standins/records.ts
@@ -1,16 +1,16 @@
 /**
- * What truly ran at a stand-in upstream, for tests and the replay to compare with what callers were told.
+ * Records of the requests that ran at a stand-in upstream. Tests and the replay compare them with the callers' answers.
  *
  * @module
  */
 
-/** One request as the upstream saw it. Times are wall-clock; a request ran if it has `startedAtMs`. */
+/** One request as the upstream received it. Times are wall-clock times; a request ran if it has `startedAtMs`. */
 export interface RunRecord {
-  /** Counted from 1 for each upstream. */
+  /** Number of the request, counted from 1 at each upstream. */
   readonly run: number;
   readonly method: string;
   readonly path: string;
-  /** The gateway's `x-request-id`: one for each attempt. */
+  /** The gateway's `x-request-id`, which is unique to each attempt. */
   readonly requestId: string;
   readonly idempotencyKey?: string;
   /** The prompt's nonce, or a digest of a plain call's body. */
@@ -19,16 +19,16 @@
   refused?: boolean;
   startedAtMs?: number;
   finishedAtMs?: number;
-  /** When the connection was closed before the end. */
+  /** When the connection closed, if it did so before the end of the answer. */
   canceledAtMs?: number;
-  /** Tokens generated, those before a resume not counted. */
+  /** Generated tokens, without those before a resume. */
   tokens: number;
   /** Prompt tokens found in the prefix cache. */
   warmTokens: number;
   resumedFrom?: number;
 }
 
-/** What is known of a request when it arrives. */
+/** The fields of a record that are known when the request arrives. */
 export type ReceivedRequest = Pick<
   RunRecord,
   "method" | "path" | "requestId" | "idempotencyKey" | "nonce"
@@ -36,12 +36,12 @@
 
 const MAX_RECORDS = 200_000;
 
-/** The records of one upstream, oldest first; only the newest are kept. */
+/** The records of one upstream, oldest first; the older half is discarded when there are too many. */
 export class RunRecords {
   #records: RunRecord[] = [];
   #lastRun = 0;
 
-  /** Records an arrival; the answer is filled in as the request goes on. */
+  /** Adds the record of a request that arrives; the caller updates it as the request runs. */
   add(request: ReceivedRequest): RunRecord {
     const record: RunRecord = {
       ...request,
@@ -57,12 +57,12 @@
     return record;
   }
 
-  /** All records kept. */
+  /** All records that are kept. */
   list(): readonly RunRecord[] {
     return this.#records;
   }
 
-  /** Forgets all; the numbers go on. */
+  /** Removes all records; the numbering continues. */
   clear(): void {
     this.#records = [];
   }
--- a/src/standins/runner.ts
+++ b/src/standins/runner.ts
@@ -1,5 +1,6 @@
 /**
- * A stand-in of the users' upstreams: plain calls and event streams over HTTP, with every way in which they fail.
+ * A stand-in for the upstreams of the users' platform: plain calls and event streams over HTTP, with the ways in which
+ * upstreams fail.
  *
  * @module
  */
@@ -13,45 +14,45 @@
 } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 
-/** What a runner does with the requests that reach it. */
+/** How a runner treats its requests. */
 export type RunnerBehavior =
-  /** Answers. */
+  /** Answers normally. */
   | "well"
-  /** Says that it has no room; does not run the request. */
+  /** Refuses the request with 503 because it is full, without running it. */
   | "shed"
-  /** Runs the request and answers with its own failure. */
+  /** Runs the request and answers with an error of its own. */
   | "error"
   /** Runs the request and never answers. */
   | "silent"
   /** Runs the request and resets the connection. */
   | "reset"
-  /** Answers without a length and resets the connection in the middle. */
+  /** Answers without a content length and resets the connection in the middle of the body. */
   | "resetUnframed"
-  /** Answers, and sends a second answer after the first. */
+  /** Answers, and then sends a second response on the same connection. */
   | "surplus"
-  /** Answers another attempt. */
+  /** Answers with the id of another attempt. */
   | "crossed"
-  /** Answers without its stamp. */
+  /** Answers without the header that identifies the runner. */
   | "unsigned"
-  /** Streams half of its events, stops in the middle of one, and resets. */
+  /** Streams half of its events, stops in the middle of the next, and resets the connection. */
   | "halfStream";
 
-/** What a runner got. */
+/** A request that reached a runner. */
 export interface RunnerArrival {
   readonly target: string;
   readonly method: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** When its body was read whole, on the monotonic clock. */
+  /** When the body had been read completely, on the monotonic clock. */
   readonly arrivedMonoMs: number;
-  /** Whether the gateway's connection ended before the answer was whole. */
+  /** Whether the gateway's connection closed before the answer was complete. */
   isCut: boolean;
 }
 
-/** How far into running a request that crashes it a runner ends, usually. */
+/** Default time between the start of a fatal request and the crash. */
 const DEFAULT_CRASH_DELAY_MS = 50;
 
-/** Events of a whole stream, unless a runner is set otherwise. */
+/** Default number of events in a whole stream. */
 export const DEFAULT_STREAM_EVENTS = 6;
 const COLD_WINDOW_MS = 1_000;
 
@@ -59,7 +60,7 @@
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
-/** The body of a whole stream after event `after`. */
+/** Returns the body of a whole stream after event `after`. */
 export function formatStream(
   after = 0,
   events = DEFAULT_STREAM_EVENTS,
@@ -69,47 +70,47 @@
   return text;
 }
 
-/** A stream under way at a runner. */
+/** A stream that a runner is sending. */
 interface StreamRun {
   readonly response: ServerResponse;
   isStopped: boolean;
 }
 
-/** Copies of runs' memory that were made and not used, as `IP:PORT/HANDLE` of their source, for all runners. */
+/** KV cache copies that no runner has used yet, as `IP:PORT/HANDLE` of their source; shared by all runners. */
 const unusedKvCopies = new Set<string>();
 
-/** See the module. */
+/** A stand-in upstream. */
 export class Runner {
   readonly id: string;
   readonly arrivals: RunnerArrival[] = [];
   behavior: RunnerBehavior = "well";
-  /** Requests a second that it bears while it is cold; well above that it crashes. Absent: it is warm. */
+  /** Requests a second that it can take while it is cold; well above that it crashes. Absent: it is warm. */
   coldPerS: number | undefined;
-  /** Whether it crashed; it then resets every connection. */
+  /** Whether too many requests while cold crashed it; it then resets the connection of every request. */
   hasColdCrashed = false;
-  /** Whether it leaves: it serves on and ends each connection after its answer. */
+  /** Whether it is draining: it still serves requests, and closes each connection after the answer. */
   isDraining = false;
-  /** Prompt tokens that it had to read; parts that it keeps are not read again. */
+  /** Prompt tokens that it had to process because they were not in its cache. */
   uncachedTokens = 0;
-  /** Time before an answer's head. */
+  /** Delay before the head of an answer. */
   answerDelayMs = 0;
-  /** Events of each stream. */
+  /** Number of events of each stream. */
   streamEvents = DEFAULT_STREAM_EVENTS;
   /** Time between two events of a stream. */
   eventGapMs = 10;
-  /** Whether a request with this body ends the runner some ms after it begins to run. */
+  /** Whether a request with this body crashes the runner `crashDelayMs` after it begins to run. */
   isFatal: (body: string) => boolean = () => false;
-  /** How far into running such a request it ends. */
+  /** Time between the start of a fatal request and the crash. */
   crashDelayMs = DEFAULT_CRASH_DELAY_MS;
-  /** How long it stays ended. */
+  /** How long it stays down after a crash. */
   downMs = 200;
-  /** How many times it ended. */
+  /** Number of crashes. */
   crashCount = 0;
-  /** Called when it ends. */
+  /** Called at a crash. */
   onCrash: () => void = () => {};
-  /** Called when it is back. Its address is another one if its port was taken meanwhile. */
+  /** Called after the restart. The address has changed if another process took the port meanwhile. */
   onRestart: () => void = () => {};
-  /** Streams under way, by the attempt's id. */
+  /** Streams in progress, by attempt id. */
   readonly #streams = new Map<string, StreamRun>();
   readonly #server: Server;
   readonly #cachedParts = new Set<string>();
@@ -140,16 +141,16 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** How many connections are open to it. */
+  /** Number of open connections. */
   connections(): Promise<number> {
     return new Promise((resolve) =>
       this.#server.getConnections((_, count) => resolve(count ?? 0))
     );
   }
 
-  /** Its program ends: all connections break at once, and new ones are refused until it is back. */
+  /** Crashes: resets all connections at once and refuses new ones until the restart. */
   crash(): void {
-    // It may have been closed while a request that crashes it ran.
+    // The runner may have been closed while a fatal request ran.
     if (this.#restartTimer || !this.#server.listening) return;
     this.crashCount++;
     this.onCrash();
@@ -237,7 +238,7 @@
     this.#respond(request, response);
   }
 
-  /** Stops a stream without its end and copies its memory; the other runner of the copy is not asked. */
+  /** Stops a stream before its end and keeps a copy of its KV cache; the runner that will use the copy is not contacted. */
   #handleMove(body: string, response: ServerResponse): void {
     const { id, last } = JSON.parse(body) as { id: string; last: boolean };
     const stream = this.#streams.get(id);
@@ -248,7 +249,7 @@
     response.writeHead(200).end(JSON.stringify({ handle: id, created: 0 }));
   }
 
-  /** Counts an arrival at a cold runner; it bears half as many again and three, as the users' rules have it. */
+  /** Counts an arrival at a cold runner; more than 1.5 times `coldPerS` plus 3 in a second crash it, as on the platform. */
   #recordColdArrival(): boolean {
     if (this.coldPerS === undefined) return false;
     const nowMs = performance.now();
@@ -260,7 +261,7 @@
     return this.hasColdCrashed;
   }
 
-  /** Reads the parts of a prompt from the first one on that it does not keep. */
+  /** Counts the prompt tokens from the first part that is not cached, and caches all parts. */
   #countUncached(text: string): void {
     let isCached = true;
     for (const part of text.split(",").filter(Boolean)) {
--- a/src/standins/upstreams_main.ts
+++ b/src/standins/upstreams_main.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in upstreams as a process of their own: prints one JSON line `{"type", "id", "url", "controlUrl"}` for each,
- * then serves until it is told to stop.
+ * Runs stand-in upstreams as a process. It prints one JSON line `{"type", "id", "url", "controlUrl"}` for each, then
+ * serves until SIGTERM or SIGINT.
  *
  * @module
  */
