--- a/soak/address_block.ts
+++ b/soak/address_block.ts
@@ -1,5 +1,5 @@
 /**
- * A block of loopback addresses for one run, so that soaks beside each other do not take each other's.
+ * A block of loopback addresses for one run, so that concurrent soaks do not use the same addresses.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import { createServer, type Server } from "node:net";
 
 const BLOCK_COUNT = 100;
-/** Where a block is held; VMs have lower numbers. */
+/** Last byte of the address whose listener locks a block; VMs have lower numbers. */
 const LOCK_HOST = 254;
 const LOCK_PORT = 18_099;
 
-/** See the module. Whoever holds a block has its addresses until it closes it or ends. */
+/** An exclusive block of loopback addresses. It is locked until it is closed or the process exits. */
 export class AddressBlock {
   readonly #index: number;
   readonly #lock: Server;
@@ -22,7 +22,7 @@
     this.#lock = lock;
   }
 
-  /** Takes the first block that nobody on this machine holds. */
+  /** Locks the first free block on this machine. */
   static async open(): Promise<AddressBlock> {
     for (let index = 0; index < BLOCK_COUNT; index++) {
       const lock = createServer();
@@ -34,15 +34,15 @@
         if ((error as NodeJS.ErrnoException).code !== "EADDRINUSE") throw error;
       }
     }
-    throw new Error(`${BLOCK_COUNT} soaks hold all blocks of addresses`);
+    throw new Error(`other soaks use all ${BLOCK_COUNT} address blocks`);
   }
 
-  /** Where others reach a VM: its proxies listen there. */
+  /** Address at which others reach a VM; its proxies listen there. */
   proxyIp(vmIndex: number): string {
     return `127.77.${this.#index}.${vmIndex + 1}`;
   }
 
-  /** Where the VM itself listens. */
+  /** Address on which the VM itself listens. */
   vmIp(vmIndex: number): string {
     return `127.78.${this.#index}.${vmIndex + 1}`;
   }
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of a run: each asks the directory, keeps its connections as long as they last, and notes what it sees.
+ * Callers of a run. Each queries the directory, keeps its connections alive and records the answers to its requests.
  *
  * @module
  */
@@ -10,40 +10,40 @@
 import { sleep } from "../test/cluster.ts";
 import type { SoakVm, World } from "./world.ts";
 
-/** What callers ask for. */
+/** Kind of a caller's request; each has a route of its own. */
 export type RequestKind = "safe" | "once" | "stream" | "streamonce" | "south";
 
-/** One attempt, as its caller saw it. Times are on the world's clock. */
+/** One attempt, as its caller observed it. Times are on the world's clock. */
 export interface Attempt {
   readonly id: string;
   readonly kind: RequestKind;
   readonly method: string;
   readonly target: string;
   readonly body: string;
-  /** The VM whose address the caller used. */
-  readonly vm: number;
+  /** Index of the VM whose address the caller used. */
+  readonly vmIndex: number;
   readonly sentMs: number;
   endMs: number;
-  /** 0 if the connection ended without an answer. */
+  /** HTTP status; 0 if the connection ended without an answer. */
   status: number;
-  /** The attempt that the answer says it belongs to. */
-  echo: string | undefined;
+  /** The attempt id in the answer's headers. */
+  answerAttemptId: string | undefined;
   stamp: string | undefined;
   text: string;
-  /** Whether the answer ended in order. */
-  whole: boolean;
-  /** When the caller left before the end. */
-  leftMs: number | undefined;
+  /** Whether the answer arrived completely. */
+  isComplete: boolean;
+  /** When the caller canceled the request, if it did. */
+  canceledMs: number | undefined;
 }
 
-/** How long a caller lets the gateway work. */
+/** Deadline that a caller sends with its request. */
 export const DEADLINE_MS = 1_500;
-/** A caller that sees no final answer gives up here; long after the gateway must have answered. */
+/** Timeout of a caller that gets no final answer; it is much longer than the gateway may take. */
 const CALLER_TIMEOUT_MS = 5_000;
 const DIRECTORY_TTL_MS = 1_000;
 const DIRECTORY_TIMEOUT_MS = 500;
 const MEAN_PAUSE_MS = 60;
-/** Share of requests whose caller leaves early. */
+/** Share of requests that the caller cancels. */
 const CANCEL_SHARE = 0.08;
 const MAX_CANCEL_DELAY_MS = 60;
 
@@ -59,7 +59,7 @@
   "south",
 ];
 
-/** One caller. */
+/** A caller that sends random requests one after the other. */
 export class Caller {
   readonly attempts: Attempt[] = [];
   readonly #world: World;
@@ -77,7 +77,7 @@
     this.#random = new Random(seed * 1_000 + index);
   }
 
-  /** Makes requests until `untilMs`, one after the other. */
+  /** Sends requests until `untilMs`, one after the other. */
   async run(untilMs: number): Promise<void> {
     while (this.#world.nowMs() < untilMs) {
       await sleep(this.#random.exponential(MEAN_PAUSE_MS));
@@ -94,7 +94,7 @@
     return this.#vms.length > 0 ? this.#random.pick(this.#vms) : undefined;
   }
 
-  /** Asks some VM; an answer that names nobody keeps the last one. */
+  /** Queries the directory of a random VM; if the answer lists no VM, the last list stays in use. */
   async #refreshVms(): Promise<void> {
     const vm = this.#random.pick(this.#world.vms);
     try {
@@ -110,7 +110,7 @@
       this.#vms = listed;
       this.#refreshedMs = this.#world.nowMs();
     } catch {
-      // The VM that was asked is down or harmed; the next try asks another.
+      // The queried VM is down or affected by a fault; the next try queries another VM.
     }
   }
 
@@ -125,15 +125,15 @@
       method: hasBody ? "POST" : "GET",
       target: `/${kind}/${id}`,
       body: hasBody ? `body of ${id}`.repeat(1 + this.#random.int(20)) : "",
-      vm: vm.index,
+      vmIndex: vm.index,
       sentMs: nowMs,
       endMs: Infinity,
       status: 0,
-      echo: undefined,
+      answerAttemptId: undefined,
       stamp: undefined,
       text: "",
-      whole: false,
-      leftMs: undefined,
+      isComplete: false,
+      canceledMs: undefined,
     };
   }
 
@@ -168,7 +168,7 @@
         ? undefined
         : setTimeout(() => {
           if (attempt.endMs < Infinity) return;
-          attempt.leftMs = this.#world.nowMs();
+          attempt.canceledMs = this.#world.nowMs();
           call.destroy();
         }, cancelDelayMs);
       call.on("response", (answer) => void readAnswer(attempt, answer, finish));
@@ -188,12 +188,12 @@
   finish: () => void,
 ): void {
   attempt.status = answer.statusCode ?? 0;
-  attempt.echo = firstValue(answer.headers["attempt-id"]);
+  attempt.answerAttemptId = firstValue(answer.headers["attempt-id"]);
   attempt.stamp = firstValue(answer.headers["response-stamp"]);
   answer.on("data", (chunk: Buffer) => void (attempt.text += chunk));
   answer.on("error", () => {});
   answer.on("close", () => {
-    attempt.whole = answer.complete;
+    attempt.isComplete = answer.complete;
     finish();
   });
 }
--- a/soak/fatal_requests.ts
+++ b/soak/fatal_requests.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that end every upstream that begins to run them, and come again.
+ * Fatal requests: they crash every upstream that begins to run them, and their caller sends them repeatedly.
  *
  * @module
  */
@@ -15,12 +15,12 @@
 const MEAN_GAP_MS = 250;
 const KINDS: readonly RequestKind[] = ["safe", "once", "stream", "streamonce"];
 
-/** Whether a request with this body is one of them. */
+/** Whether a request with this body is fatal. */
 export function isFatal(body: string): boolean {
   return body.startsWith(FATAL_PREFIX);
 }
 
-/** Sends one of them again and again, under new attempts and at any VM; returns when it comes no more. */
+/** Sends one fatal request repeatedly for `forMs`, each time as a new attempt and to a random VM; waits for all answers. */
 export async function sendFatalRequests(
   world: World,
   random: Random,
--- a/soak/fault_injector.ts
+++ b/soak/fault_injector.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a plan's faults into a world, and takes them back.
+ * Injects a plan's faults into a world and ends them.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 import type { Fault } from "./plan.ts";
 import { getFailureDomain, REGIONS, type World } from "./world.ts";
 
-/** How late the store answers while it is slow: longer than the gateways wait for some calls. */
+/** Delay of the store's answers while it is slow: longer than the gateways' timeout of some calls. */
 const SLOW_STORE_MS = 1_200;
 const LOST_ANSWERS = 20;
-/** A silent upstream holds its requests until their deadlines: its trouble outlasts the fault. */
+/** How long a trouble outlasts its fault: requests at a silent upstream, for example, stay there until their deadlines. */
 const AFTER_EFFECT_MS = 2_500;
 
 const STORE_FAULTS: Readonly<Record<string, PlatformFault>> = {
@@ -24,7 +24,7 @@
   loseAnswers: { loseAnswers: LOST_ANSWERS },
 };
 
-/** See the module. Faults overlap; what one takes back may end another early, as it does on a real day. */
+/** Injects faults. Faults overlap, and the end of one may end another one early, as in production. */
 export class FaultInjector {
   readonly #world: World;
   readonly #random: Random;
@@ -34,7 +34,7 @@
     this.#random = new Random(seed);
   }
 
-  /** Plays the plan; returns when its last fault is over. */
+  /** Injects all faults of the plan at their times; returns when the last one is over. */
   async injectAll(plan: readonly Fault[]): Promise<void> {
     const startMs = this.#world.nowMs();
     await Promise.all(plan.map(async (fault) => {
--- a/soak/judge.ts
+++ b/soak/judge.ts
@@ -1,5 +1,5 @@
 /**
- * Which promises a run broke, from what callers and upstreams saw.
+ * Checks a run against the gateway's promises, from what callers and upstreams observed.
  *
  * @module
  */
@@ -7,25 +7,25 @@
 import { formatStream } from "../src/standins/mod.ts";
 import { type Attempt, DEADLINE_MS } from "./callers.ts";
 
-/** A request at an upstream. Times are on the world's clock. */
+/** A request that reached an upstream. Times are on the world's clock. */
 export interface Arrival {
-  readonly attempt: string;
+  readonly attemptId: string;
   readonly method: string;
   readonly target: string;
   readonly body: string;
   readonly arrivedMs: number;
-  readonly runner: string;
+  readonly runnerId: string;
   readonly region: string;
   readonly service: string;
-  /** When the store took the news that the upstream leaves. */
-  readonly leftMs: number;
+  /** When the store learned that the upstream is draining or gone. */
+  readonly drainingSinceMs: number;
 }
 
-/** What a run left behind. */
+/** What was observed in a run. */
 export interface Evidence {
   readonly attempts: readonly Attempt[];
   readonly arrivals: readonly Arrival[];
-  /** Requests that end every upstream that runs them; the body names each. */
+  /** Requests that crash every upstream that runs them; the body identifies the request. */
   readonly fatalArrivals: readonly Arrival[];
   readonly troubles: readonly {
     readonly who: string;
@@ -37,11 +37,11 @@
     readonly plainService: string;
   }[];
   readonly processFaults: readonly string[];
-  /** Since when everything is mended for long enough. */
+  /** When all faults have been over for long enough that requests must be served again. */
   readonly recoveredMs: number;
 }
 
-/** What the gateway promises, whatever fails. */
+/** The gateway's promises, which hold whatever fails. */
 export type Rule =
   | "MIXED"
   | "ORDER"
@@ -68,50 +68,54 @@
   readonly what: string;
 }
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses by which the gateway promises that the request has not run and never will. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
-/** Most upstreams that an attempt may reach, by the routes of the world. */
+/** Maximum number of upstreams that an attempt may reach, as the world's routes limit it. */
 const MAX_UPSTREAMS = { safe: 2, once: 2, stream: 2, streamonce: 1, south: 2 };
 const REPEATABLE_KINDS = new Set(["safe", "stream"]);
-/** How long a trouble excuses a VM: the platform's `contact` bound. */
+/** How long a trouble still excuses a VM after its end: the platform's `contact` bound. */
 const CONTACT_BOUND_MS = 6_000;
-/** A final answer, and the end of work for a caller that left, may be this late; the machine is shared. */
+/** How late a final answer, and the end of work for a canceled request, may be; the machine is shared. */
 const ANSWER_SLACK_MS = 1_000;
 const CANCEL_SLACK_MS = 1_000;
-/** Bounds of the platform, half as long again: processes here share cores with the driver. */
+/** 1.5 times the platform's bounds, because the gateways' processes share cores with the soak's own process. */
 const CONFIG_BOUND_MS = 6_000;
 const DRAIN_BOUND_MS = 6_000;
-/** Upstreams that a request may end before all know of it, and later. */
+/** Upstreams that a fatal request may crash before all VMs know of it, and after that. */
 const MAX_EARLY_CRASHES = 3;
 const MAX_LATE_CRASHES = 3;
-/** Share of requests that must be served when all is mended. */
+/** Share of requests that must be served once the run has recovered. */
 const MIN_SERVED_SHARE = 0.95;
 
-/** See the module. */
+/** Finds the promises that a run broke. */
 export class Judge {
   readonly #evidence: Evidence;
-  readonly #arrivals = new Map<string, Arrival[]>();
+  readonly #arrivalsByAttempt = new Map<string, Arrival[]>();
   readonly #breaches: Breach[] = [];
 
   constructor(evidence: Evidence) {
     this.#evidence = evidence;
     for (const arrival of evidence.arrivals) {
-      const list = this.#arrivals.get(arrival.attempt) ?? [];
+      const list = this.#arrivalsByAttempt.get(arrival.attemptId) ?? [];
       list.push(arrival);
-      this.#arrivals.set(arrival.attempt, list);
+      this.#arrivalsByAttempt.set(arrival.attemptId, list);
     }
   }
 
   /** All broken promises. */
   breaches(): readonly Breach[] {
-    const known = new Set(this.#evidence.attempts.map(({ id }) => id));
-    for (const { attempt, runner } of this.#evidence.arrivals) {
-      if (!known.has(attempt)) {
-        this.#addBreach("UNASKED", attempt, `${runner} got what nobody sent`);
+    const knownIds = new Set(this.#evidence.attempts.map(({ id }) => id));
+    for (const { attemptId, runnerId } of this.#evidence.arrivals) {
+      if (!knownIds.has(attemptId)) {
+        this.#addBreach(
+          "UNASKED",
+          attemptId,
+          `${runnerId} got what nobody sent`,
+        );
       }
     }
     for (const attempt of this.#evidence.attempts) {
-      const arrivals = this.#arrivals.get(attempt.id) ?? [];
+      const arrivals = this.#arrivalsByAttempt.get(attempt.id) ?? [];
       this.#checkAnswer(attempt, arrivals);
       this.#checkRuns(attempt, arrivals);
       this.#checkTimes(attempt, arrivals);
@@ -129,7 +133,7 @@
   }
 
   #checkAnswer(attempt: Attempt, arrivals: readonly Arrival[]): void {
-    const { id, status, stamp, echo, text, whole } = attempt;
+    const { id, status, stamp, answerAttemptId, text, isComplete } = attempt;
     if (status === 404) {
       this.#addBreach("DENIED", id, "404 on a route that is there");
     }
@@ -139,38 +143,46 @@
       }
       return;
     }
-    const stamped = arrivals.find(({ runner }) => stamp === `stamp-${runner}`);
+    const stamped = arrivals.find(({ runnerId }) =>
+      stamp === `stamp-${runnerId}`
+    );
     if (!stamped) {
       this.#addBreach("MIXED", id, `signed by ${stamp}, which did not run it`);
     }
-    if (echo !== id) this.#addBreach("MIXED", id, `answer of ${echo}`);
+    if (answerAttemptId !== id) {
+      this.#addBreach("MIXED", id, `answer of ${answerAttemptId}`);
+    }
     if (status !== 200 || !stamped) return;
     const isStream = attempt.kind === "stream" || attempt.kind === "streamonce";
-    const expected = isStream ? formatStream() : `served by ${stamped.runner}`;
-    const isExpected = whole ? text === expected : expected.startsWith(text);
+    const expected = isStream
+      ? formatStream()
+      : `served by ${stamped.runnerId}`;
+    const isExpected = isComplete
+      ? text === expected
+      : expected.startsWith(text);
     if (!isExpected) {
       const rule = isStream ? "ORDER" : "MIXED";
       this.#addBreach(
         rule,
         id,
-        `${whole ? "whole" : "cut"} body ${text.slice(0, 80)}`,
+        `${isComplete ? "whole" : "cut"} body ${text.slice(0, 80)}`,
       );
     }
   }
 
   #checkRuns(attempt: Attempt, arrivals: readonly Arrival[]): void {
     const { id, kind, status } = attempt;
-    const runners = new Set(arrivals.map(({ runner }) => runner));
+    const runnerIds = new Set(arrivals.map(({ runnerId }) => runnerId));
     if (!REPEATABLE_KINDS.has(kind)) {
       if (arrivals.length > 1) {
-        this.#addBreach("TWICE", id, `ran at ${[...runners].join(", ")}`);
+        this.#addBreach("TWICE", id, `ran at ${[...runnerIds].join(", ")}`);
       }
       if (NOT_RUN_STATUSES.has(status) && arrivals.length > 0) {
         this.#addBreach("REFUSED", id, `answered ${status} and ran`);
       }
     }
-    if (runners.size > MAX_UPSTREAMS[kind]) {
-      this.#addBreach("BUDGET", id, `ran at ${[...runners].join(", ")}`);
+    if (runnerIds.size > MAX_UPSTREAMS[kind]) {
+      this.#addBreach("BUDGET", id, `ran at ${[...runnerIds].join(", ")}`);
     }
     for (const arrival of arrivals) {
       const isSame = arrival.method === attempt.method &&
@@ -179,7 +191,7 @@
         this.#addBreach(
           "UNASKED",
           id,
-          `changed on its way to ${arrival.runner}`,
+          `changed on its way to ${arrival.runnerId}`,
         );
       }
       if (kind === "south" && arrival.region !== "south") {
@@ -192,9 +204,9 @@
   }
 
   #checkTimes(attempt: Attempt, arrivals: readonly Arrival[]): void {
-    const { id, kind, sentMs, endMs, leftMs, status, vm } = attempt;
+    const { id, kind, sentMs, endMs, canceledMs, status, vmIndex } = attempt;
     const isTroubleFree = this.#isTroubleFree(
-      `vm:${vm}`,
+      `vm:${vmIndex}`,
       sentMs - CONTACT_BOUND_MS,
       endMs,
     );
@@ -204,7 +216,7 @@
     );
     const plainService = this.#plainServiceAt(sentMs);
     if (
-      isTroubleFree && leftMs === undefined &&
+      isTroubleFree && canceledMs === undefined &&
       endMs - sentMs > DEADLINE_MS + ANSWER_SLACK_MS
     ) {
       this.#addBreach(
@@ -214,19 +226,21 @@
       );
     }
     for (
-      const { arrivedMs, runner, leftMs: runnerLeftMs, service } of arrivals
+      const { arrivedMs, runnerId, drainingSinceMs: drainingSinceMs, service }
+        of arrivals
     ) {
       if (
-        isWorldTroubleFree && arrivedMs > (leftMs ?? Infinity) + CANCEL_SLACK_MS
+        isWorldTroubleFree &&
+        arrivedMs > (canceledMs ?? Infinity) + CANCEL_SLACK_MS
       ) {
         this.#addBreach(
           "GONE",
           id,
-          `reached ${runner} after its caller had left`,
+          `reached ${runnerId} after its caller had left`,
         );
       }
-      if (isWorldTroubleFree && arrivedMs > runnerLeftMs + DRAIN_BOUND_MS) {
-        this.#addBreach("DRAIN", id, `reached ${runner}, which leaves`);
+      if (isWorldTroubleFree && arrivedMs > drainingSinceMs + DRAIN_BOUND_MS) {
+        this.#addBreach("DRAIN", id, `reached ${runnerId}, which leaves`);
       }
       const isOldService = plainService !== undefined &&
         service !== plainService;
@@ -238,7 +252,8 @@
         );
       }
     }
-    const isLost = status === 0 && leftMs === undefined && arrivals.length > 0;
+    const isLost = status === 0 && canceledMs === undefined &&
+      arrivals.length > 0;
     if (isLost && isWorldTroubleFree) {
       this.#addBreach(
         "LOST",
@@ -248,7 +263,7 @@
     }
   }
 
-  /** The only service that plain requests sent then may go to; `undefined` while two versions may be in force. */
+  /** The only service to which plain requests sent at `sentMs` may go; `undefined` while two versions may be in force. */
   #plainServiceAt(sentMs: number): string | undefined {
     const { configs } = this.#evidence;
     const newest = configs.filter(({ sinceMs }) => sinceMs <= sentMs).at(-1);
@@ -273,8 +288,8 @@
   }
 
   /**
-   * A request that ends upstreams may end three, and three more later than the contact bound after that. Where VMs and
-   * store are well all the while, all of it is known within a second and six are the most.
+   * A fatal request may crash three upstreams, and three more later than the contact bound after the third crash. If no
+   * VM and no store has trouble meanwhile, all VMs know of each crash within a second, and six crashes are the maximum.
    */
   #checkCrashes(): void {
     const byRequest = new Map<string, number[]>();
@@ -305,11 +320,11 @@
   }
 
   #checkRecovery(): void {
-    const recent = this.#evidence.attempts.filter(({ sentMs, leftMs }) =>
-      sentMs >= this.#evidence.recoveredMs && leftMs === undefined
+    const recent = this.#evidence.attempts.filter(({ sentMs, canceledMs }) =>
+      sentMs >= this.#evidence.recoveredMs && canceledMs === undefined
     );
-    const served = recent.filter(({ status, whole }) =>
-      status === 200 && whole
+    const served = recent.filter(({ status, isComplete }) =>
+      status === 200 && isComplete
     );
     if (
       served.length < recent.length * MIN_SERVED_SHARE || recent.length === 0
--- a/soak/judge_test.ts
+++ b/soak/judge_test.ts
@@ -3,7 +3,7 @@
 import type { Attempt, RequestKind } from "./callers.ts";
 import { type Arrival, type Evidence, Judge, type Rule } from "./judge.ts";
 
-/** A good request and its arrival; `changes` plant what is wrong. */
+/** Makes an attempt that breaks no promise and its arrival; the `changes` plant faults. */
 function exchange(
   kind: RequestKind,
   changes: Partial<Attempt> = {},
@@ -16,27 +16,27 @@
     method: "POST",
     target: `/${kind}/a1`,
     body: "body",
-    vm: 0,
+    vmIndex: 0,
     sentMs: 20_000,
     endMs: 20_050,
     status: 200,
-    echo: "a1",
+    answerAttemptId: "a1",
     stamp: "stamp-r1",
     text: isStream ? formatStream() : "served by r1",
-    whole: true,
-    leftMs: undefined,
+    isComplete: true,
+    canceledMs: undefined,
     ...changes,
   };
   const arrival: Arrival = {
-    attempt: "a1",
+    attemptId: "a1",
     method: "POST",
     target: attempt.target,
     body: "body",
     arrivedMs: 20_010,
-    runner: "r1",
+    runnerId: "r1",
     region: "south",
     service: "s",
-    leftMs: Infinity,
+    drainingSinceMs: Infinity,
     ...arrivalChanges,
   };
   return { attempt, arrival };
@@ -70,7 +70,7 @@
 }
 
 describe("the soak's judge", () => {
-  it("finds nothing in good requests of every kind", (t) => {
+  it("finds no breach in good requests of every kind", (t) => {
     for (
       const kind of ["safe", "once", "stream", "streamonce", "south"] as const
     ) {
@@ -78,26 +78,26 @@
     }
   });
 
-  // Each of these is what a fault of the gateway would look like to a caller or an upstream.
+  // Each case shows a fault of the gateway as a caller or an upstream would observe it.
   describe("finds a planted", () => {
     it("answer of another request", (t) => {
-      t.deepEqual(findRulesOfOne("safe", { echo: "a2" }), ["MIXED"]);
+      t.deepEqual(findRulesOfOne("safe", { answerAttemptId: "a2" }), ["MIXED"]);
       t.deepEqual(findRulesOfOne("safe", { stamp: "stamp-r2" }), ["MIXED"]);
       t.deepEqual(findRulesOfOne("safe", { text: "served by r2" }), ["MIXED"]);
     });
 
-    it("success that nobody signed", (t) => {
+    it("success without an upstream's stamp", (t) => {
       t.deepEqual(findRulesOfOne("safe", { stamp: undefined }), ["MIXED"]);
     });
 
-    it("stream with a piece missing, and one that ends early as if whole", (t) => {
+    it("stream with a missing event, and one that ends early as if complete", (t) => {
       const misnumbered = formatStream().replace("id: 2", "id: 3");
       t.deepEqual(findRulesOfOne("stream", { text: misnumbered }), ["ORDER"]);
       const cut = formatStream().slice(0, 30);
       t.deepEqual(findRulesOfOne("stream", { text: cut }), ["ORDER"]);
     });
 
-    it("request that ends more upstreams than it may", (t) => {
+    it("request that crashes more upstreams than it may", (t) => {
       const crashesAt = (...timesMs: number[]) =>
         timesMs.map((arrivedMs) => ({
           ...exchange("once").arrival,
@@ -120,23 +120,27 @@
 
     it("request that nobody sent, or that was changed", (t) => {
       const { attempt, arrival } = exchange("once");
-      const unsent = { ...arrival, attempt: "nobody" };
+      const unsent = { ...arrival, attemptId: "nobody" };
       t.deepEqual(findRules([attempt], [arrival, unsent]), ["UNASKED"]);
       t.deepEqual(findRulesOfOne("once", {}, { body: "bod" }), ["UNASKED"]);
       t.deepEqual(findRulesOfOne("once", {}, { target: "/x" }), ["UNASKED"]);
     });
 
-    it("second run of what may run once", (t) => {
+    it("second run of a request that may run only once", (t) => {
       const { attempt, arrival } = exchange("once");
       t.deepEqual(findRules([attempt], [arrival, arrival]), ["TWICE"]);
     });
 
-    it("run of what was refused", (t) => {
-      const refused = { status: 503, stamp: undefined, echo: undefined };
+    it("run of a refused request", (t) => {
+      const refused = {
+        status: 503,
+        stamp: undefined,
+        answerAttemptId: undefined,
+      };
       t.true(findRulesOfOne("once", refused).includes("REFUSED"));
     });
 
-    it("run in a region that is no home", (t) => {
+    it("run in a region that is not a home region", (t) => {
       t.deepEqual(findRulesOfOne("south", {}, { region: "north" }), ["HOME"]);
     });
 
@@ -146,11 +150,14 @@
 
     it("run at more upstreams than the route allows", (t) => {
       const { attempt, arrival } = exchange("safe");
-      const others = ["r2", "r3"].map((runner) => ({ ...arrival, runner }));
+      const others = ["r2", "r3"].map((runnerId) => ({
+        ...arrival,
+        runnerId,
+      }));
       t.deepEqual(findRules([attempt], [arrival, ...others]), ["BUDGET"]);
     });
 
-    it("404 on a route that is there", (t) => {
+    it("404 on an existing route", (t) => {
       const { attempt } = exchange("safe", {
         status: 404,
         stamp: undefined,
@@ -158,20 +165,22 @@
       t.true(findRules([attempt], []).includes("DENIED"));
     });
 
-    it("answer that comes long after its deadline", (t) => {
+    it("answer that arrives long after its deadline", (t) => {
       t.deepEqual(findRulesOfOne("safe", { endMs: 24_000 }), ["LATE"]);
     });
 
-    it("run for a caller that had left", (t) => {
-      const canceled = { leftMs: 20_010, status: 0, stamp: undefined };
+    it("run for a caller that had canceled the request", (t) => {
+      const canceled = { canceledMs: 20_010, status: 0, stamp: undefined };
       const { attempt, arrival } = exchange("safe", canceled, {
         arrivedMs: 22_000,
       });
       t.true(findRules([attempt], [arrival]).includes("GONE"));
     });
 
-    it("run at an upstream long after it said that it leaves", (t) => {
-      t.deepEqual(findRulesOfOne("safe", {}, { leftMs: 10_000 }), ["DRAIN"]);
+    it("run at an upstream that has been draining for long", (t) => {
+      t.deepEqual(findRulesOfOne("safe", {}, { drainingSinceMs: 10_000 }), [
+        "DRAIN",
+      ]);
     });
 
     it("run by an older configuration's service", (t) => {
@@ -184,11 +193,11 @@
     });
 
     it("connection that ends without an answer after the request was passed on", (t) => {
-      const lost = { status: 0, stamp: undefined, text: "", whole: false };
+      const lost = { status: 0, stamp: undefined, text: "", isComplete: false };
       t.true(findRulesOfOne("once", lost).includes("LOST"));
     });
 
-    it("process that ended by itself", (t) => {
+    it("process that exited by itself", (t) => {
       const { attempt, arrival } = exchange("safe");
       const processFaults = ["vm 0 ended by itself with code 1"];
       t.deepEqual(findRules([attempt], [arrival], { processFaults }), [
@@ -196,19 +205,19 @@
       ]);
     });
 
-    it("service that does not come back", (t) => {
+    it("service that does not recover", (t) => {
       t.deepEqual(findRules([], []), ["RECOVER"]);
     });
   });
 
   describe("excuses", () => {
-    it("a slow answer, a lost one and an old configuration at a VM in trouble", (t) => {
+    it("a slow answer, a lost one and an old configuration at a VM with trouble", (t) => {
       const { attempt, arrival } = exchange("once", {
         endMs: 24_000,
         status: 0,
         stamp: undefined,
         text: "",
-        whole: false,
+        isComplete: false,
       });
       const troubles = [{ who: "vm:0", fromMs: 17_000, toMs: 18_000 }];
       const rules = findRules([attempt], [arrival], {
@@ -218,8 +227,8 @@
       t.deepEqual(rules, ["RECOVER"]);
     });
 
-    it("never a second run or a foreign answer", (t) => {
-      const { attempt, arrival } = exchange("once", { echo: "a2" });
+    it("neither a second run nor an answer of another request", (t) => {
+      const { attempt, arrival } = exchange("once", { answerAttemptId: "a2" });
       const troubles = [{ who: "vm:0", fromMs: 0, toMs: 99_000 }];
       t.deepEqual(findRules([attempt], [arrival, arrival], { troubles }), [
         "MIXED",
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run soak`: plays seeds and prints what they broke.
+ * `npm run soak`: runs seeds and prints the promises that the gateway broke.
  *
  * @module
  */
@@ -28,14 +28,16 @@
   ].join("\n");
 }
 
-/** Makes one request that ran once look as if it had run twice. */
+/** Changes the evidence so that one request that ran once appears to have run twice. */
 function plantSecondRun(evidence: Evidence): Evidence {
   const served = new Set(
     evidence.attempts.filter(({ kind, status }) =>
       kind === "once" && status === 200
     ).map(({ id }) => id),
   );
-  const ran = evidence.arrivals.filter(({ attempt }) => served.has(attempt));
+  const ran = evidence.arrivals.filter(({ attemptId }) =>
+    served.has(attemptId)
+  );
   return { ...evidence, arrivals: [...evidence.arrivals, ...ran.slice(0, 1)] };
 }
 
@@ -103,7 +105,7 @@
       Array.from({ length: Number(args.jobs) }, () => runNextSeeds()),
     );
     process.stdout.write(`${end - first} seeds, ${broken} broke a promise\n`);
-    // Sockets that were reset with bytes waiting may keep the process alive for minutes.
+    // Sockets that were reset with unsent data may keep the process alive for minutes.
     process.exit(broken > 0 ? 1 : 0);
   },
 });
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,27 +1,27 @@
 /**
- * What goes wrong in one run, and when: drawn from a seed, so that a run can be played again.
+ * The plan of a run: its faults and their times, drawn from a seed, so that a run can be repeated.
  *
  * @module
  */
 
 import { Random } from "../src/base/mod.ts";
 
-/** How the bytes of a link are treated. */
+/** How a link treats its connections. */
 export type LinkMode =
   | "pass"
-  /** Every chunk comes late. */
+  /** Every chunk is delayed. */
   | "delay"
-  /** Nothing goes to the listener's side. */
+  /** No data passes to the listener. */
   | "silentIn"
-  /** Nothing comes back from it. */
+  /** No data passes back from the listener. */
   | "silentOut"
   /** Open and new connections are reset. */
   | "reset";
 
-/** The links of a VM that can be harmed. */
+/** The links of a VM that can have faults. */
 export type VmLink = "callers" | "peers" | "store";
 
-/** What a harmed upstream does; see the stand-in runner. */
+/** How a faulty upstream behaves; `RunnerBehavior` of the stand-in runner describes each. */
 export type FaultyBehavior =
   | "shed"
   | "error"
@@ -32,7 +32,7 @@
   | "unsigned"
   | "halfStream";
 
-/** One thing that goes wrong. Times are ms from the start of the traffic; `vm` and `runner` count from 0. */
+/** One fault. `atMs` counts from the start of the traffic; `vm` and `runner` are indexes from 0. */
 export type Fault =
   & { readonly atMs: number; readonly forMs: number }
   & (
@@ -65,22 +65,22 @@
     | { readonly kind: "evacuate"; readonly domain: number }
   );
 
-/** When requests that crash upstreams are drawn. */
+/** Whether a plan has requests that crash upstreams: none, beside the other faults, or nothing else. */
 export type CrashMode = "none" | "beside" | "only";
 
-/** The name of a kind of fault. */
+/** Name of a kind of fault. */
 export type FaultKind = Fault["kind"];
 
-/** Size of a run. */
+/** Size and kind of a plan. */
 export interface PlanOptions {
   readonly vms: number;
   readonly runners: number;
   readonly domains: number;
-  /** Whether only planned work is drawn. */
+  /** Whether the plan has only planned work. */
   readonly plannedOnly?: boolean | undefined;
-  /** Requests that crash upstreams: none, beside the other faults, or nothing else. */
+  /** Requests that crash upstreams; `none` if absent. */
   readonly crashes?: CrashMode | undefined;
-  /** How long there is traffic with faults; after that everything is mended and callers go on. */
+  /** Time during which faults begin; after the last fault, callers continue without faults. */
   readonly faultsMs: number;
 }
 
@@ -127,8 +127,8 @@
 ];
 
 /**
- * Work that operators and the platform plan. With nothing else wrong, nothing excuses an answer that is lost, late to
- * leave an upstream, or sent for a caller that has gone.
+ * Work that operators and the platform plan. Without other faults, nothing excuses an answer that is lost, a request to
+ * an upstream that has been draining for long, or a request that is sent for a caller that canceled it.
  */
 const PLANNED_KINDS: readonly FaultKind[] = [
   "stop",
@@ -138,23 +138,23 @@
   "evacuate",
 ];
 
-/** Faults begin this far apart on average, and last longer: several are always in force. */
+/** Mean time between the starts of faults; faults last longer on average, so that several are in force at once. */
 const MEAN_GAP_MS = 550;
 const MIN_FAULT_MS = 300;
 const MAX_FAULT_MS = 3_500;
-/** One fault in four comes as a series: the same again, a moment later, on the next VM or upstream. */
+/** Share of faults that come as a series: the fault is repeated after a short gap on the next VM or upstream. */
 const SERIES_SHARE = 0.25;
 const SERIES_GAP_MS = 400;
 const MAX_SERIES_LENGTH = 3;
 
-/** Requests that crash upstreams begin this far apart on average; each comes for seconds. */
+/** Mean time between the starts of fatal requests; each is repeated for seconds. */
 const MEAN_CRASH_GAP_MS = 2_000;
-/** They come longer than other faults last: they are to meet VMs that have been told. */
+/** Fatal requests are repeated for longer than other faults last, so that they also reach VMs that know of the crashes. */
 const CRASH_DURATION_FACTOR = 3;
-/** They are drawn from a row of numbers of their own, so that a seed's other faults are the same with and without them. */
+/** Fatal requests use their own random stream, so that the other faults of a seed are the same with and without them. */
 const CRASH_SEED = 0x5eed;
 
-/** Draws the faults of a run, in the order of their begin. */
+/** Draws the faults of a run, sorted by their start. */
 export function drawPlan(seed: number, options: PlanOptions): Fault[] {
   const { crashes = "none" } = options;
   const otherFaults = crashes === "only" ? [] : drawOtherFaults(seed, options);
@@ -174,8 +174,8 @@
       ? 2 + random.int(MAX_SERIES_LENGTH - 1)
       : 1;
     const first = drawFault(random, options, Math.round(atMs));
-    for (let nth = 0; nth < seriesLength; nth++) {
-      faults.push(repeatFault(first, nth, options));
+    for (let index = 0; index < seriesLength; index++) {
+      faults.push(repeatFault(first, index, options));
     }
   }
   return faults;
@@ -196,14 +196,14 @@
   return faults;
 }
 
-/** The same fault a moment later, on the next VM or upstream. */
-function repeatFault(fault: Fault, nth: number, options: PlanOptions): Fault {
-  const atMs = fault.atMs + nth * SERIES_GAP_MS;
+/** Returns the same fault `index` gaps later and on the VM or upstream that many places further. */
+function repeatFault(fault: Fault, index: number, options: PlanOptions): Fault {
+  const atMs = fault.atMs + index * SERIES_GAP_MS;
   if ("vm" in fault) {
-    return { ...fault, atMs, vm: (fault.vm + nth) % options.vms };
+    return { ...fault, atMs, vm: (fault.vm + index) % options.vms };
   }
   if ("runner" in fault) {
-    return { ...fault, atMs, runner: (fault.runner + nth) % options.runners };
+    return { ...fault, atMs, runner: (fault.runner + index) % options.runners };
   }
   return { ...fault, atMs };
 }
--- a/soak/proxy.ts
+++ b/soak/proxy.ts
@@ -1,5 +1,5 @@
 /**
- * A TCP proxy on loopback that harms the connections through it.
+ * A TCP proxy on loopback that injects faults into its connections.
  *
  * @module
  */
@@ -8,22 +8,22 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { LinkMode } from "./plan.ts";
 
-/** How late a chunk comes on a link with `delay`: about the way to another region and back. */
+/** Delay of each chunk on a link with `delay`: about the round trip to another region. */
 const DELAY_MS = 120;
 
-/** `IP:PORT` in parts. */
+/** Host and port of an address. */
 export interface Endpoint {
   readonly host: string;
   readonly port: number;
 }
 
-/** Both ends of a connection through the proxy. */
+/** The two sockets of a connection through the proxy. */
 interface ProxiedConnection {
-  readonly near: Socket;
-  readonly far: Socket;
+  readonly client: Socket;
+  readonly server: Socket;
 }
 
-/** One direction of a connection: what comes later never overtakes, also when the delay ends in between. */
+/** Delays one direction of a connection and keeps the order of its data, even if the delay ends in between. */
 class DelayQueue {
   readonly #waiting: { readonly dueMs: number; readonly run: () => void }[] =
     [];
@@ -44,9 +44,9 @@
   };
 }
 
-/** See the module. Ends of half-open connections and resets are passed on as such. */
+/** A proxy with one fault mode. It forwards half-closes and resets of a connection to the other side. */
 export class FaultProxy {
-  /** Where connections go to; a change holds for new ones. */
+  /** Address to which connections are forwarded; a change applies to new connections. */
   target: Endpoint;
   readonly #server: Server;
   readonly #connections = new Set<ProxiedConnection>();
@@ -59,11 +59,11 @@
     this.target = target;
     this.#server = createServer(
       { allowHalfOpen: true, noDelay: true },
-      (near) => this.#accept(near),
+      (client) => this.#accept(client),
     );
   }
 
-  /** Listens at `listen`; port 0 takes any. */
+  /** Listens at `listen`; port 0 takes any free port. */
   static async open(listen: Endpoint, target: Endpoint): Promise<FaultProxy> {
     const proxy = new FaultProxy(listen.host, target);
     proxy.#server.listen(listen.port, listen.host);
@@ -71,30 +71,30 @@
     return proxy;
   }
 
-  /** The port it listens at. */
+  /** The port that it listens at, or listened at before `refuseAll`. */
   get port(): number {
     const address = this.#server.address() as { port: number } | null;
     return address?.port ?? this.#lastPort;
   }
 
-  /** Treats open and new connections this way from now on. */
+  /** Sets the mode of open and new connections. */
   setMode(mode: LinkMode): void {
     this.#mode = mode;
-    for (const pair of this.#connections) {
-      if (mode === "reset") resetConnection(pair);
-      else this.#applyMode(pair);
+    for (const connection of this.#connections) {
+      if (mode === "reset") resetConnection(connection);
+      else this.#applyMode(connection);
     }
   }
 
-  /** Refuses connections, as the address of a program that has ended. */
+  /** Resets all connections and refuses new ones, like the address of a program that has exited. */
   refuseAll(): void {
     if (!this.#server.listening) return;
     this.#lastPort = this.port;
     this.#server.close();
-    for (const pair of this.#connections) resetConnection(pair);
+    for (const connection of this.#connections) resetConnection(connection);
   }
 
-  /** Takes connections again. */
+  /** Accepts connections again. */
   async reopen(): Promise<void> {
     if (this.#server.listening) return;
     this.#server.listen(this.#lastPort, this.#host);
@@ -102,22 +102,26 @@
   }
 
   async close(): Promise<void> {
-    for (const pair of this.#connections) resetConnection(pair);
+    for (const connection of this.#connections) resetConnection(connection);
     if (!this.#server.listening) return;
     await new Promise((resolve) => this.#server.close(resolve));
   }
 
-  #accept(near: Socket): void {
-    if (this.#mode === "reset") return void near.resetAndDestroy();
-    const far = connect({ ...this.target, allowHalfOpen: true, noDelay: true });
-    const pair = { near, far };
-    this.#connections.add(pair);
-    this.#forward(pair, near, far);
-    this.#forward(pair, far, near);
-    this.#applyMode(pair);
+  #accept(client: Socket): void {
+    if (this.#mode === "reset") return void client.resetAndDestroy();
+    const server = connect({
+      ...this.target,
+      allowHalfOpen: true,
+      noDelay: true,
+    });
+    const connection = { client, server };
+    this.#connections.add(connection);
+    this.#forward(connection, client, server);
+    this.#forward(connection, server, client);
+    this.#applyMode(connection);
   }
 
-  #forward(pair: ProxiedConnection, from: Socket, to: Socket): void {
+  #forward(connection: ProxiedConnection, from: Socket, to: Socket): void {
     const line = new DelayQueue();
     const later = (run: () => void) =>
       line.add(this.#mode === "delay" ? DELAY_MS : 0, run);
@@ -126,27 +130,27 @@
       (chunk: Buffer) => later(() => void (to.destroyed || to.write(chunk))),
     );
     from.on("end", () => later(() => void (to.destroyed || to.end())));
-    from.on("error", () => resetConnection(pair));
+    from.on("error", () => resetConnection(connection));
     from.on("close", () => {
-      if (to.destroyed) this.#connections.delete(pair);
-      // A side that is gone altogether takes the other with it, once what it sent has left.
+      if (to.destroyed) this.#connections.delete(connection);
+      // When one side has closed completely, the other is closed once the data from the first has been sent.
       else to.destroySoon();
     });
   }
 
-  /** A silent direction is not read: its bytes wait, as behind a cut cable, and go on when it is mended. */
-  #applyMode({ near, far }: ProxiedConnection): void {
-    if (this.#mode === "silentIn") near.pause();
-    else near.resume();
-    if (this.#mode === "silentOut") far.pause();
-    else far.resume();
+  /** Pauses a silent direction: its data waits, as behind a cut cable, and is forwarded when the mode ends. */
+  #applyMode({ client, server }: ProxiedConnection): void {
+    if (this.#mode === "silentIn") client.pause();
+    else client.resume();
+    if (this.#mode === "silentOut") server.pause();
+    else server.resume();
   }
 }
 
-function resetConnection(pair: ProxiedConnection): void {
-  for (const socket of [pair.near, pair.far]) {
+function resetConnection(connection: ProxiedConnection): void {
+  for (const socket of [connection.client, connection.server]) {
     if (socket.destroyed) continue;
-    // A socket that is reset while it still connects never closes its handle.
+    // A socket that is reset while it is still connecting never closes its handle.
     if (socket.connecting) socket.destroy();
     else socket.resetAndDestroy();
   }
--- a/soak/proxy_test.ts
+++ b/soak/proxy_test.ts
@@ -7,8 +7,8 @@
 const LOOPBACK = "127.0.0.1";
 
 describe("the soak's proxy", () => {
-  // A stream's event overtook the one before it, and the gateway was blamed.
-  it("keeps the order of bytes when a delay ends", async (t) => {
+  // Without this order, an event of a stream could overtake the one before it, which looks like a fault of the gateway.
+  it("keeps the order of the data when a delay ends", async (t) => {
     const server = createServer();
     server.listen(0, LOOPBACK);
     await once(server, "listening");
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of the soak: a world, callers, faults, and what they broke.
+ * One run of the soak: opens a world, sends traffic, injects faults and checks the promises.
  *
  * @module
  */
@@ -21,17 +21,17 @@
   readonly runners: number;
   readonly callers: number;
   readonly faultsMs: number;
-  /** Whether only planned work happens. */
+  /** Whether the plan has only planned work. */
   readonly plannedOnly?: boolean;
-  /** When requests that crash upstreams come. */
+  /** Whether the plan has requests that crash upstreams. */
   readonly crashes?: CrashMode;
-  /** Where the logs of a run that broke a promise are kept; absent: nowhere. */
+  /** Folder for the logs of a run that broke a promise; absent or empty: they are not saved. */
   readonly logFolder?: string;
-  /** Changes the evidence before it is judged: a planted fault that the judge must find. */
+  /** Changes the evidence before it is checked, to plant a fault that the judge must find. */
   readonly changeEvidence?: (evidence: Evidence) => Evidence;
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface RunResult {
   readonly seed: number;
   readonly attempts: number;
@@ -40,24 +40,26 @@
   readonly breaches: readonly Breach[];
 }
 
-/** From the last fault until all must be served again: entries return within 2.3 s, a stop takes 3 s. */
+/** Time from the last fault until requests must be served again: entries return within 2.3 s, a stop takes 3 s. */
 const RECOVERY_MS = 6_000;
 const FINAL_TRAFFIC_MS = 2_500;
-/** For what is under way at the end. */
+/** Time for work that is still in progress at the end. */
 const SETTLE_MS = 300;
 
 function collectArrivals(world: World): Arrival[] {
-  return world.instances.flatMap(({ runner, region, service, leftMs }) =>
+  return world.instances.flatMap((
+    { runner, region, service, drainingSinceMs },
+  ) =>
     runner.arrivals.map(({ headers, method, target, body, arrivedMonoMs }) => ({
-      attempt: String(headers["attempt-id"]),
+      attemptId: String(headers["attempt-id"]),
       method,
       target,
       body,
       arrivedMs: arrivedMonoMs,
-      runner: runner.id,
+      runnerId: runner.id,
       region,
       service,
-      leftMs,
+      drainingSinceMs,
     }))
   );
 }
@@ -76,7 +78,7 @@
   );
 }
 
-/** Plays one seed. Throws only if the world cannot be opened. */
+/** Runs one seed. Throws only if the world cannot be opened. */
 export async function runSeed(options: RunOptions): Promise<RunResult> {
   const { seed, vms, runners, faultsMs, plannedOnly, crashes } = options;
   const domains = REGIONS.length;
@@ -118,7 +120,9 @@
     const result = {
       seed,
       attempts: attempts.length,
-      served: attempts.filter(({ status, whole }) => status === 200 && whole)
+      served: attempts.filter(({ status, isComplete }) =>
+        status === 200 && isComplete
+      )
         .length,
       faults: plan.length,
       breaches: new Judge(evidence).breaches(),
--- a/soak/runner_host.ts
+++ b/soak/runner_host.ts
@@ -1,5 +1,5 @@
 /**
- * A place where upstreams run one after the other: a proxy with a lasting address before whatever runs there.
+ * A host on which upstreams run one after the other, behind a proxy whose address stays the same.
  *
  * @module
  */
@@ -10,32 +10,32 @@
 import { FaultProxy } from "./proxy.ts";
 import { getFailureDomain, REGIONS, type World } from "./world.ts";
 
-/** One start of an upstream. */
+/** One instance of an upstream, from its start to its stop. */
 export interface RunnerInstance {
   readonly runner: Runner;
   readonly region: string;
   readonly service: string;
-  /** When the store took the news that it leaves or is gone. */
-  leftMs: number;
+  /** When the store learned that it is draining or gone. */
+  drainingSinceMs: number;
 }
 
-/** How long an upstream that leaves serves on; the gateways' bound is 4 s. */
+/** How long a draining upstream still serves requests; the gateways' bound is 4 s. */
 const DRAIN_MS = 4_500;
-/** How long an address lies idle before another upstream takes it. */
+/** How long an address is unused before another upstream gets it. */
 const ADDRESS_IDLE_MS = 300;
 const SLOTS = 8;
-/** How long an upstream is away that a request has ended, and how long that tells on others. */
+/** How long an upstream is down after a fatal request, and how long the effects outlast that. */
 const DOWN_MS = 800;
 const AFTER_EFFECT_MS = 2_500;
 const LOOPBACK = "127.0.0.1";
 
-/** See the module. */
+/** A host with one upstream at a time. */
 export class RunnerHost {
   readonly proxy: FaultProxy;
   readonly region: string;
   readonly #world: World;
   readonly #index: number;
-  /** The service whose upstreams belong here; `s` has three in four. */
+  /** The service whose upstreams normally run here; three hosts in four belong to `s`. */
   readonly #service: string;
   #instance: RunnerInstance | undefined;
   #starts = 0;
@@ -49,7 +49,7 @@
     this.#service = index % 8 < 6 ? "s" : "t";
   }
 
-  /** Opens the place with an upstream in it. */
+  /** Opens the host and starts an upstream on it. */
   static async open(world: World, index: number): Promise<RunnerHost> {
     const listen = { host: LOOPBACK, port: 0 };
     const proxy = await FaultProxy.open(listen, listen);
@@ -58,12 +58,12 @@
     return host;
   }
 
-  /** The upstream that runs now. */
+  /** The current instance. */
   get instance(): RunnerInstance | undefined {
     return this.#instance;
   }
 
-  /** It crashes and starts again under its id, knowing nothing. */
+  /** Stops the upstream as in a crash and starts it again with the same id and no state. */
   restart(): Promise<void> {
     return this.#runExclusively(async () => {
       const id = this.#instance!.runner.id;
@@ -72,7 +72,7 @@
     });
   }
 
-  /** It is lost, and its address goes to an upstream of the other service for a time. */
+  /** Removes the upstream and gives its address to an upstream of the other service for `forMs`. */
   reuseAddress(forMs: number): Promise<void> {
     return this.#runExclusively(async () => {
       for (
@@ -87,12 +87,12 @@
     });
   }
 
-  /** It says that it leaves, serves on for its time and goes; a new one comes. */
+  /** Registers the upstream as draining, stops it after the drain time and starts a new one. */
   drain(): Promise<void> {
     return this.#runExclusively(async () => {
       const { runner } = this.#instance!;
       this.#register("draining");
-      this.#instance!.leftMs = this.#world.nowMs();
+      this.#instance!.drainingSinceMs = this.#world.nowMs();
       runner.isDraining = true;
       await sleep(DRAIN_MS);
       this.#unregister();
@@ -106,7 +106,7 @@
     await this.#instance?.runner.close();
   }
 
-  /** Runs one change at a time; a second one meanwhile is left out. */
+  /** Runs one change at a time; a second change meanwhile is skipped. */
   async #runExclusively(change: () => Promise<void>): Promise<void> {
     if (this.#isBusy) return;
     this.#isBusy = true;
@@ -132,13 +132,13 @@
       runner,
       region: this.region,
       service,
-      leftMs: Infinity,
+      drainingSinceMs: Infinity,
     };
     this.#world.instances.push(this.#instance);
     this.#register("ready");
   }
 
-  /** A request ended the program: its address refuses connections until it is back. */
+  /** After a crash by a fatal request, the address refuses connections until the restart. */
   #handleCrash({ id }: Runner): void {
     this.#world.addTrouble(id, DOWN_MS + AFTER_EFFECT_MS);
     this.proxy.refuseAll();
@@ -155,8 +155,8 @@
 
   async #stopRunner(): Promise<void> {
     const { runner } = this.#instance!;
-    this.#instance!.leftMs = Math.min(
-      this.#instance!.leftMs,
+    this.#instance!.drainingSinceMs = Math.min(
+      this.#instance!.drainingSinceMs,
       this.#world.nowMs(),
     );
     await runner.close();
--- a/soak/skewed_clock.ts
+++ b/soak/skewed_clock.ts
@@ -1,5 +1,6 @@
 /**
- * Loaded before a gateway in a soak: its time of day is wrong by seconds, and jumps. The monotonic clock stays right.
+ * Skews the wall clock of a gateway in a soak, which loads this module first: its time is wrong by up to 5 s and jumps
+ * every 2 s. The monotonic clock stays right.
  *
  * @module
  */
--- a/soak/soak_test.ts
+++ b/soak/soak_test.ts
@@ -15,7 +15,7 @@
   "1",
 ];
 
-/** Runs the soak; returns its exit code and what it printed. */
+/** Runs the soak; returns its exit code and its output. */
 async function runSoak(
   ...args: string[]
 ): Promise<{ code: number; printed: string }> {
@@ -41,7 +41,7 @@
     t.is(code, 0, printed);
   });
 
-  it("keeps all promises beside requests that crash upstreams", async (t) => {
+  it("keeps all promises with requests that crash upstreams", async (t) => {
     const { code, printed } = await runSoak(
       "--first",
       "3",
@@ -55,8 +55,8 @@
     t.is(code, 0, printed);
   });
 
-  // Two soaks on one machine took each other's addresses.
-  it("keeps all promises beside a second soak", async (t) => {
+  // Guards against two soaks on one machine that use the same addresses.
+  it("keeps all promises while a second soak runs", async (t) => {
     const args = ["--seeds", "1", "--seconds", "1", "--planned"];
     const runs = await Promise.all([
       runSoak("--first", "1", ...args),
@@ -65,8 +65,8 @@
     for (const { code, printed } of runs) t.is(code, 0, printed);
   });
 
-  // The gateway is honest, so a run alone cannot show that the judge reads its evidence right.
-  it("finds a second run that was planted in a real run", async (t) => {
+  // The gateway keeps its promises, so a run without a planted fault cannot show that the judge reads its evidence correctly.
+  it("finds a second run that was planted into the evidence of a real run", async (t) => {
     const { code, printed } = await runSoak(
       "--first",
       "8",
--- a/soak/world.ts
+++ b/soak/world.ts
@@ -1,6 +1,6 @@
 /**
- * The world of one run: gateways as processes of their own behind harmful proxies, with stand-ins of store and
- * upstreams in this process.
+ * The world of one run: gateways in processes of their own behind proxies that inject faults, and stand-ins for the
+ * store and the upstreams in this process.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import type { VmLink } from "./plan.ts";
 import { RunnerHost, type RunnerInstance } from "./runner_host.ts";
 
-/** Ports of every VM, the same on each, as on the platform. */
+/** Ports of a VM; all VMs use the same ports, as on the platform. */
 const PORTS = {
   callers: 18100,
   ready: 18101,
@@ -26,31 +26,31 @@
   metrics: 18105,
 };
 const GRACE_MS = 3_000;
-/** A process that ended starts again after this long. */
+/** Delay after which a process that exited is started again. */
 const RESTART_DELAY_MS = 300;
 const LEASE_MS = 1_000;
-/** The regions, each of one failure domain. */
+/** The regions; each has one failure domain. */
 export const REGIONS = ["north", "south"] as const;
-/** Name of a region's only failure domain. */
+/** Returns the name of a region's only failure domain. */
 export function getFailureDomain(region: string): string {
   return `${region}-a`;
 }
 
-/** Something unplanned that happened to a VM (`vm:0`), an upstream (its id) or the store (`store`). */
+/** An unplanned disturbance of a VM (`vm:0`), an upstream (its id) or the store (`store`). */
 export interface Trouble {
   readonly who: string;
   readonly fromMs: number;
   toMs: number;
 }
 
-/** A version of the configuration: where plain requests go since then. */
+/** A version of the configuration, and the service to which plain requests go since `sinceMs`. */
 export interface ConfigVersion {
   readonly version: number;
   readonly sinceMs: number;
   readonly plainService: string;
 }
 
-/** One VM: its process, and the proxies before its listeners and its way to the store. */
+/** One VM: its process, and the proxies in front of its listeners and of the store. */
 export interface SoakVm {
   readonly index: number;
   readonly region: string;
@@ -58,18 +58,18 @@
   readonly settingsPath: string;
   readonly proxies: Readonly<Record<VmLink, FaultProxy>>;
   proc: Proc;
-  /** Output of earlier processes. */
+  /** Output of the VM's earlier processes. */
   earlierOutput: string;
 }
 
-/** Size of a world. */
+/** Size and seed of a world. */
 export interface WorldOptions {
   readonly vms: number;
   readonly runners: number;
   readonly seed: number;
 }
 
-/** See the module. It ends only processes that it started. */
+/** The gateways, proxies and stand-ins of a run. It ends only processes that it started. */
 export class World {
   readonly store = new KvServer({ readsPerS: 10_000, writesPerS: 10_000 });
   readonly vms: SoakVm[] = [];
@@ -77,7 +77,7 @@
   readonly instances: RunnerInstance[] = [];
   readonly troubles: Trouble[] = [];
   readonly configs: ConfigVersion[] = [];
-  /** What a process did that it must not: ended by itself, or did not stop in time. */
+  /** Faults of gateway processes: a process exited by itself, or did not stop in time. */
   readonly processFaults: string[] = [];
   readonly #options: WorldOptions;
   readonly #dir = mkdtempSync(join(tmpdir(), "ibisgap-soak-"));
@@ -88,7 +88,7 @@
     this.#options = options;
   }
 
-  /** Opens all and waits until every VM is ready. */
+  /** Starts everything and waits until every VM is ready. */
   static async open(options: WorldOptions): Promise<World> {
     const world = new World(options);
     try {
@@ -100,12 +100,12 @@
     return world;
   }
 
-  /** Milliseconds on the clock that all parts of a run share. */
+  /** The current time on the monotonic clock that all parts of a run share. */
   nowMs(): number {
     return performance.now();
   }
 
-  /** Notes that something unplanned happens to `who`; the caller sets its end. */
+  /** Records a disturbance of `who` that lasts `forMs` from now. */
   addTrouble(who: string, forMs: number): Trouble {
     const fromMs = this.nowMs();
     const trouble = { who, fromMs, toMs: fromMs + forMs };
@@ -113,7 +113,7 @@
     return trouble;
   }
 
-  /** Writes a newer configuration in which plain requests go to `plainService`. */
+  /** Writes a new version of the configuration, in which plain requests go to `plainService`. */
   writeConfig(plainService: string): void {
     const version = (this.configs.at(-1)?.version ?? 0) + 3;
     const service = { max_conns: 100, cold_s: 0, cold_rate_s: 0 };
@@ -154,7 +154,7 @@
     this.vms[index].proc.signal(signal);
   }
 
-  /** A planned stop; the process is killed if it outlasts the time that it has. */
+  /** Stops a VM's process as planned; kills it if it does not exit within its grace time. */
   async stop(index: number): Promise<void> {
     const { proc } = this.vms[index];
     proc.signal("SIGTERM");
@@ -162,7 +162,7 @@
       proc.exited.then(() => true),
       sleep(GRACE_MS).then(() => false),
     ]);
-    // A process that was frozen meanwhile could not end; that is no fault of its own.
+    // A process that was paused meanwhile could not exit, which is not a fault of the gateway.
     if (ended || this.hasTroubleSince(`vm:${index}`, this.nowMs() - GRACE_MS)) {
       return;
     }
@@ -170,14 +170,14 @@
     proc.signal("SIGKILL");
   }
 
-  /** Whether something unplanned happened to `who` since then. */
+  /** Whether a trouble of `who` lasted until `sinceMs` or longer. */
   hasTroubleSince(who: string, sinceMs: number): boolean {
     return this.troubles.some((trouble) =>
       trouble.who === who && trouble.toMs >= sinceMs
     );
   }
 
-  /** Writes the logs of all processes to a folder. */
+  /** Writes the output of all gateway processes to a folder. */
   saveLogs(folder: string): void {
     for (const { index, earlierOutput, proc } of this.vms) {
       writeFileSync(
@@ -303,7 +303,7 @@
     start: number,
     code: number | null,
   ): Promise<void> {
-    // A signal has no code, a planned stop has 0; anything else is a crash.
+    // The code is null after a signal and 0 after a planned stop; any other code is a crash.
     if (code !== null && code !== 0 && !this.#isClosing) {
       this.processFaults.push(`vm ${index} ended by itself with code ${code}`);
     }
@@ -314,7 +314,7 @@
     vm.proc = this.#startProcess(index, vm.settingsPath, start + 1);
   }
 
-  /** Where callers ask which VMs to use. */
+  /** URL at which callers query the VMs to use; a region's name is appended to it. */
   directoryUrl(vm: SoakVm): string {
     return `http://${
       this.#block.vmIp(vm.index)
