--- a/bench/control_claims_faults.ts
+++ b/bench/control_claims_faults.ts
@@ -6,13 +6,13 @@
  */
 
 import {
-  caller,
+  callAdmin,
+  callVm,
   Cluster,
   keyOf,
-  operator,
   sleep,
   standardRows,
-  upstream,
+  upstreamRow,
   type Vm,
 } from "../test/cluster.ts";
 import type { Bench, Row } from "./row.ts";
@@ -49,7 +49,7 @@
   const endMs = Date.now() + MAX_WAIT_MS;
   while (Date.now() < endMs) {
     for (const vm of cluster.vms.values()) {
-      const answer = await operator(vm, "GET", "/admin/dump");
+      const answer = await callAdmin(vm, "GET", "/admin/dump");
       const [shard] = JSON.parse(answer.body).claims.shards;
       if (shard.role === "owner" && shard.witnesses.length === 2) return vm;
     }
@@ -64,8 +64,8 @@
   try {
     await cluster.startPlatform();
     const [ledger] = await cluster.startUpstreams(0, 1);
-    await cluster.seed(standardRows([REGION], [
-      upstream("ledger-1", "ledger", REGION, ledger.url),
+    await cluster.seedTable(standardRows([REGION], [
+      upstreamRow("ledger-1", "ledger", REGION, ledger.url),
     ]));
     await cluster.startRegions([REGION], 3);
     const owner = await findOwner(cluster);
@@ -74,7 +74,7 @@
     const startMs = performance.now();
     let refused = 0;
     while (performance.now() - startMs < MAX_WAIT_MS) {
-      const answer = await caller(vm, keyOf(REGION), "/services/ledger/log", {
+      const answer = await callVm(vm, keyOf(REGION), "/services/ledger/log", {
         body: { run },
         headers: { "idempotency-key": `run-${run}-${refused}` },
       });
--- a/bench/control_members.ts
+++ b/bench/control_members.ts
@@ -10,12 +10,12 @@
 
 import { systemClock } from "../src/base/mod.ts";
 import {
+  makePlanRequest,
+  makePlanTable,
   openRegion,
-  planRequest,
-  planTable,
-  until,
-  untilAgreed,
   type Vm,
+  waitUntil,
+  waitUntilAgreed,
 } from "../test/vms.ts";
 import { measureOverAdmission } from "./over_admission.ts";
 import type { Row } from "./row.ts";
@@ -74,13 +74,13 @@
 
 async function openFleet({ regions, vms }: FleetShape): Promise<Vm[][]> {
   const names = Array.from({ length: regions }, (_, n) => `region${n}`);
-  const table = planTable(1, names, UPSTREAMS, SLOTS);
+  const table = makePlanTable(1, names, UPSTREAMS, SLOTS);
   const fleet: Vm[][] = [];
   for (const name of names) {
     const seeds = fleet.slice(0, 2).map(([vm]) => vm.address);
     fleet.push(await openRegion(name, vms, { table, seeds }));
   }
-  for (const region of fleet) await untilAgreed(region);
+  for (const region of fleet) await waitUntilAgreed(region);
   return fleet;
 }
 
@@ -109,7 +109,7 @@
   rows.push(row("memory of the process", rssMB, "MB"));
   rows.push(row("memory per VM", rssMB / vms.length, "MB"));
   if (fleet.length > 1) {
-    const leads = vms.filter((vm) => vm.leads().length > 0);
+    const leads = vms.filter((vm) => vm.ledPoolKeys().length > 0);
     rows.push(
       row("age of far digests at leads", await findMaxRemoteAgeMs(leads), "ms"),
     );
@@ -141,7 +141,7 @@
 async function holdSlots(region: readonly Vm[]): Promise<void> {
   for (const vm of region) {
     for (let n = 0; n < HELD_SLOTS_PER_VM; n++) {
-      const request = planRequest(`${vm.id}-held-${n}`, {
+      const request = makePlanRequest(`${vm.id}-held-${n}`, {
         deadlineMs: Date.now() + 2000,
       });
       await vm.slots.ask("acquire", request);
@@ -193,14 +193,14 @@
   region: readonly Vm[],
   row: MakeRow,
 ): Promise<Row> {
-  const entry = region.find((vm) => vm.leads().length === 0)!;
+  const entry = region.find((vm) => vm.ledPoolKeys().length === 0)!;
   const countSlotBytes = () => {
     const slots = entry.transport.bytesByService().slots;
     return (slots?.sent ?? 0) + (slots?.received ?? 0);
   };
   const before = countSlotBytes();
   for (let n = 0; n < REQUESTS; n++) {
-    const request = planRequest(`${entry.id}-request-${n}`);
+    const request = makePlanRequest(`${entry.id}-request-${n}`);
     const answer = await entry.slots.ask("acquire", request);
     if (answer.type !== "grant") continue;
     const { attemptId, upstreamId } = answer;
@@ -227,16 +227,16 @@
   const pool = `plan/${region[0].region}/0`;
   let remaining = region;
   for (let n = 0; n < MAX_CRASHES && remaining.length > 1; n++) {
-    await until(
+    await waitUntil(
       "a lead",
-      () => remaining.some((vm) => vm.leads().includes(pool)),
+      () => remaining.some((vm) => vm.ledPoolKeys().includes(pool)),
     );
-    const lead = remaining.find((vm) => vm.leads().includes(pool))!;
+    const lead = remaining.find((vm) => vm.ledPoolKeys().includes(pool))!;
     const others = remaining.filter((vm) => vm !== lead);
     const entry = others[n % others.length];
-    await entry.slots.ask("acquire", planRequest(`before-${n}`));
+    await entry.slots.ask("acquire", makePlanRequest(`before-${n}`));
     await lead.crash();
-    const nextGrant = entry.slots.ask("acquire", planRequest(`again-${n}`));
+    const nextGrant = entry.slots.ask("acquire", makePlanRequest(`again-${n}`));
     const crashedMs = performance.now();
     await Promise.all([
       nextGrant.then(() => replacedMs.push(performance.now() - crashedMs)),
@@ -272,8 +272,8 @@
 }
 
 function waitUntilRemoved(vms: readonly Vm[], id: string): Promise<void> {
-  return until(`${id} is gone`, async () => {
-    for (const vm of vms) if ((await vm.sees()).has(id)) return false;
+  return waitUntil(`${id} is gone`, async () => {
+    for (const vm of vms) if ((await vm.readRegion()).has(id)) return false;
     return true;
   });
 }
--- a/bench/control_table.ts
+++ b/bench/control_table.ts
@@ -21,9 +21,9 @@
 import { Random } from "../src/base/mod.ts";
 import { openPlatform, type Platform } from "../src/standins/mod.ts";
 import {
+  makeRegionRow,
   openTableVms,
-  regionRowOf,
-  rowOf,
+  parseRow,
   type TableVm,
 } from "../test/table_vms.ts";
 import type { Row } from "./row.ts";
@@ -65,7 +65,7 @@
   const perRegion = count / REGIONS.length;
   const vms = await openTableVms(platform.url, REGIONS, perRegion);
   try {
-    await vms[0].put(...REGIONS.map((id) => regionRowOf(id)));
+    await vms[0].put(...REGIONS.map((id) => makeRegionRow(id)));
     await waitUntilSettled(platform, vms);
     const idle = await measureIdle(platform);
     const watches = platform.store.watchCount / REGIONS.length;
@@ -150,7 +150,7 @@
     const startMs = performance.now();
     const weight = i + 2;
     const edit = await random.pick(vms)
-      .put(regionRowOf(random.pick(REGIONS), weight));
+      .put(makeRegionRow(random.pick(REGIONS), weight));
     acceptedMs.push(performance.now() - startMs);
     const { version } = edit._unsafeUnwrap();
     while (!vms.every((vm) => vm.version >= version)) await sleep(1);
@@ -174,8 +174,8 @@
   const results = await Promise.all(
     vms.flatMap((vm, i) =>
       Array.from({ length: RACE_EDITS_PER_VM }, (_, n) => {
-        const row = regionRowOf(`race-${i}`, n + 2);
-        return vm.edit([{ type: "put", row: rowOf(row) }], 60_000);
+        const row = makeRegionRow(`race-${i}`, n + 2);
+        return vm.edit([{ type: "put", row: parseRow(row) }], 60_000);
       })
     ),
   );
@@ -204,7 +204,7 @@
     maxCalls = Math.max(maxCalls, countCalls() - lastCalls);
     lastCalls = countCalls();
   }, 100);
-  const edit = await vms[0].put(regionRowOf(REGIONS[0], 77));
+  const edit = await vms[0].put(makeRegionRow(REGIONS[0], 77));
   const { version } = edit._unsafeUnwrap();
   while (!vms.every((vm) => vm.version >= version)) await sleep(1);
   const inForceMs = performance.now() - startMs;
@@ -229,7 +229,7 @@
 
 /** Crashes both watchers of a region and measures an edit made right after. */
 async function measureCrash(vms: readonly TableVm[], region: string) {
-  const live = vms.filter((vm) => !vm.closed);
+  const live = vms.filter((vm) => !vm.isClosed);
   const crashed = live.filter((vm) =>
     vm.region === region && vm.dump().watching
   );
@@ -244,7 +244,7 @@
   weight: number,
 ): Promise<number> {
   const startMs = performance.now();
-  const edit = await editor.put(regionRowOf(REGIONS[0], weight));
+  const edit = await editor.put(makeRegionRow(REGIONS[0], weight));
   const { version } = edit._unsafeUnwrap();
   while (!vms.every((vm) => vm.version >= version)) await sleep(1);
   return performance.now() - startMs;
--- a/bench/over_admission.ts
+++ b/bench/over_admission.ts
@@ -9,7 +9,7 @@
 import { poolsOfRegion } from "../src/agreement/mod.ts";
 import { Random } from "../src/base/mod.ts";
 import { Pool, type PoolOutput } from "../src/decisions/mod.ts";
-import { planRequest, planTable } from "../test/vms.ts";
+import { makePlanRequest, makePlanTable } from "../test/vms.ts";
 import type { Row } from "./row.ts";
 
 const UPSTREAMS = 13;
@@ -75,7 +75,7 @@
 /** Sends requests in turn to `count` pools that know of each other only from the upstreams' load reports. */
 function simulate(count: number, load: number): SimulationResult {
   const random = new Random(SEED);
-  const table = planTable(1, ["r"], UPSTREAMS, SLOTS);
+  const table = makePlanTable(1, ["r"], UPSTREAMS, SLOTS);
   const info = [...poolsOfRegion(table, "r").values()][0];
   let nowMs = 1_000_000;
   const pools = Array.from({ length: count }, (_, n) => {
@@ -131,7 +131,7 @@
     }
     for (dueRequests += requestsPerStep; dueRequests >= 1; dueRequests--) {
       const pool = requestCount % count;
-      const request = planRequest(`x${requestCount++}`, {
+      const request = makePlanRequest(`x${requestCount++}`, {
         arrivedAtMs: nowMs,
         deadlineMs: nowMs + 3000,
         workspace: `w${random.int(20)}`,
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -13,7 +13,12 @@
  */
 
 import { secretDigest } from "../src/base/mod.ts";
-import { Cluster, type Proc, type StandIn, upstream } from "../test/cluster.ts";
+import {
+  Cluster,
+  type StandIn,
+  type TestProcess,
+  upstreamRow,
+} from "../test/cluster.ts";
 import { type LoadResult, runLoad, waitUntilServed } from "./path_load.ts";
 import type { Row } from "./row.ts";
 
@@ -103,7 +108,7 @@
       pipe.proc,
       (onMeasureStart) => load([pipe.url], onMeasureStart),
     );
-    await pipe.proc.end();
+    await pipe.proc.kill();
     const daemon = await startDaemon(cluster, engines);
     await waitUntilServed({
       ...common,
@@ -137,15 +142,15 @@
 async function startPipe(cluster: Cluster, engines: readonly StandIn[]) {
   return await withProbe(async () => {
     const urls = engines.map((engine) => engine.url);
-    const proc = cluster.run("pipe", "bench/path_pipe.js", urls);
-    const [, url] = await proc.said(/ready: (\S+)/);
+    const proc = cluster.startProcess("pipe", "bench/path_pipe.js", urls);
+    const [, url] = await proc.waitForOutput(/ready: (\S+)/);
     return { proc, url };
   });
 }
 
 async function startDaemon(cluster: Cluster, engines: readonly StandIn[]) {
   await cluster.startPlatform();
-  await cluster.seed([
+  await cluster.seedTable([
     { kind: "region", id: REGION },
     { kind: "service", id: MODEL, type: "model" },
     {
@@ -155,7 +160,7 @@
       keyDigests: [secretDigest(KEY)],
     },
     ...engines.map(({ url }, n) =>
-      upstream(`engine-${n}`, MODEL, REGION, url, {
+      upstreamRow(`engine-${n}`, MODEL, REGION, url, {
         slots: SLOTS,
         prefillTokensPerS: 1e6,
         decodeTokensPerS: 1e6,
@@ -163,13 +168,13 @@
     ),
   ]);
   const vm = await withProbe(() => cluster.startVm("vm-1", REGION, []));
-  await cluster.until(vm, (status) => status.tableVersion === 1);
+  await cluster.waitFor(vm, (status) => status.tableVersion === 1);
   return vm;
 }
 
 /** Measures a process while the load is counted, and before it when the process is idle. */
 async function measureProcess(
-  proc: Proc,
+  proc: TestProcess,
   load: (onMeasureStart: () => void) => Promise<LoadResult>,
 ): Promise<Measurement> {
   const idle = await readProbe(proc, 1);
@@ -182,9 +187,12 @@
   return { result, idle, busy: await busy };
 }
 
-async function readProbe(proc: Proc, number: number): Promise<ProbeReport> {
+async function readProbe(
+  proc: TestProcess,
+  number: number,
+): Promise<ProbeReport> {
   proc.signal("SIGUSR2");
-  const [, text] = await proc.said(
+  const [, text] = await proc.waitForOutput(
     new RegExp(`probe (\\{"number":${number},.*\\})`),
   );
   return JSON.parse(text) as ProbeReport;
--- a/bench/replay_lab.ts
+++ b/bench/replay_lab.ts
@@ -94,7 +94,7 @@
   async #start(): Promise<void> {
     await this.#cluster.startPlatform();
     await this.#startUpstreams();
-    await this.#cluster.seed(this.#buildRows());
+    await this.#cluster.seedTable(this.#buildRows());
     const seeds: string[] = [];
     for (const { id, vms } of this.#trace.header.topology.regions) {
       for (let n = 0; n < vms; n++) {
@@ -116,7 +116,7 @@
     const { regions } = this.#trace.header.topology;
     const vmCounts = new Map(regions.map(({ id, vms }) => [id, vms]));
     for (const vm of this.#cluster.vms.values()) {
-      await this.#cluster.until(
+      await this.#cluster.waitFor(
         vm,
         ({ tableVersion, region }) =>
           tableVersion !== null && region.length === vmCounts.get(vm.region),
@@ -246,7 +246,7 @@
           return [region, { peer: { region }, cut, delayMs }];
         },
       );
-      await this.#cluster.setLinks(vm, Object.fromEntries(faults));
+      await this.#cluster.setLinkFaults(vm, Object.fromEntries(faults));
     }));
   }
 }
--- a/soak/world.ts
+++ b/soak/world.ts
@@ -10,7 +10,7 @@
 import { join } from "node:path";
 import type { GatewaySettings } from "../src/gateway/mod.ts";
 import { KvServer, makeRoute } from "../src/standins/mod.ts";
-import { Proc, sleep } from "../test/cluster.ts";
+import { sleep, TestProcess } from "../test/cluster.ts";
 import { AddressBlock } from "./address_block.ts";
 import { type Endpoint, FaultProxy } from "./proxy.ts";
 import type { VmLink } from "./plan.ts";
@@ -57,7 +57,7 @@
   readonly ip: string;
   readonly settingsPath: string;
   readonly proxies: Readonly<Record<VmLink, FaultProxy>>;
-  proc: Proc;
+  proc: TestProcess;
   /** Output of the VM's earlier processes. */
   earlierOutput: string;
 }
@@ -189,7 +189,7 @@
 
   async close(): Promise<void> {
     this.#isClosing = true;
-    for (const { proc } of this.vms) await proc.end();
+    for (const { proc } of this.vms) await proc.kill();
     for (const { proxies } of this.vms) {
       for (const proxy of Object.values(proxies)) await proxy.close();
     }
@@ -208,7 +208,7 @@
     for (let index = 0; index < this.#options.vms; index++) {
       this.vms.push(await this.#startVm(index));
     }
-    for (const { proc } of this.vms) await proc.said(/event=started/);
+    for (const { proc } of this.vms) await proc.waitForOutput(/event=started/);
   }
 
   async #startVm(index: number): Promise<SoakVm> {
@@ -285,9 +285,13 @@
     };
   }
 
-  #startProcess(index: number, settingsPath: string, start: number): Proc {
+  #startProcess(
+    index: number,
+    settingsPath: string,
+    start: number,
+  ): TestProcess {
     const clockSeed = this.#options.seed * 1_000 + index * 100 + start;
-    const proc = new Proc(
+    const proc = new TestProcess(
       `vm-${index}`,
       "src/gateway/main.js",
       [settingsPath],
--- a/src/agreement/claim_shard_test.ts
+++ b/src/agreement/claim_shard_test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from "../base/describe.ts";
 import { fuzzClaims, replay } from "../../test/fuzz_claims.ts";
-import { brokenVariants } from "../../test/fuzz_claims_variants.ts";
+import { BROKEN_VARIANTS } from "../../test/fuzz_claims_variants.ts";
 import type { Step } from "../../test/fuzz_claims_world.ts";
 
 /** Schedules that broke a rule in earlier versions, with the fault behind it. */
@@ -66,10 +66,10 @@
     }
   });
   describe("broken variants", () => {
-    for (const [name, variant] of Object.entries(brokenVariants)) {
+    for (const [name, variant] of Object.entries(BROKEN_VARIANTS)) {
       it(`the checker finds: ${name}`, (t) => {
         const result = fuzzClaims(
-          { runs: 4000, seed: 1, keepLong: true },
+          { runs: 4000, seed: 1, skipShrinking: true },
           variant,
         );
         t.is(result.type, "broken");
--- a/src/agreement/table_log_property_test.ts
+++ b/src/agreement/table_log_property_test.ts
@@ -1,6 +1,10 @@
-import { calm, forking, fuzzTable } from "../../test/fuzz_table.ts";
-import { moveTypes } from "../../test/fuzz_table_model.ts";
-import { type Machines, whole } from "../../test/fuzz_table_world.ts";
+import {
+  FORKING_MOVES,
+  fuzzTable,
+  MOVES_WITHOUT_RESTORE,
+} from "../../test/fuzz_table.ts";
+import { MOVE_TYPES } from "../../test/fuzz_table_model.ts";
+import { INTACT_MACHINES, type Machines } from "../../test/fuzz_table_world.ts";
 import { describe, it } from "../base/describe.ts";
 import {
   EditAttempt,
@@ -21,7 +25,14 @@
   // an older version, and all VMs agree.
   for (const seed of [11, 12, 13]) {
     it(`breaks no rule under faults, seed ${seed}`, (t) => {
-      t.is(fuzzTable(whole, { types: calm, seed, runs }), undefined);
+      t.is(
+        fuzzTable(INTACT_MACHINES, {
+          types: MOVES_WITHOUT_RESTORE,
+          seed,
+          runs,
+        }),
+        undefined,
+      );
     });
   }
 
@@ -30,8 +41,8 @@
   // different rows.
   for (const seed of [21, 22]) {
     it(`breaks no rule when an old backup is restored, seed ${seed}`, (t) => {
-      for (const types of [moveTypes, forking]) {
-        t.is(fuzzTable(whole, { types, seed, runs }), undefined);
+      for (const types of [MOVE_TYPES, FORKING_MOVES]) {
+        t.is(fuzzTable(INTACT_MACHINES, { types, seed, runs }), undefined);
       }
     });
   }
@@ -91,38 +102,44 @@
 }
 
 const broken: Record<string, Machines> = {
-  "a log that loads older tables": { ...whole, log: () => new RollsBack() },
-  "a log that skips gaps": { ...whole, log: () => new SkipsGaps() },
+  "a log that loads older tables": {
+    ...INTACT_MACHINES,
+    makeLog: () => new RollsBack(),
+  },
+  "a log that skips gaps": {
+    ...INTACT_MACHINES,
+    makeLog: () => new SkipsGaps(),
+  },
   "an edit that takes a lost answer for a failure": {
-    ...whole,
-    attempt: (proposal) => new TakesLostForFailed(proposal),
+    ...INTACT_MACHINES,
+    makeAttempt: (proposal) => new TakesLostForFailed(proposal),
   },
   "an edit that takes a lost answer for a success": {
-    ...whole,
-    attempt: (proposal) => new TakesLostForDone(proposal),
+    ...INTACT_MACHINES,
+    makeAttempt: (proposal) => new TakesLostForDone(proposal),
   },
   "an edit that overwrites a concurrent change": {
-    ...whole,
-    attempt: (proposal) => new IgnoresConflicts(proposal),
+    ...INTACT_MACHINES,
+    makeAttempt: (proposal) => new IgnoresConflicts(proposal),
   },
   "a log that follows another history": {
-    ...whole,
-    log: () => new FollowsAnyHistory(),
+    ...INTACT_MACHINES,
+    makeLog: () => new FollowsAnyHistory(),
   },
   "a log that reports a regression for a stale head": {
-    ...whole,
-    log: () => new AlarmsAtStaleHeads(),
+    ...INTACT_MACHINES,
+    makeLog: () => new AlarmsAtStaleHeads(),
   },
   "a log that loads another history": {
-    ...whole,
-    log: () => new LoadsAnyHistory(),
+    ...INTACT_MACHINES,
+    makeLog: () => new LoadsAnyHistory(),
   },
 };
 
 describe("table log > checker", () => {
   for (const [title, machines] of Object.entries(broken)) {
     it(`finds ${title}`, (t) => {
-      const found = [moveTypes, forking].some((types) =>
+      const found = [MOVE_TYPES, FORKING_MOVES].some((types) =>
         fuzzTable(machines, { types, seed: 31, runs: 10_000 }) !== undefined
       );
       t.true(found);
--- a/src/services/claims_region_test.ts
+++ b/src/services/claims_region_test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from "../base/describe.ts";
 import {
-  callKey,
   ClaimsRegions,
+  makeClaimKey,
   type TestVm,
 } from "../../test/claims_region.ts";
 
@@ -12,7 +12,7 @@
   const vms: TestVm[] = [];
   for (const id of ids) vms.push(await regions.start(id));
   await regions.clock.advance(3000);
-  const owner = regions.owner(ids[0].split("-")[0]);
+  const owner = regions.findOwner(ids[0].split("-")[0]);
   const other = vms.find((vm) =>
     vm !== owner && vm.info.region === owner.info.region
   )!;
@@ -43,7 +43,7 @@
     const { regions, owner, other } = await startRegion("r-1", "r-2");
     const closed = owner.claims.close(regions.clock.nowMs() + 5000);
     t.is((await regions.claim(other, "k", 3000)).type, "granted");
-    await regions.settle(closed, 1000);
+    await regions.advanceUntilSettled(closed, 1000);
   });
 
   describe("while the store is down", () => {
@@ -88,7 +88,7 @@
     it("are refused as not run if no witness can promise", async (t) => {
       const { regions, owner, other } = await startRegion("r-1", "r-2");
       regions.faults.set(storeDown);
-      regions.setCut("r-1", "r-2", true);
+      regions.setLinkCut("r-1", "r-2", true);
       await regions.clock.advance(10_000);
       const verdict = await regions.claim(owner, "k", 500);
       t.is(verdict.type, "refused");
@@ -97,7 +97,7 @@
       t.is(verdict.failure.ran, "no");
       t.true(verdict.failure.retryAtMs! > regions.clock.nowMs());
       regions.faults.clear();
-      regions.setCut("r-1", "r-2", false);
+      regions.setLinkCut("r-1", "r-2", false);
       await regions.clock.advance(5000);
       t.is((await regions.claim(other, "k", 5000)).type, "granted");
     });
@@ -134,7 +134,7 @@
    */
   it("stay with an owner that renews its record in the store", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
-    regions.setCut("r-1", "r-2", true);
+    regions.setLinkCut("r-1", "r-2", true);
     await regions.clock.advance(10_000);
     t.is((await regions.claim(owner, "k")).type, "granted");
     t.is((await regions.claim(other, "k", 8000)).type, "refused");
@@ -143,7 +143,7 @@
   it("reach an owner through a third VM if the link to it is cut", async (t) => {
     const { regions, owner, vms } = await startRegion("r-1", "r-2", "r-3");
     const [other] = vms.filter((vm) => vm !== owner);
-    regions.setCut(owner.info.id, other.info.id, true);
+    regions.setLinkCut(owner.info.id, other.info.id, true);
     await regions.clock.advance(1000);
     t.is((await regions.claim(other, "k", 2000)).type, "granted");
   });
@@ -156,14 +156,14 @@
   it("are not granted by a replaced owner that continues", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
     const vm = `^${owner.info.id}$`;
-    regions.setCut("r-1", "r-2", true);
+    regions.setLinkCut("r-1", "r-2", true);
     regions.faults.set([{ vm, outage: "cut" }]);
     await regions.clock.advance(5000);
     t.is((await regions.claim(other, "k", 5000)).type, "granted");
     regions.faults.clear();
     t.not((await regions.claim(owner, "k", 9000)).type, "granted");
-    const asked = owner.claims.ask("lookup", callKey("k"));
-    const found = await regions.settle(asked, 5000);
+    const asked = owner.claims.ask("lookup", makeClaimKey("k"));
+    const found = await regions.advanceUntilSettled(asked, 5000);
     t.not(found.unwrapOr("running"), "none");
   });
 
@@ -174,11 +174,11 @@
   it("are sent to the workspace's home region, or refused at once", async (t) => {
     const { regions, vms } = await startRegion("r-1", "q-1");
     const remote = vms.find((vm) => vm.info.region === "q")!;
-    regions.homes.set("w", "r");
+    regions.homeByWorkspace.set("w", "r");
     await regions.clock.advance(500);
     t.is((await regions.claim(remote, "k")).type, "granted");
     t.is((await regions.claim(vms[0], "k")).type, "running");
-    regions.setCut("r-1", "q-1", true);
+    regions.setLinkCut("r-1", "q-1", true);
     await regions.clock.advance(500);
     t.is((await regions.claim(remote, "k2", 100)).type, "refused");
   });
--- a/src/services/directory_test.ts
+++ b/src/services/directory_test.ts
@@ -1,6 +1,6 @@
 import type { ExecutionContext } from "ava";
 import { err, ok, type Result } from "neverthrow";
-import { FixedTable, tableOf } from "../../test/vms.ts";
+import { FixedTable, makeTable } from "../../test/vms.ts";
 import {
   CallerDirectory,
   type DirectoryEntry,
@@ -98,7 +98,7 @@
   state,
   slots,
 });
-const table = tableOf(1, [
+const table = makeTable(1, [
   { kind: "service", id: "plan", type: "model" },
   upstream("u1", "active", 16),
   upstream("u2", "leaving", 16),
--- a/src/services/lead_sim_test.ts
+++ b/src/services/lead_sim_test.ts
@@ -1,6 +1,6 @@
 import type { ExecutionContext } from "ava";
 import fc from "fast-check";
-import { planRequest, planTable } from "../../test/vms.ts";
+import { makePlanRequest, makePlanTable } from "../../test/vms.ts";
 import { digestAttempts, poolsOfRegion } from "../agreement/mod.ts";
 import { describe, it } from "../base/describe.ts";
 import type { HeldSlot, SlotRequest } from "../decisions/mod.ts";
@@ -8,7 +8,7 @@
 
 const SLOTS = 3;
 const VMS = 3;
-const TABLE = planTable(1, ["r"], 1, SLOTS);
+const TABLE = makePlanTable(1, ["r"], 1, SLOTS);
 const INFO = [...poolsOfRegion(TABLE, "r").values()][0];
 const STEP_MS = 50;
 const RENEW_MS = 2000;
@@ -131,7 +131,7 @@
 
   #acquire(vm: number, reply: Delivery): void {
     const attemptId = `x${this.#attempts++}`;
-    const request = planRequest(attemptId, {
+    const request = makePlanRequest(attemptId, {
       arrivedAtMs: this.#nowMs,
       deadlineMs: this.#nowMs + 10_000,
     });
--- a/src/services/members_test.ts
+++ b/src/services/members_test.ts
@@ -1,27 +1,27 @@
 import type { ExecutionContext } from "ava";
 import {
+  makePlanTable,
   openRegion,
-  planTable,
-  until,
-  untilAgreed,
   Vm,
+  waitUntil,
+  waitUntilAgreed,
 } from "../../test/vms.ts";
 import { describe, it } from "../base/describe.ts";
 
-const table = planTable(1, ["agadir"], 2, 8);
+const table = makePlanTable(1, ["agadir"], 2, 8);
 
 async function startRegion(t: ExecutionContext, count: number): Promise<Vm[]> {
   const vms = await openRegion("agadir", count, { table });
   t.teardown(() => Promise.all(vms.map((vm) => vm.crash())));
-  await untilAgreed(vms);
+  await waitUntilAgreed(vms);
   return vms;
 }
 
-const vmInfoAt = async (vm: Vm, id: string) => (await vm.sees()).get(id);
+const vmInfoAt = async (vm: Vm, id: string) => (await vm.readRegion()).get(id);
 
 /** Waits until no VM of `vms` lists `id`. */
 function untilGone(vms: readonly Vm[], id: string): Promise<void> {
-  return until(`${id} is gone`, async () => {
+  return waitUntil(`${id} is gone`, async () => {
     for (const vm of vms) if (await vmInfoAt(vm, id)) return false;
     return true;
   });
@@ -30,8 +30,8 @@
 describe("members", () => {
   it("joins through any known VM and spreads table versions", async (t) => {
     const vms = await startRegion(t, 5);
-    vms[3].table.table = planTable(7, ["agadir"], 2, 8);
-    await until("all know the version of agadir-3", async () => {
+    vms[3].table.table = makePlanTable(7, ["agadir"], 2, 8);
+    await waitUntil("all know the version of agadir-3", async () => {
       for (const vm of vms) {
         if ((await vmInfoAt(vm, "agadir-3"))?.tableVersion !== 7) return false;
       }
@@ -47,7 +47,7 @@
     const [lost, ...rest] = vms;
     await lost.crash();
     await untilGone(rest, lost.id);
-    await untilAgreed(rest);
+    await waitUntilAgreed(rest);
     t.pass();
   });
 
@@ -56,7 +56,7 @@
     const vms = await startRegion(t, 6);
     const rest = vms.slice(3);
     await Promise.all(vms.slice(0, 3).map((vm) => vm.crash()));
-    await untilAgreed(rest);
+    await waitUntilAgreed(rest);
     t.pass();
   });
 
@@ -66,7 +66,7 @@
     const vms = await startRegion(t, 4);
     const [leaving, ...rest] = vms;
     await leaving.members.ask("leave", undefined);
-    await until("all see it leave", async () => {
+    await waitUntil("all see it leave", async () => {
       for (const vm of vms) {
         if ((await vmInfoAt(vm, leaving.id))?.state !== "leaving") return false;
       }
@@ -88,7 +88,7 @@
     const seeds = rest.map((vm) => vm.address);
     const replacement = await Vm.open({ id, port, region: name, table, seeds });
     t.teardown(() => replacement.crash());
-    await untilAgreed([replacement, ...rest]);
+    await waitUntilAgreed([replacement, ...rest]);
     for (const vm of rest) {
       t.true((await vmInfoAt(vm, id))!.incarnation > before);
     }
@@ -126,10 +126,10 @@
         }
       }
     }
-    await untilAgreed(halves[0]);
-    await untilAgreed(halves[1]);
+    await waitUntilAgreed(halves[0]);
+    await waitUntilAgreed(halves[1]);
     for (const vm of vms) vm.transport.faults.clear();
-    await untilAgreed(vms);
+    await waitUntilAgreed(vms);
     t.pass();
   });
 
@@ -144,7 +144,7 @@
     t.teardown(() => Promise.all(casa.map((vm) => vm.crash())));
     await casa[1].members.ask("publish", { topic: "load/x/0", body: { n: 5 } });
     for (const vm of agadir) {
-      await until("a topic of the other region", async () => {
+      await waitUntil("a topic of the other region", async () => {
         const topics = await vm.members.ask("topics", undefined);
         const values = topics.get("casablanca") ?? [];
         return values.some(({ topic }) => topic === "load/x/0");
@@ -152,7 +152,7 @@
     }
     for (const vm of [...agadir, ...casa]) {
       const other = vm.region === "agadir" ? "casablanca" : "agadir";
-      await until("VMs of the other region", async () => {
+      await waitUntil("VMs of the other region", async () => {
         const others = await vm.members.ask("others", undefined);
         return (others.get(other)?.length ?? 0) === 3;
       });
--- a/src/services/slots_vms_test.ts
+++ b/src/services/slots_vms_test.ts
@@ -1,12 +1,12 @@
 import type { ExecutionContext } from "ava";
 import {
-  leadOf,
+  makePlanRequest,
+  makePlanTable,
   openRegion,
-  planRequest,
-  planTable,
-  until,
-  untilAgreed,
   Vm,
+  waitForLead,
+  waitUntil,
+  waitUntilAgreed,
 } from "../../test/vms.ts";
 import { describe, it } from "../base/describe.ts";
 import type { SlotAnswer } from "../decisions/mod.ts";
@@ -15,20 +15,20 @@
 const UPSTREAMS = 2;
 const SLOTS = 4;
 const CAPACITY = UPSTREAMS * SLOTS;
-const table = planTable(1, ["agadir"], UPSTREAMS, SLOTS);
+const table = makePlanTable(1, ["agadir"], UPSTREAMS, SLOTS);
 
 async function startRegion(t: ExecutionContext, count: number) {
   const vms = await openRegion("agadir", count, { table });
   t.teardown(() => Promise.all(vms.map((vm) => vm.crash())));
-  await untilAgreed(vms);
-  const lead = await leadOf(vms, POOL);
+  await waitUntilAgreed(vms);
+  const lead = await waitForLead(vms, POOL);
   const others = vms.filter((vm) => vm !== lead);
   return { vms, lead, others };
 }
 
 function acquire(vm: Vm, attemptId: string, deadlineMs?: number) {
   const more = deadlineMs === undefined ? {} : { deadlineMs };
-  return vm.slots.ask("acquire", planRequest(attemptId, more));
+  return vm.slots.ask("acquire", makePlanRequest(attemptId, more));
 }
 
 async function fill(vm: Vm, count: number, prefix = "held"): Promise<void> {
@@ -57,7 +57,7 @@
 
 /** The number of requests in the queue of the pool's lead. A lead that still collects held slots counts as empty. */
 function countWaiting(vms: readonly Vm[]): number {
-  const leads = vms.map((vm) => vm.led(POOL));
+  const leads = vms.map((vm) => vm.ledPool(POOL));
   const deciding = leads.filter((pool) => pool && !pool.collecting);
   return deciding.reduce((sum, pool) => sum + pool!.waiting, 0);
 }
@@ -67,12 +67,12 @@
   const attemptId = `probe-${vm.id}-${vms.length}`;
   const before = countWaiting(vms);
   const asked = acquire(vm, attemptId).then(() => "answered" as const);
-  const queued = until("it is queued", () => countWaiting(vms) > before);
+  const queued = waitUntil("it is queued", () => countWaiting(vms) > before);
   const first = await Promise.race([asked, queued]);
   await vm.slots.ask("cancel", { attemptId, service: "plan" });
   queued.catch(() => {});
   if (first === "answered") return false;
-  await until("it is canceled", () => countWaiting(vms) === before);
+  await waitUntil("it is canceled", () => countWaiting(vms) === before);
   return true;
 }
 
@@ -90,7 +90,7 @@
     const first = await acquire(a, "first");
     await fill(a, CAPACITY - 1);
     const queued = acquire(b, "queued");
-    await until("it is queued", () => countWaiting(vms) === 1);
+    await waitUntil("it is queued", () => countWaiting(vms) === 1);
     await report(a, first, "started");
     t.true(await isFull(b, vms));
     await report(a, first);
@@ -119,7 +119,7 @@
       const [a, b] = others;
       await fill(a, CAPACITY);
       await lead.crash();
-      await leadOf(others, POOL);
+      await waitForLead(others, POOL);
       t.true(await isFull(a, others));
       t.true(await isFull(b, others));
     });
@@ -133,7 +133,7 @@
       await fill(a, CAPACITY - 1);
       const queued = acquire(b, "queued");
       await lead.crash();
-      await leadOf(others, POOL);
+      await waitForLead(others, POOL);
       await report(a, first);
       t.like(await queued, { type: "grant", attemptId: "queued" });
     });
@@ -148,9 +148,9 @@
     const first = await acquire(a, "first");
     await fill(a, CAPACITY - 1);
     const queued = acquire(b, "queued");
-    await until("it is queued", () => countWaiting(vms) === 1);
+    await waitUntil("it is queued", () => countWaiting(vms) === 1);
     lead.transport.faults.set("frozen", { peer: {}, cut: true });
-    await leadOf(others, POOL);
+    await waitForLead(others, POOL);
     await report(a, first);
     t.like(await queued, { type: "grant", attemptId: "queued" });
   });
@@ -182,8 +182,8 @@
     await fill(a, CAPACITY - 1);
     const queued = acquire(b, "queued");
     await lead.stop();
-    await leadOf(others, POOL);
-    await until("it is queued again", () => countWaiting(others) === 1);
+    await waitForLead(others, POOL);
+    await waitUntil("it is queued again", () => countWaiting(others) === 1);
     t.true(await isFull(a, others));
     await report(a, first);
     t.like(await queued, { type: "grant", attemptId: "queued" });
@@ -193,11 +193,11 @@
   it("assigns no pools to a leaving VM", async (t) => {
     const { lead, others } = await startRegion(t, 4);
     await lead.members.ask("leave", undefined);
-    await until(
+    await waitUntil(
       "the leaving VM leads nothing",
-      () => lead.leads().length === 0,
+      () => lead.ledPoolKeys().length === 0,
     );
-    const next = await leadOf(others, POOL);
+    const next = await waitForLead(others, POOL);
     t.not(next, lead);
     t.like(await acquire(lead, "late"), { type: "grant" });
   });
@@ -208,13 +208,13 @@
     const { vms, others } = await startRegion(t, 4);
     const [cut, ...rest] = [others[0], ...vms.filter((v) => v !== others[0])];
     cut.transport.faults.set("isolated", { peer: {}, cut: true });
-    await until("it leads alone", () => cut.leads().includes(POOL));
+    await waitUntil("it leads alone", () => cut.ledPoolKeys().includes(POOL));
     t.like(await acquire(cut, "alone"), { type: "grant" });
-    await leadOf(rest, POOL);
+    await waitForLead(rest, POOL);
     t.like(await acquire(rest[0], "together"), { type: "grant" });
     cut.transport.faults.clear();
-    await untilAgreed(vms);
-    await leadOf(vms, POOL);
+    await waitUntilAgreed(vms);
+    await waitForLead(vms, POOL);
     t.like(await acquire(cut, "again"), { type: "grant" });
   });
 
@@ -246,8 +246,8 @@
     const seeds = others.map((vm) => vm.address);
     const replacement = await Vm.open({ id, port, region: name, table, seeds });
     t.teardown(() => replacement.crash());
-    await untilAgreed([replacement, ...others]);
-    await leadOf([replacement, ...others], POOL);
+    await waitUntilAgreed([replacement, ...others]);
+    await waitForLead([replacement, ...others], POOL);
     t.true(await isFull(others[1], [replacement, ...others]));
   });
 });
--- a/src/services/table_service_test.ts
+++ b/src/services/table_service_test.ts
@@ -2,12 +2,12 @@
 import { openPlatform, type Platform } from "../standins/mod.ts";
 import { describe, it } from "../base/describe.ts";
 import {
+  makeRegionRow,
   openTableVms,
-  regionRowOf,
-  rowOf,
+  parseRow,
   TableVm,
 } from "../../test/table_vms.ts";
-import { until } from "../../test/vms.ts";
+import { waitUntil } from "../../test/vms.ts";
 
 const regions = ["agadir", "marrakech"];
 
@@ -19,16 +19,16 @@
   t.teardown(() => platform.close());
   const vms = await openTableVms(platform.url, regions, 3);
   t.teardown(() => Promise.all(vms.map((vm) => vm.crash())));
-  await until("all know their region", async () => {
+  await waitUntil("all know their region", async () => {
     for (const vm of vms) {
       if ((await vm.table.fleet.regionVms()).length < 3) return false;
     }
     return true;
   });
-  const first = await vms[0].put(...regions.map((id) => regionRowOf(id)));
+  const first = await vms[0].put(...regions.map((id) => makeRegionRow(id)));
   t.is(first._unsafeUnwrap().version, 1);
   await untilInForce(vms, 1);
-  await until(
+  await waitUntil(
     "the watchers watch",
     () => platform.store.watchCount === 2 * regions.length,
   );
@@ -36,7 +36,7 @@
 }
 
 function untilInForce(vms: readonly TableVm[], version: number): Promise<void> {
-  return until(
+  return waitUntil(
     `version ${version} is in force`,
     () => vms.every((vm) => vm.version >= version),
   );
@@ -48,7 +48,7 @@
 describe("table", () => {
   it("puts an edit in force on every VM, with two watches per region", async (t) => {
     const { platform, vms } = await openFleet(t);
-    const edit = await vms[4].put(regionRowOf("agadir", 7));
+    const edit = await vms[4].put(makeRegionRow("agadir", 7));
     await untilInForce(vms, edit._unsafeUnwrap().version);
     for (const vm of vms) t.is(weightOf(vm, "agadir"), 7);
     t.is(platform.store.watchCount, 2 * regions.length);
@@ -61,7 +61,7 @@
     const put = (vm: TableVm, id: string, weight: number, ifVersion: number) =>
       vm.edit([{
         type: "put",
-        row: rowOf(regionRowOf(id, weight)),
+        row: parseRow(makeRegionRow(id, weight)),
         ifVersion,
       }]);
     const results = await Promise.all([
@@ -79,7 +79,7 @@
     t.is(refused.failure.code, "editConflict");
     const won = results[0].isOk() ? 10 : 11;
     const currentRow = refused.conflicts?.[0].current;
-    t.deepEqual(currentRow?.row, rowOf(regionRowOf("agadir", won)));
+    t.deepEqual(currentRow?.row, parseRow(makeRegionRow("agadir", won)));
     await untilInForce(vms, 6);
     for (const vm of vms) t.is(weightOf(vm, "agadir"), won);
   });
@@ -91,7 +91,7 @@
     const results = await Promise.all(vms.flatMap((vm, i) =>
       Array.from(
         { length: 10 },
-        (_, n) => vm.put(regionRowOf(`row-${i}`, n + 2)),
+        (_, n) => vm.put(makeRegionRow(`row-${i}`, n + 2)),
       )
     ));
     const versions = results.map((it) => it._unsafeUnwrap().version);
@@ -108,9 +108,9 @@
   it("settles a write whose answer was lost", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ keyPrefix: "table/head", loseAnswers: 1 }]);
-    const edit = await vms[2].put(regionRowOf("agadir", 3));
+    const edit = await vms[2].put(makeRegionRow("agadir", 3));
     t.is(edit._unsafeUnwrap().version, 2);
-    const next = await vms[3].put(regionRowOf("agadir", 4));
+    const next = await vms[3].put(makeRegionRow("agadir", 4));
     t.is(next._unsafeUnwrap().version, 3);
     await untilInForce(vms, 3);
     const history = await vms[0].editor.history(undefined, 10);
@@ -122,11 +122,14 @@
   it("makes one edit of a write that arrives after its retry", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ vm: `^${vms[0].id}$`, slowMs: 1500 }]);
-    const edit = vms[0].put(regionRowOf("agadir", 3));
-    await until("the write is under way", () => platform.counts.writes >= 2);
+    const edit = vms[0].put(makeRegionRow("agadir", 3));
+    await waitUntil(
+      "the write is under way",
+      () => platform.counts.writes >= 2,
+    );
     platform.faults.clear();
     t.is((await edit)._unsafeUnwrap().version, 2);
-    const next = await vms[1].put(regionRowOf("agadir", 4));
+    const next = await vms[1].put(makeRegionRow("agadir", 4));
     t.is(next._unsafeUnwrap().version, 3);
     const { rev } = platform.store;
     await new Promise((resolve) => setTimeout(resolve, 1000));
@@ -142,7 +145,7 @@
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ outage: "refuse" }]);
     const refused = (await vms[0].edit([
-      { type: "put", row: rowOf(regionRowOf("agadir", 9)) },
+      { type: "put", row: parseRow(makeRegionRow("agadir", 9)) },
     ], 300))._unsafeUnwrapErr();
     t.is(refused.failure.code, "storeUnavailable");
     t.is(refused.failure.ran, "no");
@@ -158,7 +161,7 @@
     t.is(weightOf(late, "agadir"), 1);
     platform.faults.clear();
     const live = [...vms.filter((vm) => vm !== vms[1]), late];
-    const edit = await vms[0].put(regionRowOf("agadir", 5));
+    const edit = await vms[0].put(makeRegionRow("agadir", 5));
     await untilInForce(live, edit._unsafeUnwrap().version);
     for (const vm of live) t.is(weightOf(vm, "agadir"), 5);
   });
@@ -188,23 +191,23 @@
     const { platform, vms } = await openFleet(t);
     platform.saveCopy("old");
     for (const weight of [2, 3, 4]) {
-      t.true((await vms[0].put(regionRowOf("agadir", weight))).isOk());
+      t.true((await vms[0].put(makeRegionRow("agadir", weight))).isOk());
     }
     await untilInForce(vms, 4);
     platform.restoreCopy("old");
-    await until(
+    await waitUntil(
       "a watcher reports the regression",
       () => vms.some((vm) => vm.dump().regression !== undefined),
     );
-    const edit = await vms[5].put(regionRowOf("agadir", 9));
+    const edit = await vms[5].put(makeRegionRow("agadir", 9));
     t.is(edit._unsafeUnwrapErr().failure.code, "storeRegressed");
     for (const vm of vms) t.is(weightOf(vm, "agadir"), 4);
     const mended = await vms[2].editor.republish();
     t.deepEqual(mended._unsafeUnwrap(), { version: 4, changed: true });
-    const next = await vms[5].put(regionRowOf("agadir", 9));
+    const next = await vms[5].put(makeRegionRow("agadir", 9));
     t.is(next._unsafeUnwrap().version, 5);
     await untilInForce(vms, 5);
-    await until(
+    await waitUntil(
       "the regression ends",
       () => vms.every((vm) => vm.dump().regression === undefined),
     );
@@ -215,7 +218,7 @@
   it("does not let a new VM serve with the table of an old backup", async (t) => {
     const { platform, vms } = await openFleet(t);
     platform.saveCopy("old");
-    t.true((await vms[0].put(regionRowOf("agadir", 2))).isOk());
+    t.true((await vms[0].put(makeRegionRow("agadir", 2))).isOk());
     await untilInForce(vms, 2);
     platform.restoreCopy("old");
     await vms[2].crash();
@@ -227,7 +230,7 @@
     });
     t.teardown(() => late.crash());
     const served = new Set<number | undefined>();
-    await until("the new VM has a table", () => {
+    await waitUntil("the new VM has a table", () => {
       served.add(late.table.table && weightOf(late, "agadir"));
       return late.version > 0;
     });
@@ -241,7 +244,7 @@
     const { platform, vms } = await openFleet(t);
     platform.faults.set([{ vm: "^marrakech", outage: "cut" }]);
     const connected = vms.filter((vm) => vm.region === "agadir");
-    const edit = await connected[0].put(regionRowOf("marrakech", 8));
+    const edit = await connected[0].put(makeRegionRow("marrakech", 8));
     await untilInForce(vms, edit._unsafeUnwrap().version);
     for (const vm of vms) t.is(weightOf(vm, "marrakech"), 8);
   });
@@ -256,9 +259,9 @@
     t.is(watchers.length, 2);
     await Promise.all(watchers.map((vm) => vm.crash()));
     const live = vms.filter((vm) => !watchers.includes(vm));
-    const edit = await live[0].put(regionRowOf("agadir", 6));
+    const edit = await live[0].put(makeRegionRow("agadir", 6));
     await untilInForce(live, edit._unsafeUnwrap().version);
-    await until(
+    await waitUntil(
       "the last VM of the region watches",
       () =>
         live.every((vm) =>
@@ -281,7 +284,7 @@
     });
     for (const weight of [2, 3, 4, 5]) {
       await regionVms.find((vm) => vm !== unreached)!.put(
-        regionRowOf("agadir", weight),
+        makeRegionRow("agadir", weight),
       );
     }
     await untilInForce(vms, 5);
@@ -309,10 +312,10 @@
   it("applies a file after a dry run, and then finds nothing to change", async (t) => {
     const { vms } = await openFleet(t);
     const rows = [
-      regionRowOf("agadir", 2),
+      makeRegionRow("agadir", 2),
       { kind: "service", id: "plan", type: "model" },
       { kind: "traffic", service: "plan", region: "agadir" },
-    ].map(rowOf);
+    ].map(parseRow);
     const deadlineMs = Date.now() + 5000;
     const request = { rows, author: "git", deadlineMs };
     const dry = await vms[0].editor.apply({ ...request, dryRun: true });
--- a/test/claims_region.ts
+++ b/test/claims_region.ts
@@ -24,15 +24,15 @@
 import { PlatformFaults } from "../src/standins/platform_faults.ts";
 import { PlatformStore } from "../src/standins/platform_store.ts";
 
-class HubTransport extends Transport {
+class TestTransport extends Transport {
   readonly #handlers = new Map<string, Handler>();
-  readonly #hub: ClaimsRegions;
-  readonly #me: Sender;
+  readonly #regions: ClaimsRegions;
+  readonly #self: Sender;
 
-  constructor(hub: ClaimsRegions, me: Sender) {
+  constructor(regions: ClaimsRegions, self: Sender) {
     super();
-    this.#hub = hub;
-    this.#me = me;
+    this.#regions = regions;
+    this.#self = self;
   }
   handle(method: string, handler: Handler): void {
     this.#handlers.set(method, handler);
@@ -42,11 +42,13 @@
     method: string,
     params: unknown,
   ): Promise<Result<unknown, CallError>> {
-    const to = this.#hub.reachable(this.#me.vmId, address);
-    if (!to) return err({ kind: "unreachable", message: address });
+    const target = this.#regions.findReachable(this.#self.vmId, address);
+    if (!target) return err({ kind: "unreachable", message: address });
     try {
-      const answer = await to.transport.answer(method, params, this.#me);
-      if (this.#hub.reachable(this.#me.vmId, address)) return ok(answer);
+      const answer = await target.transport.answer(method, params, this.#self);
+      if (this.#regions.findReachable(this.#self.vmId, address)) {
+        return ok(answer);
+      }
       return err({ kind: "lost", message: address });
     } catch (error) {
       return err({ kind: "failed", message: String(error) });
@@ -57,8 +59,8 @@
     params: unknown,
     from: Sender,
   ): Promise<unknown> {
-    const sent = JSON.parse(JSON.stringify(params));
-    const answer = await this.#handlers.get(method)!(sent, from);
+    const request = JSON.parse(JSON.stringify(params));
+    const answer = await this.#handlers.get(method)!(request, from);
     return JSON.parse(JSON.stringify(answer));
   }
   notify(): void {}
@@ -72,12 +74,12 @@
 export interface TestVm {
   readonly info: VmInfo;
   readonly claims: ClaimsService;
-  readonly transport: HubTransport;
+  readonly transport: TestTransport;
   readonly store: MemoryKeyValue;
 }
 
 /** Names a call in a test. */
-export const callKey = (key: string, workspace = "w") => ({
+export const makeClaimKey = (key: string, workspace = "w") => ({
   service: "ledger",
   workspace,
   key,
@@ -88,11 +90,11 @@
   readonly clock = new ManualClock();
   readonly faults = new PlatformFaults();
   /** Homes of workspaces; others are at home wherever they arrive. */
-  readonly homes = new Map<string, string>();
+  readonly homeByWorkspace = new Map<string, string>();
   readonly platform = new PlatformStore(() => this.clock.monoMs());
   readonly #limits: Partial<ShardLimits>;
   readonly #vms = new Map<string, TestVm>();
-  readonly #cut = new Set<string>();
+  readonly #cutLinks = new Set<string>();
   #incarnation = 0;
 
   constructor(limits: Partial<ShardLimits> = {}) {
@@ -118,14 +120,14 @@
       faults: this.faults,
       vmId: id,
     });
-    const transport = new HubTransport(this, { vmId: id, region });
+    const transport = new TestTransport(this, { vmId: id, region });
     const claims = new ClaimsService({
       me: { id, incarnation: info.incarnation },
       region,
       store,
       transport,
-      members: this.#membersOf(info),
-      table: this.#tablePort(),
+      members: this.#makeMembersPort(info),
+      table: this.#makeTablePort(),
       limits: this.#limits,
     });
     const vm = { info, claims, transport, store };
@@ -141,40 +143,43 @@
   }
 
   /** Cuts the link between two VMs, or mends it. */
-  setCut(a: string, b: string, cut: boolean): void {
+  setLinkCut(a: string, b: string, cut: boolean): void {
     const link = [a, b].sort().join("|");
-    if (cut) this.#cut.add(link);
-    else this.#cut.delete(link);
+    if (cut) this.#cutLinks.add(link);
+    else this.#cutLinks.delete(link);
   }
 
-  reachable(from: string, address: string): TestVm | undefined {
-    const isCut = this.#cut.has([from, address].sort().join("|"));
+  findReachable(from: string, address: string): TestVm | undefined {
+    const isCut = this.#cutLinks.has([from, address].sort().join("|"));
     return isCut || !this.#vms.has(from) ? undefined : this.#vms.get(address);
   }
 
   /** Claims a key at a VM and lets time pass until the verdict is there, at most `withinMs`. */
   async claim(vm: TestVm, key: string, withinMs = 1000) {
-    const asked = vm.claims.ask("claim", {
-      ...callKey(key),
+    const verdict = vm.claims.ask("claim", {
+      ...makeClaimKey(key),
       bodyDigest: "body",
       deadlineMs: this.clock.nowMs() + 20_000,
     });
-    return await this.settle(asked, withinMs);
+    return await this.advanceUntilSettled(verdict, withinMs);
   }
 
   /** Lets time pass until a promise settles; fails if it takes longer than `withinMs`. */
-  async settle<T>(promise: Promise<T>, withinMs: number): Promise<T> {
-    let value: { readonly it: T } | undefined;
-    void promise.then((it) => value = { it });
-    for (let passedMs = 0; passedMs <= withinMs && !value; passedMs += 20) {
+  async advanceUntilSettled<T>(
+    promise: Promise<T>,
+    withinMs: number,
+  ): Promise<T> {
+    let settled: { readonly value: T } | undefined;
+    void promise.then((value) => settled = { value });
+    for (let passedMs = 0; passedMs <= withinMs && !settled; passedMs += 20) {
       await this.clock.advance(20);
     }
-    if (!value) throw new Error(`not settled within ${withinMs} ms`);
-    return value.it;
+    if (!settled) throw new Error(`not settled within ${withinMs} ms`);
+    return settled.value;
   }
 
   /** The VM that owns the shard, as the VMs see it. */
-  owner(region: string): TestVm {
+  findOwner(region: string): TestVm {
     for (const vm of this.#vms.values()) {
       const [shard] = (vm.claims.dump() as { shards: { role: string }[] })
         .shards;
@@ -183,29 +188,31 @@
     throw new Error(`no owner in ${region}`);
   }
 
-  #tablePort(): TaskPort<TableMessages> {
-    const workspace = (id: string) => {
-      const home = this.homes.get(id);
+  #makeTablePort(): TaskPort<TableMessages> {
+    const findWorkspace = (id: string) => {
+      const home = this.homeByWorkspace.get(id);
       return home === undefined ? undefined : { home };
     };
-    return { ask: () => ({ workspace }) } as unknown as TaskPort<TableMessages>;
+    return { ask: () => ({ workspace: findWorkspace }) } as unknown as TaskPort<
+      TableMessages
+    >;
   }
 
-  #membersOf(me: VmInfo): TaskPort<MembersMessages> {
-    const seen = () =>
+  #makeMembersPort(self: VmInfo): TaskPort<MembersMessages> {
+    const findVisible = () =>
       [...this.#vms.values()].map((vm) => vm.info).filter((vm) =>
-        vm.id === me.id || this.reachable(me.id, vm.id)
+        vm.id === self.id || this.findReachable(self.id, vm.id)
       );
     const ask = (type: keyof MembersMessages) => {
       if (type === "region") {
-        return seen().filter((vm) => vm.region === me.region);
+        return findVisible().filter((vm) => vm.region === self.region);
       }
-      const others = seen().filter((vm) => vm.region !== me.region);
-      const regions = new Set(others.map((vm) => vm.region));
+      const remoteVms = findVisible().filter((vm) => vm.region !== self.region);
+      const regions = new Set(remoteVms.map((vm) => vm.region));
       return new Map(
         [...regions].map((region) => [
           region,
-          others.filter((vm) => vm.region === region),
+          remoteVms.filter((vm) => vm.region === region),
         ]),
       );
     };
--- a/test/cluster.ts
+++ b/test/cluster.ts
@@ -14,18 +14,18 @@
 import { tableRow } from "../src/agreement/mod.ts";
 import { secretDigest } from "../src/base/mod.ts";
 import { seedTable } from "../src/daemon/embedded.ts";
-import { keepLog } from "./kept.ts";
+import { openLogFile } from "./kept.ts";
 
 const DIST = fileURLToPath(new URL("..", import.meta.url));
-const READY_MS = 30_000;
+const WAIT_TIMEOUT_MS = 30_000;
 
 /** The operators' token of every daemon here. */
-export const TOKEN = "test-operator-token";
+export const OPERATOR_TOKEN = "test-operator-token";
 /** The VMs' credential. */
-const CREDENTIAL = "test-vm-credential";
+const PEER_CREDENTIAL = "test-vm-credential";
 
 /** A child process that said that it is ready. */
-export class Proc {
+export class TestProcess {
   readonly child: ChildProcess;
   readonly name: string;
   /** Its log: standard output and error. */
@@ -47,11 +47,11 @@
       [...nodeOptions, join(DIST, script), ...args],
       { stdio: ["ignore", "pipe", "pipe"], env: { ...process.env, ...env } },
     );
-    const keep = keepLog(name);
+    const writeLog = openLogFile(name);
     const append = (chunk: Buffer) => {
       const text = chunk.toString();
       this.output += text;
-      keep(text);
+      writeLog(text);
     };
     this.child.stdout!.on("data", append);
     this.child.stderr!.on("data", append);
@@ -64,12 +64,12 @@
   }
 
   /** The first match of `pattern` in its output, once it is there. */
-  async said(pattern: RegExp): Promise<RegExpExecArray> {
-    const endMs = Date.now() + READY_MS;
+  async waitForOutput(pattern: RegExp): Promise<RegExpExecArray> {
+    const deadlineMs = Date.now() + WAIT_TIMEOUT_MS;
     for (;;) {
       const match = pattern.exec(this.output);
       if (match) return match;
-      if (this.exitCode !== undefined || Date.now() > endMs) {
+      if (this.exitCode !== undefined || Date.now() > deadlineMs) {
         throw new Error(
           `${this.name} did not say ${pattern}:\n${this.output.slice(-2000)}`,
         );
@@ -82,7 +82,7 @@
     this.child.kill(signal);
   }
 
-  async end(): Promise<void> {
+  async kill(): Promise<void> {
     if (this.exitCode !== undefined) return;
     this.child.kill("SIGCONT");
     this.child.kill("SIGKILL");
@@ -94,7 +94,7 @@
 export interface Vm {
   readonly id: string;
   readonly region: string;
-  readonly proc: Proc;
+  readonly proc: TestProcess;
   readonly url: string;
   readonly peerAddress: string;
 }
@@ -108,43 +108,55 @@
 /** One run's processes. */
 export class Cluster {
   readonly #dir = mkdtempSync(join(tmpdir(), "ibisgap-test-"));
-  readonly #procs: Proc[] = [];
+  readonly #procs: TestProcess[] = [];
   readonly vms = new Map<string, Vm>();
   storeUrl = "";
 
   /** Starts a process and remembers to end it. */
-  run(name: string, script: string, args: readonly string[]): Proc {
-    const proc = new Proc(name, script, args);
+  startProcess(
+    name: string,
+    script: string,
+    args: readonly string[],
+  ): TestProcess {
+    const proc = new TestProcess(name, script, args);
     this.#procs.push(proc);
     return proc;
   }
 
   async startPlatform(): Promise<void> {
-    const proc = this.run("platform", "src/standins/platform_main.js", [
-      "--port",
-      "0",
-    ]);
-    this.storeUrl = (await proc.said(/(http:\/\/[\d.]+:\d+)/))[1];
+    const proc = this.startProcess(
+      "platform",
+      "src/standins/platform_main.js",
+      [
+        "--port",
+        "0",
+      ],
+    );
+    this.storeUrl = (await proc.waitForOutput(/(http:\/\/[\d.]+:\d+)/))[1];
   }
 
   /** Starts stand-ins; the engines first, then the plain services. */
   async startUpstreams(
-    engines: number,
-    plains: number,
-    more: readonly string[] = [],
+    engineCount: number,
+    plainCount: number,
+    extraArgs: readonly string[] = [],
   ): Promise<StandIn[]> {
     const args = [
       "--engines",
-      String(engines),
+      String(engineCount),
       "--plains",
-      String(plains),
+      String(plainCount),
       "--port-base",
       "0",
-      ...more,
+      ...extraArgs,
     ];
-    const proc = this.run("upstreams", "src/standins/upstreams_main.js", args);
-    const pattern = new RegExp(`(?:\\{.*\\}\\s+){${engines + plains}}`);
-    const [lines] = await proc.said(pattern);
+    const proc = this.startProcess(
+      "upstreams",
+      "src/standins/upstreams_main.js",
+      args,
+    );
+    const pattern = new RegExp(`(?:\\{.*\\}\\s+){${engineCount + plainCount}}`);
+    const [lines] = await proc.waitForOutput(pattern);
     return lines.trim().split("\n").map((line) => JSON.parse(line) as StandIn);
   }
 
@@ -153,21 +165,23 @@
     id: string,
     region: string,
     seeds: readonly string[],
-    more: object = {},
+    extraSettings: object = {},
   ): Promise<Vm> {
     const path = join(this.#dir, `${id}-${this.#procs.length}.json`);
     const settings = {
       vm: { id, region, failureDomain: `${region}-a` },
       listen: { callers: { port: 0 }, peers: { port: 0 } },
       platform: { storeUrls: [this.storeUrl] },
-      peers: { seeds, credential: CREDENTIAL },
-      operators: { tokenDigests: [secretDigest(TOKEN)] },
+      peers: { seeds, credential: PEER_CREDENTIAL },
+      operators: { tokenDigests: [secretDigest(OPERATOR_TOKEN)] },
       testing: { linkFaults: true },
-      ...more,
+      ...extraSettings,
     };
     writeFileSync(path, JSON.stringify(settings));
-    const proc = this.run(id, "src/daemon/ibisgapd.js", [path]);
-    const [, url, peerAddress] = await proc.said(/ready: (\S+) peers: (\S+)/);
+    const proc = this.startProcess(id, "src/daemon/ibisgapd.js", [path]);
+    const [, url, peerAddress] = await proc.waitForOutput(
+      /ready: (\S+) peers: (\S+)/,
+    );
     const vm = { id, region, proc, url, peerAddress };
     this.vms.set(id, vm);
     return vm;
@@ -177,30 +191,37 @@
   async startRegions(
     regions: readonly string[],
     perRegion: number,
-    more: object = {},
+    extraSettings: object = {},
   ): Promise<void> {
     const seeds: string[] = [];
     for (const region of regions) {
-      const first = await this.startVm(`${region}-1`, region, seeds, more);
+      const first = await this.startVm(
+        `${region}-1`,
+        region,
+        seeds,
+        extraSettings,
+      );
       seeds.push(first.peerAddress);
     }
-    const rest = [];
+    const starting = [];
     for (const region of regions) {
       for (let n = 2; n <= perRegion; n++) {
-        rest.push(this.startVm(`${region}-${n}`, region, seeds, more));
+        starting.push(
+          this.startVm(`${region}-${n}`, region, seeds, extraSettings),
+        );
       }
     }
-    await Promise.all(rest);
+    await Promise.all(starting);
   }
 
   /** Puts `rows` in force in the store before any daemon runs. */
-  async seed(rows: readonly object[]): Promise<void> {
+  async seedTable(rows: readonly object[]): Promise<void> {
     await seedTable(this.storeUrl, rows.map((row) => tableRow.parse(row)));
   }
 
   /** Cuts, slows or mends a VM's links; `{}` mends all. */
-  async setLinks(vm: Vm, faults: object): Promise<void> {
-    await operator(vm, "PUT", "/admin/links", faults);
+  async setLinkFaults(vm: Vm, faults: object): Promise<void> {
+    await callAdmin(vm, "PUT", "/admin/links", faults);
   }
 
   /** Sets the platform's faults. */
@@ -209,14 +230,17 @@
   }
 
   /** Waits until `vm` says of itself what `test` wants. */
-  async until(vm: Vm, test: (status: Status) => boolean): Promise<Status> {
-    const endMs = Date.now() + READY_MS;
+  async waitFor(
+    vm: Vm,
+    matches: (status: VmStatus) => boolean,
+  ): Promise<VmStatus> {
+    const deadlineMs = Date.now() + WAIT_TIMEOUT_MS;
     for (;;) {
       const status = JSON.parse(
-        (await operator(vm, "GET", "/admin/status")).body,
-      ) as Status;
-      if (test(status)) return status;
-      if (Date.now() > endMs) {
+        (await callAdmin(vm, "GET", "/admin/status")).body,
+      ) as VmStatus;
+      if (matches(status)) return status;
+      if (Date.now() > deadlineMs) {
         throw new Error(`${vm.id} stayed at ${JSON.stringify(status)}`);
       }
       await sleep(50);
@@ -224,7 +248,7 @@
   }
 
   async close(): Promise<void> {
-    for (const proc of this.#procs) await proc.end();
+    for (const proc of this.#procs) await proc.kill();
     rmSync(this.#dir, { recursive: true, force: true });
   }
 }
@@ -236,8 +260,8 @@
 }
 
 /** See {@link ShardState}. */
-export async function shardOf(vm: Vm): Promise<ShardState> {
-  const answer = await operator(vm, "GET", "/admin/dump");
+export async function readShardState(vm: Vm): Promise<ShardState> {
+  const answer = await callAdmin(vm, "GET", "/admin/dump");
   return JSON.parse(answer.body).claims.shards[0];
 }
 
@@ -245,13 +269,13 @@
  * Waits until an owner of the region's claims lists all other VMs, two at most, as witnesses. An outage of the store
  * that begins before is answered with `claimUnavailable`, as docs/design/claims.md says.
  */
-export async function untilWitnessed(vms: readonly Vm[]): Promise<void> {
-  const wanted = Math.min(2, vms.length - 1);
-  const endMs = Date.now() + READY_MS;
-  while (Date.now() < endMs) {
+export async function waitForWitnesses(vms: readonly Vm[]): Promise<void> {
+  const witnessCount = Math.min(2, vms.length - 1);
+  const deadlineMs = Date.now() + WAIT_TIMEOUT_MS;
+  while (Date.now() < deadlineMs) {
     for (const vm of vms) {
-      const { role, witnesses } = await shardOf(vm);
-      if (role === "owner" && witnesses.length === wanted) return;
+      const { role, witnesses } = await readShardState(vm);
+      if (role === "owner" && witnesses.length === witnessCount) return;
     }
     await sleep(100);
   }
@@ -259,7 +283,7 @@
 }
 
 /** What `GET /admin/status` answers, as far as tests look at it. */
-export interface Status {
+export interface VmStatus {
   readonly tableVersion: number | null;
   readonly region: readonly {
     readonly id: string;
@@ -269,7 +293,7 @@
 }
 
 /** Calls an operators' path of a VM. */
-export async function operator(
+export async function callAdmin(
   vm: Vm,
   method: "GET" | "PUT" | "POST",
   path: string,
@@ -277,7 +301,7 @@
 ) {
   return await got(vm.url + path, {
     method,
-    headers: { authorization: `Bearer ${TOKEN}` },
+    headers: { authorization: `Bearer ${OPERATOR_TOKEN}` },
     throwHttpErrors: false,
     retry: { limit: 0 },
     ...(json === undefined ? {} : { json }),
@@ -285,7 +309,7 @@
 }
 
 /** Calls a VM as a caller with this key. */
-export async function caller(
+export async function callVm(
   vm: Vm,
   key: string,
   path: string,
@@ -309,7 +333,7 @@
 }
 
 /** An error's numbered code and what it says of the run, in an answer. */
-export function refusal(
+export function readError(
   response: Response<string>,
 ): { code?: number; ran?: string; goTo?: string[] } {
   return (JSON.parse(response.body) as {
@@ -342,12 +366,12 @@
 }
 
 /** A row of an upstream for {@link standardRows}. */
-export function upstream(
+export function upstreamRow(
   id: string,
   service: string,
   region: string,
   url: string,
-  more: object = {},
+  extraFields: object = {},
 ) {
   return {
     kind: "upstream",
@@ -356,7 +380,7 @@
     region,
     failureDomain: `${region}-a`,
     url,
-    ...more,
+    ...extraFields,
   } as const;
 }
 
--- a/test/edge_crashing_test.ts
+++ b/test/edge_crashing_test.ts
@@ -1,7 +1,7 @@
 import type { ExecutionContext } from "ava";
 import { describe, itAlone as it } from "../src/base/describe.ts";
 import { Runner } from "../src/standins/mod.ts";
-import { driversKey, type EdgeBench, openEdge, upstreamRow } from "./fakes.ts";
+import { DRIVERS_KEY, openEdge, type TestEdge, upstreamRow } from "./fakes.ts";
 
 const RUNNER_COUNT = 6;
 const ATTEMPT_COUNT = 10;
@@ -11,7 +11,7 @@
 /** Longer than an upstream of these is away. */
 const BLOCK_MS = 300;
 
-interface Bench extends EdgeBench {
+interface Bench extends TestEdge {
   readonly runners: readonly Runner[];
 }
 
@@ -40,7 +40,7 @@
   try {
     const response = await fetch(url + path, {
       method: "POST",
-      headers: { authorization: `Bearer ${driversKey}` },
+      headers: { authorization: `Bearer ${DRIVERS_KEY}` },
       body,
     });
     await response.text();
--- a/test/edge_guard_test.ts
+++ b/test/edge_guard_test.ts
@@ -5,18 +5,18 @@
 import { openEngine } from "../src/standins/mod.ts";
 import type { VmInfo } from "../src/services/mod.ts";
 import {
-  driversKey,
-  type EdgeBench,
-  farKey,
+  DRIVERS_KEY,
   openEdge,
-  operatorToken,
+  OPERATOR_TOKEN,
+  REMOTE_KEY,
+  type TestEdge,
   upstreamRow,
 } from "./fakes.ts";
 
 async function openEdgeWithEngine(
   t: ExecutionContext,
   limits: Partial<EdgeLimits> = {},
-): Promise<EdgeBench> {
+): Promise<TestEdge> {
   const engine = await openEngine();
   const edge = await openEdge([upstreamRow("e0", "plan", engine.url)], limits);
   t.teardown(async () => {
@@ -33,7 +33,7 @@
 };
 
 async function send(
-  edge: EdgeBench,
+  edge: TestEdge,
   path: string,
   headers: Record<string, string>,
   body?: unknown,
@@ -58,7 +58,7 @@
 }
 
 /** Writes raw bytes and returns what comes back until the connection closes. */
-function sendRaw(edge: EdgeBench, text: string): Promise<string> {
+function sendRaw(edge: TestEdge, text: string): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(
       Number(new URL(edge.url).port),
@@ -72,14 +72,14 @@
   });
 }
 
-const AUTH = { authorization: `Bearer ${driversKey}` };
+const AUTH = { authorization: `Bearer ${DRIVERS_KEY}` };
 
 describe("edge", () => {
   describe("keys and tokens", () => {
     const cases: [string, Record<string, string>, number, number][] = [
       ["no key", {}, 401, 2003],
       ["a wrong key", { authorization: "Bearer nobody" }, 401, 2003],
-      ["another scheme", { authorization: `Basic ${driversKey}` }, 401, 2003],
+      ["another scheme", { authorization: `Basic ${DRIVERS_KEY}` }, 401, 2003],
       [
         "another workspace's name",
         { ...AUTH, "x-ibisgap-workspace": "muscat" },
@@ -111,7 +111,7 @@
       t.is((await send(edge, "/admin/status", AUTH)).httpStatus, 403);
       t.is(
         (await send(edge, "/admin/none", {
-          authorization: `Bearer ${operatorToken}`,
+          authorization: `Bearer ${OPERATOR_TOKEN}`,
         })).httpStatus,
         404,
       );
@@ -121,7 +121,7 @@
       const edge = await openEdgeWithEngine(t);
       await send(edge, "/v1/chat/completions", AUTH, PROMPT);
       const dump = JSON.stringify(edge.kernel.dump());
-      t.false(dump.includes(driversKey) || dump.includes(operatorToken));
+      t.false(dump.includes(DRIVERS_KEY) || dump.includes(OPERATOR_TOKEN));
     });
   });
 
@@ -140,14 +140,14 @@
         state: "live",
         tableVersion: 1,
       };
-      edge.members.far.set("muscat", [home, {
+      edge.members.remoteVms.set("muscat", [home, {
         ...home,
         id: "muscat-2",
         state: "leaving",
         callerUrl: "http://gone",
       }]);
       const head =
-        `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${farKey}\r\n` +
+        `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${REMOTE_KEY}\r\n` +
         "content-length: 100000\r\n\r\n";
       const answer = await sendRaw(edge, head);
       t.true(answer.startsWith("HTTP/1.1 421"), answer);
@@ -170,7 +170,7 @@
       );
       const { Table } = await import("../src/agreement/mod.ts");
       edge.table.table = Table.of(2, unboundRows);
-      const auth = { authorization: `Bearer ${farKey}` };
+      const auth = { authorization: `Bearer ${REMOTE_KEY}` };
       t.is(
         (await send(edge, "/v1/chat/completions", auth, PROMPT)).httpStatus,
         200,
@@ -261,7 +261,7 @@
     it("cuts off a body that trickles", async (t) => {
       const edge = await openEdgeWithEngine(t, { bodyWaitMs: 50 });
       const head =
-        `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${driversKey}\r\n` +
+        `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${DRIVERS_KEY}\r\n` +
         "content-length: 1000\r\n\r\n{";
       const answer = await sendRaw(edge, head);
       t.true(answer.includes('"code":2012'), answer);
@@ -310,7 +310,7 @@
     const socket = connect(Number(new URL(edge.url).port), "127.0.0.1");
     socket.pause();
     socket.write(
-      `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${driversKey}\r\n` +
+      `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${DRIVERS_KEY}\r\n` +
         `content-length: ${body.length}\r\n\r\n${body}`,
     );
     while (edge.slots.reports.length === 0) {
--- a/test/edge_plain_test.ts
+++ b/test/edge_plain_test.ts
@@ -7,9 +7,9 @@
   type PlainFault,
   type PlainService,
 } from "../src/standins/mod.ts";
-import { driversKey, type EdgeBench, openEdge, upstreamRow } from "./fakes.ts";
+import { DRIVERS_KEY, openEdge, type TestEdge, upstreamRow } from "./fakes.ts";
 
-interface Bench extends EdgeBench {
+interface Bench extends TestEdge {
   readonly services: readonly PlainService[];
 }
 
@@ -50,7 +50,7 @@
   const response = await fetch(bench.url + path, {
     method: "POST",
     headers: {
-      authorization: `Bearer ${driversKey}`,
+      authorization: `Bearer ${DRIVERS_KEY}`,
       ...(idempotencyKey ? { "idempotency-key": idempotencyKey } : {}),
       ...headers,
     },
@@ -259,7 +259,7 @@
 
     it("is refused as not run where no claim can be recorded", async (t) => {
       const bench = await openBench(t, 1);
-      bench.claims.refuse = true;
+      bench.claims.shouldRefuse = true;
       const answer = await post(bench, "/services/ledger/departures", "d8");
       t.deepEqual([answer.httpStatus, answer.code, answer.ran], [
         503,
@@ -267,7 +267,7 @@
         "no",
       ]);
       t.is(countRuns(bench), 0);
-      t.is(bench.slots.canceled.length, 1);
+      t.is(bench.slots.canceledAttempts.length, 1);
     });
 
     // The caller hangs up while its call runs. The call goes on, and its answer waits for the caller's next try.
@@ -277,7 +277,7 @@
       const aborted = fetch(`${bench.url}/services/ledger/departures`, {
         method: "POST",
         headers: {
-          authorization: `Bearer ${driversKey}`,
+          authorization: `Bearer ${DRIVERS_KEY}`,
           "idempotency-key": "d9",
         },
         body: "flour to Imilchil",
@@ -300,7 +300,7 @@
       const lookUp = async (key: string) => {
         const url = `${bench.url}/v1/requests/${key}?service=ledger`;
         const response = await fetch(url, {
-          headers: { authorization: `Bearer ${driversKey}` },
+          headers: { authorization: `Bearer ${DRIVERS_KEY}` },
         });
         return [
           response.status,
@@ -318,7 +318,7 @@
       const response = await fetch(`${bench.url}/services/notes/a/b?c=1`, {
         method: "PUT",
         headers: {
-          authorization: `Bearer ${driversKey}`,
+          authorization: `Bearer ${DRIVERS_KEY}`,
           "x-ibisgap-fence": "9",
         },
         body: "x",
@@ -339,7 +339,7 @@
       ]);
       bench.services[1].faults.clear();
       const reading = await fetch(`${bench.url}/services/notes/x`, {
-        headers: { authorization: `Bearer ${driversKey}` },
+        headers: { authorization: `Bearer ${DRIVERS_KEY}` },
       });
       t.is(reading.status, 200);
     });
--- a/test/edge_stream_test.ts
+++ b/test/edge_stream_test.ts
@@ -8,7 +8,7 @@
   formatAnswer,
   openEngine,
 } from "../src/standins/mod.ts";
-import { driversKey, type EdgeBench, openEdge, upstreamRow } from "./fakes.ts";
+import { DRIVERS_KEY, openEdge, type TestEdge, upstreamRow } from "./fakes.ts";
 
 const FAST_ENGINE: EngineOptions = {
   stepMs: 1,
@@ -17,7 +17,7 @@
 };
 const ANSWER_TOKENS = 20;
 
-interface Bench extends EdgeBench {
+interface Bench extends TestEdge {
   readonly engines: readonly Engine[];
   readonly client: OpenAI;
 }
@@ -44,7 +44,7 @@
     for (const engine of engines) await engine.close();
   });
   const client = new OpenAI({
-    apiKey: driversKey,
+    apiKey: DRIVERS_KEY,
     baseURL: `${edge.url}/v1`,
     maxRetries: 0,
   });
@@ -88,7 +88,7 @@
         text: formatAnswer("n1", ANSWER_TOKENS),
       });
       t.is(slots.reports[0].outcome, "done");
-      t.deepEqual(slots.started, [slots.reports[0].attemptId]);
+      t.deepEqual(slots.startedAttempts, [slots.reports[0].attemptId]);
     });
 
     it("gets a whole answer in one piece, and a legacy completion", async (t) => {
@@ -250,7 +250,7 @@
     engines[0].faults.add({ type: "late", delayMs: 60_000, times: 1 });
     const response = await fetch(`${url}/v1/chat/completions`, {
       method: "POST",
-      headers: { authorization: `Bearer ${driversKey}` },
+      headers: { authorization: `Bearer ${DRIVERS_KEY}` },
       body: JSON.stringify({
         model: "quick",
         max_tokens: 5,
--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -34,7 +34,7 @@
   type VmInfo,
 } from "../src/services/mod.ts";
 
-abstract class Fake<M extends Record<string, { in: unknown; out: unknown }>>
+abstract class FakeTask<M extends Record<string, { in: unknown; out: unknown }>>
   extends Task<M> {
   start(): Promise<void> {
     return Promise.resolve();
@@ -48,7 +48,7 @@
 }
 
 /** A table that a test sets. */
-export class FakeTable extends Fake<TableMessages> {
+export class FakeTable extends FakeTask<TableMessages> {
   readonly name = "table";
   table: Table | undefined;
   protected readonly handlers = {
@@ -58,27 +58,27 @@
 }
 
 /** Members that a test sets. */
-export class FakeMembers extends Fake<MembersMessages> {
+export class FakeMembers extends FakeTask<MembersMessages> {
   readonly name = "members";
   vms: VmInfo[] = [];
-  far = new Map<string, readonly VmInfo[]>();
+  remoteVms = new Map<string, readonly VmInfo[]>();
   protected readonly handlers = {
     region: () => this.vms,
-    others: () => this.far,
+    others: () => this.remoteVms,
     leave: () => {},
   } as never;
 }
 
 /** A lead that grants at once, in turn, and records what it is told. */
-export class FakeSlots extends Fake<SlotsMessages> {
+export class FakeSlots extends FakeTask<SlotsMessages> {
   readonly name = "slots";
   readonly requests: SlotRequest[] = [];
   /** How attempts ended. */
   readonly reports: SlotReport[] = [];
   /** Attempts whose first token was told. */
-  readonly started: string[] = [];
-  readonly canceled: string[] = [];
-  #next = 0;
+  readonly startedAttempts: string[] = [];
+  readonly canceledAttempts: string[] = [];
+  #nextIndex = 0;
   readonly #table: FakeTable;
 
   constructor(table: FakeTable) {
@@ -88,24 +88,25 @@
   protected readonly handlers = {
     acquire: (request: SlotRequest) => this.#acquire(request),
     report: (report: SlotReport) => {
-      if (report.outcome === "started") this.started.push(report.attemptId);
-      else this.reports.push(report);
+      if (report.outcome === "started") {
+        this.startedAttempts.push(report.attemptId);
+      } else this.reports.push(report);
     },
     cancel: ({ attemptId }: { attemptId: string }) =>
-      void this.canceled.push(attemptId),
+      void this.canceledAttempts.push(attemptId),
   };
   #acquire(request: SlotRequest): SlotAnswer {
     this.requests.push(request);
-    const usable =
+    const candidates =
       (this.#table.table?.upstreams(request.service, "agadir") ?? [])
         .filter((upstream) => !request.exclude.includes(upstream.id));
-    if (usable.length === 0) {
+    if (candidates.length === 0) {
       return {
         type: "refuse",
         failure: failure("noUpstream", { retryAtMs: Date.now() + 500 }),
       };
     }
-    const upstream = usable[this.#next++ % usable.length];
+    const upstream = candidates[this.#nextIndex++ % candidates.length];
     return {
       type: "grant",
       attemptId: request.attemptId,
@@ -118,18 +119,18 @@
 }
 
 /** Claims in this process's memory. */
-export class FakeClaims extends Fake<ClaimsMessages> {
+export class FakeClaims extends FakeTask<ClaimsMessages> {
   readonly name = "claims";
   readonly states = new Map<
     string,
     "running" | "unknown" | { answer: ClaimAnswer }
   >();
-  refuse = false;
+  shouldRefuse = false;
   /** How long a granted claim allows the dispatch. */
   dispatchMs = 5000;
   protected readonly handlers = {
     claim: (claim: ClaimKey): ClaimVerdict => {
-      if (this.refuse) {
+      if (this.shouldRefuse) {
         return {
           type: "refused",
           failure: failure("claimUnavailable", { retryAtMs: Date.now() + 500 }),
@@ -151,7 +152,7 @@
 }
 
 /** A directory that names no VM. */
-class FakeDirectory extends Fake<DirectoryMessages> {
+class FakeDirectory extends FakeTask<DirectoryMessages> {
   readonly name = "directory";
   protected readonly handlers = {
     lookup: () => ({ vms: [], askAgainAtMs: Date.now() + 1000 }),
@@ -174,7 +175,7 @@
 }
 
 /** Limits short enough for tests; see {@link EdgeLimits}. */
-export const testLimits: EdgeLimits = {
+export const TEST_LIMITS: EdgeLimits = {
   bodyBytes: 1 << 20,
   headerBytes: 16 << 10,
   bodyWaitMs: 300,
@@ -186,14 +187,14 @@
 };
 
 /** The key of workspace `drivers`, whose home is Agadir, where the edge of {@link openEdge} stands. */
-export const driversKey = "drivers-key";
+export const DRIVERS_KEY = "drivers-key";
 /** The key of workspace `muscat`, bound to another region. */
-export const farKey = "far-key";
+export const REMOTE_KEY = "far-key";
 /** The operator's token. */
-export const operatorToken = "operator-token";
+export const OPERATOR_TOKEN = "operator-token";
 
 /** An edge over fakes. */
-export interface EdgeBench {
+export interface TestEdge {
   readonly url: string;
   readonly kernel: Kernel;
   readonly table: FakeTable;
@@ -208,7 +209,7 @@
   id: string,
   service: string,
   url: string,
-  more: object = {},
+  extraFields: object = {},
 ): TableRow {
   return {
     kind: "upstream",
@@ -223,11 +224,11 @@
     state: "active",
     checksFence: false,
     resumes: false,
-    ...more,
+    ...extraFields,
   } as TableRow;
 }
 
-function baseRows(): TableRow[] {
+function makeBaseRows(): TableRow[] {
   const service = {
     kind: "service",
     models: [] as string[],
@@ -247,13 +248,13 @@
       ...workspace,
       id: "drivers",
       home: "agadir",
-      keyDigests: [secretDigest(driversKey)],
+      keyDigests: [secretDigest(DRIVERS_KEY)],
     },
     {
       ...workspace,
       id: "muscat",
       home: "muscat",
-      keyDigests: [secretDigest(farKey)],
+      keyDigests: [secretDigest(REMOTE_KEY)],
     },
   ];
 }
@@ -262,12 +263,12 @@
 export async function openEdge(
   rows: readonly TableRow[],
   limits: Partial<EdgeLimits> = {},
-): Promise<EdgeBench> {
+): Promise<TestEdge> {
   const kernel = new Kernel(systemClock, openLog("silent"));
   const table = new FakeTable();
   table.table = Table.of(
     1,
-    [...baseRows(), ...rows].map((row) => ({ row, version: 1 })),
+    [...makeBaseRows(), ...rows].map((row) => ({ row, version: 1 })),
   );
   const members = new FakeMembers();
   const slots = new FakeSlots(table);
@@ -284,7 +285,7 @@
       transport: new NoTransport(),
     }),
   );
-  const allLimits = { ...testLimits, ...limits };
+  const allLimits = { ...TEST_LIMITS, ...limits };
   const listener = await openListener({
     host: "127.0.0.1",
     port: 0,
@@ -295,7 +296,7 @@
     region: "agadir",
     listener,
     limits: allLimits,
-    operatorTokenDigests: [secretDigest(operatorToken)],
+    operatorTokenDigests: [secretDigest(OPERATOR_TOKEN)],
   });
   await kernel.start(edge);
   const { port } = listener.address;
--- a/test/fuzz_claims.ts
+++ b/test/fuzz_claims.ts
@@ -7,15 +7,15 @@
 
 import fc from "fast-check";
 import type { Variant } from "./fuzz_claims_vms.ts";
-import { ClaimsWorld, type Step } from "./fuzz_claims_world.ts";
+import { ClaimsSimulation, type Step } from "./fuzz_claims_world.ts";
 
 /** How long schedules are, and how many. */
 export interface FuzzOptions {
   readonly runs: number;
   readonly seed: number;
-  readonly steps?: number;
+  readonly maxSteps?: number;
   /** Leaves the failing schedule as it was found, which saves the time of shortening it. */
-  readonly keepLong?: boolean;
+  readonly skipShrinking?: boolean;
 }
 
 /** What a run found: nothing, or the shortest schedule that breaks a rule. */
@@ -29,29 +29,29 @@
   };
 
 /** How often each step comes; those that make and deliver claims outweigh the faults. */
-const ops = [
+const STEP_OPS = [
   ...[0, 0, 0, 1, 1, 1, 2],
   ...[3, 3, 3, 4, 4, 4, 5, 5, 6, 6],
   ...[7, 8, 8, 9, 10, 11, 11, 12, 13, 14, 15, 15],
   ...[16, 16, 17, 17, 17, 18, 19, 20, 21, 21],
 ];
 
-const step = fc.tuple(
-  fc.constantFrom(...ops),
+const stepArbitrary = fc.tuple(
+  fc.constantFrom(...STEP_OPS),
   fc.nat(63),
   fc.nat(63),
 );
 
 /** Replays one schedule. */
 export function replay(schedule: readonly Step[], variant?: Variant) {
-  const world = new ClaimsWorld(variant);
-  world.advance(1000);
-  for (const next of schedule) {
-    world.step(next);
-    if (world.violations.length > 0) return world;
+  const simulation = new ClaimsSimulation(variant);
+  simulation.advance(1000);
+  for (const step of schedule) {
+    simulation.runStep(step);
+    if (simulation.violations.length > 0) return simulation;
   }
-  world.checkProgress();
-  return world;
+  simulation.checkProgress();
+  return simulation;
 }
 
 /** Runs random schedules over the machines, or over a broken variant of them. */
@@ -59,23 +59,23 @@
   options: FuzzOptions,
   variant?: Variant,
 ): FuzzResult {
-  const schedules = fc.array(step, {
-    maxLength: options.steps ?? 120,
+  const scheduleArbitrary = fc.array(stepArbitrary, {
+    maxLength: options.maxSteps ?? 120,
     size: "max",
   });
-  const checked = fc.check(
+  const details = fc.check(
     fc.property(
-      schedules,
+      scheduleArbitrary,
       (schedule) => replay(schedule, variant).violations.length === 0,
     ),
     {
       numRuns: options.runs,
       seed: options.seed,
-      endOnFailure: options.keepLong ?? false,
+      endOnFailure: options.skipShrinking ?? false,
     },
   );
-  if (!checked.failed) return { type: "held", runs: checked.numRuns };
-  const schedule = checked.counterexample![0];
+  if (!details.failed) return { type: "held", runs: details.numRuns };
+  const schedule = details.counterexample![0];
   const { violations, trace } = replay(schedule, variant);
   return { type: "broken", violations, schedule, trace };
 }
--- a/test/fuzz_claims_links.ts
+++ b/test/fuzz_claims_links.ts
@@ -11,9 +11,9 @@
 }
 
 /** Rounds of one delivery: what is delivered may send more. */
-const ROUNDS = 4;
+const DELIVERY_ROUNDS = 4;
 
-function link(a: number, b: number): string {
+function linkKey(a: number, b: number): string {
   return a < b ? `${a}-${b}` : `${b}-${a}`;
 }
 
@@ -24,63 +24,63 @@
 
 /** See the module. */
 export class FuzzLinks {
-  readonly #cut = new Set<string>();
-  readonly #holding = new Set<string>();
+  readonly #cutLinks = new Set<string>();
+  readonly #heldLinks = new Set<string>();
   #packets: Packet[] = [];
-  #held: Packet[] = [];
+  #heldPackets: Packet[] = [];
 
   /** The links that are cut, for the trace. */
   get cutLinks(): readonly string[] {
-    return [...this.#cut];
+    return [...this.#cutLinks];
   }
 
   isCut(a: number, b: number): boolean {
-    return this.#cut.has(link(a, b));
+    return this.#cutLinks.has(linkKey(a, b));
   }
 
   cut(a: number, b: number): void {
-    this.#cut.add(link(a, b));
+    this.#cutLinks.add(linkKey(a, b));
   }
 
   toggleCut(a: number, b: number): void {
-    toggle(this.#cut, link(a, b));
+    toggle(this.#cutLinks, linkKey(a, b));
   }
 
-  toggleHolding(from: number, to: number): void {
-    toggle(this.#holding, `${from}>${to}`);
+  toggleHold(from: number, to: number): void {
+    toggle(this.#heldLinks, `${from}>${to}`);
   }
 
   /** Ends all faults but leaves what is held until {@link FuzzLinks.release}. */
-  heal(): void {
-    this.#cut.clear();
-    this.#holding.clear();
+  endFaults(): void {
+    this.#cutLinks.clear();
+    this.#heldLinks.clear();
   }
 
   /** Sends to another VM; `lost` is told if the link is cut. */
-  post(from: number, to: number, run: () => void, lost?: () => void): void {
-    if (this.isCut(from, to)) return lost?.();
+  send(from: number, to: number, run: () => void, onLost?: () => void): void {
+    if (this.isCut(from, to)) return onLost?.();
     const packet = { from, to, run };
-    if (this.#holding.has(`${from}>${to}`)) this.#held.push(packet);
+    if (this.#heldLinks.has(`${from}>${to}`)) this.#heldPackets.push(packet);
     else this.#packets.push(packet);
   }
 
   /** Brings a VM the answer of its own call. */
-  answer(slot: number, run: () => void): void {
-    this.#packets.push({ from: slot, to: slot, run });
+  sendAnswer(vm: number, run: () => void): void {
+    this.#packets.push({ from: vm, to: vm, run });
   }
 
   /** Sends on what no link holds back any more. */
   release(): void {
-    const free = this.#held.filter((p) =>
-      !this.#holding.has(`${p.from}>${p.to}`)
+    const released = this.#heldPackets.filter((p) =>
+      !this.#heldLinks.has(`${p.from}>${p.to}`)
     );
-    this.#held = this.#held.filter((p) => !free.includes(p));
-    this.#packets.push(...free);
+    this.#heldPackets = this.#heldPackets.filter((p) => !released.includes(p));
+    this.#packets.push(...released);
   }
 
   /** Delivers in order; what is for a paused VM waits. */
-  deliver(isPaused: (slot: number) => boolean): void {
-    for (let round = 0; round < ROUNDS; round++) {
+  deliver(isPaused: (vm: number) => boolean): void {
+    for (let round = 0; round < DELIVERY_ROUNDS; round++) {
       const packets = this.#packets;
       this.#packets = [];
       for (const packet of packets) {
--- a/test/fuzz_claims_store.ts
+++ b/test/fuzz_claims_store.ts
@@ -13,7 +13,7 @@
   type ShardKeys,
 } from "../src/agreement/mod.ts";
 
-function failed(kind: "unavailable" | "lost"): StoreError {
+function storeError(kind: "unavailable" | "lost"): StoreError {
   return { kind, message: kind };
 }
 
@@ -21,16 +21,16 @@
 export class FuzzStore {
   isDown = false;
   /** VMs that cannot reach it. */
-  readonly cutOff = new Set<number>();
+  readonly cutOffVms = new Set<number>();
   /** How many of the next writes take effect while their answers are lost. */
-  loseAnswers = 0;
+  answersToLose = 0;
   /** How many of the next writes land later, if at all. */
-  delayWrites = 0;
+  writesToDelay = 0;
   readonly #keys: ShardKeys;
   readonly #ignoresRev: boolean;
   readonly #entries = new Map<string, Entry>();
   #rev = 0;
-  #late: (readonly Write[])[] = [];
+  #delayedWrites: (readonly Write[])[] = [];
 
   constructor(keys: ShardKeys, ignoresRev: boolean) {
     this.#keys = keys;
@@ -38,17 +38,17 @@
   }
 
   /** Ends all its faults. */
-  heal(): void {
+  endFaults(): void {
     this.isDown = false;
-    this.cutOff.clear();
-    this.loseAnswers = 0;
-    this.delayWrites = 0;
+    this.cutOffVms.clear();
+    this.answersToLose = 0;
+    this.writesToDelay = 0;
   }
 
   /** A VM's call, unless the store is away from it. */
-  call<T>(slot: number, act: () => Result<T, StoreError>) {
-    const isAway = this.isDown || this.cutOff.has(slot);
-    return isAway ? err(failed("unavailable")) : act();
+  call<T>(vm: number, operation: () => Result<T, StoreError>) {
+    const isUnavailable = this.isDown || this.cutOffVms.has(vm);
+    return isUnavailable ? err(storeError("unavailable")) : operation();
   }
 
   readHead(): Result<Entry | undefined, StoreError> {
@@ -56,31 +56,31 @@
   }
 
   load(from: number, to: number): Result<ClaimEvent[][], StoreError> {
-    const found = [];
+    const segments = [];
     for (let segment = from; segment < to; segment++) {
       const entry = this.#entries.get(segmentKey(this.#keys, segment));
       const events = entry && parseSegment(entry.value).unwrapOr(undefined);
-      if (!events) return err(failed("unavailable"));
-      found.push(events);
+      if (!events) return err(storeError("unavailable"));
+      segments.push(events);
     }
-    return ok(found);
+    return ok(segments);
   }
 
   write(writes: readonly Write[]): Result<number, StoreError> {
-    if (this.delayWrites > 0) {
-      this.delayWrites--;
-      this.#late.push(writes);
-      return err(failed("lost"));
+    if (this.writesToDelay > 0) {
+      this.writesToDelay--;
+      this.#delayedWrites.push(writes);
+      return err(storeError("lost"));
     }
     const result = this.#transact(writes);
-    if (this.loseAnswers === 0) return result;
-    this.loseAnswers--;
-    return err(failed("lost"));
+    if (this.answersToLose === 0) return result;
+    this.answersToLose--;
+    return err(storeError("lost"));
   }
 
   /** A delayed write lands; returns whether it took effect, `undefined` if there is none. */
-  landLateWrite(): boolean | undefined {
-    const writes = this.#late.shift();
+  applyDelayedWrite(): boolean | undefined {
+    const writes = this.#delayedWrites.shift();
     return writes && this.#transact(writes).isOk();
   }
 
--- a/test/fuzz_claims_variants.ts
+++ b/test/fuzz_claims_variants.ts
@@ -28,7 +28,7 @@
   }
 }
 
-class TakesLostAsWritten extends ClaimCommitter {
+class TreatsLostAsWritten extends ClaimCommitter {
   override onWritten(
     now: Now,
     result: Result<number, StoreError>,
@@ -38,7 +38,7 @@
   }
 }
 
-class TakesLostAsNotWritten extends ClaimCommitter {
+class TreatsLostAsNotWritten extends ClaimCommitter {
   override onWritten(
     now: Now,
     result: Result<number, StoreError>,
@@ -54,13 +54,13 @@
   }
 }
 
-class GrantsUnheld extends ClaimOwner {
+class GrantsWithoutReplica extends ClaimOwner {
   protected override replicatedN(): number {
     return Infinity;
   }
 }
 
-class DeniesAtOnce extends ClaimOwner {
+class DeniesWithoutWrite extends ClaimOwner {
   protected override canDenyWithoutWrite(): boolean {
     return true;
   }
@@ -78,7 +78,7 @@
   }
 }
 
-class PromisesWhileTaking extends ClaimWitness {
+class PromisesDuringTakeover extends ClaimWitness {
   override startTakeover(): void {}
 }
 
@@ -94,34 +94,43 @@
 }
 
 /** An owner whose group commit is of this class. */
-function withCommit(
-  Commit: typeof TakesLostAsWritten | typeof TakesLostAsNotWritten,
+function makeOwnerWith(
+  Committer: typeof TreatsLostAsWritten | typeof TreatsLostAsNotWritten,
 ): NonNullable<Variant["makeOwner"]> {
   return (me, keys, limits, random, out, outage, owned) => {
-    const commit = new Commit(me, keys, limits, random, out, owned);
-    return new ClaimOwner(me, keys, limits, random, out, outage, owned, commit);
+    const committer = new Committer(me, keys, limits, random, out, owned);
+    return new ClaimOwner(
+      me,
+      keys,
+      limits,
+      random,
+      out,
+      outage,
+      owned,
+      committer,
+    );
   };
 }
 
 /** The variants by name. */
-export const brokenVariants: Readonly<Record<string, Variant>> = {
+export const BROKEN_VARIANTS: Readonly<Record<string, Variant>> = {
   "dispatch before the claim is committed": {
     makeOwner: (...args) => new GrantsBeforeCommit(...args),
   },
   "a lost answer taken for written": {
-    makeOwner: withCommit(TakesLostAsWritten),
+    makeOwner: makeOwnerWith(TreatsLostAsWritten),
   },
   "a lost answer taken for not written": {
-    makeOwner: withCommit(TakesLostAsNotWritten),
+    makeOwner: makeOwnerWith(TreatsLostAsNotWritten),
   },
   "grants from memory without the promise": {
     makeOwner: (...args) => new GrantsWithoutPromise(...args),
   },
   "grants from memory that no witness holds": {
-    makeOwner: (...args) => new GrantsUnheld(...args),
+    makeOwner: (...args) => new GrantsWithoutReplica(...args),
   },
   "a denial without a write": {
-    makeOwner: (...args) => new DeniesAtOnce(...args),
+    makeOwner: (...args) => new DeniesWithoutWrite(...args),
   },
   "take-over without waiting out the promise": {
     makeWitness: () => new BreaksPromise(),
@@ -130,7 +139,7 @@
     makeWitness: () => new ForgetsGrants(),
   },
   "a promise while a take-over is under way": {
-    makeWitness: () => new PromisesWhileTaking(),
+    makeWitness: () => new PromisesDuringTakeover(),
   },
   "a promise that is answered but not kept": {
     makeWitness: () => new PromisesForPredecessor(),
--- a/test/fuzz_claims_vms.ts
+++ b/test/fuzz_claims_vms.ts
@@ -34,7 +34,7 @@
 }
 
 /** Limits of the shard, shorter than by default. */
-export const limits: ShardLimits = {
+export const LIMITS: ShardLimits = {
   ...DEFAULT_SHARD_LIMITS,
   touchMs: 500,
   slowMs: 300,
@@ -48,21 +48,21 @@
   segmentBytes: 900,
   backoff: { firstMs: 50, maxMs: 400 },
 };
-const keys = shardKeys("r", 0);
+const KEYS = shardKeys("r", 0);
 /** Time from one tick of the machines to the next. */
 export const TICK_MS = 100;
 /** Ids of the VMs. */
-export const NAMES = ["a", "b", "c"];
+export const VM_IDS = ["a", "b", "c"];
 
 /** A VM that runs. */
 export interface Vm {
-  readonly slot: number;
+  readonly index: number;
   readonly ref: VmRef;
   readonly shard: ClaimShard;
-  readonly speed: number;
+  readonly clockRate: number;
   readonly skewMs: number;
-  paused: boolean;
-  over: boolean;
+  isPaused: boolean;
+  hasEnded: boolean;
 }
 
 /** See the module. */
@@ -80,72 +80,74 @@
   protected nextTicket = 0;
   readonly #variant: Variant;
   readonly #incarnations = [0, 0, 0];
-  readonly #tickets = new Map<number, (reply: ShardReply) => void>();
+  readonly #replyHandlers = new Map<number, (reply: ShardReply) => void>();
 
   constructor(variant: Variant) {
     this.#variant = variant;
-    this.store = new FuzzStore(keys, variant.ignoresRev ?? false);
-    for (let slot = 0; slot < NAMES.length; slot++) this.start(slot);
+    this.store = new FuzzStore(KEYS, variant.ignoresRev ?? false);
+    for (let index = 0; index < VM_IDS.length; index++) this.start(index);
   }
 
-  protected start(slot: number): void {
-    const incarnation = ++this.#incarnations[slot];
-    const ref = { id: NAMES[slot], incarnation };
+  protected start(index: number): void {
+    const incarnation = ++this.#incarnations[index];
+    const ref = { id: VM_IDS[index], incarnation };
     const { makeOwner, makeWitness } = this.#variant;
-    this.vms[slot] = {
-      slot,
+    this.vms[index] = {
+      index,
       ref,
-      speed: [1, 1.02, 0.98][slot],
-      skewMs: [0, 250, -250][slot],
-      paused: false,
-      over: false,
+      clockRate: [1, 1.02, 0.98][index],
+      skewMs: [0, 250, -250][index],
+      isPaused: false,
+      hasEnded: false,
       shard: new ClaimShard({
         me: ref,
-        keys,
-        limits,
-        random: new Random(slot * 1000 + incarnation),
+        keys: KEYS,
+        limits: LIMITS,
+        random: new Random(index * 1000 + incarnation),
         makeOwner,
         witness: makeWitness?.(),
       }),
     };
-    this.note(`${ref.id} starts, incarnation ${incarnation}`);
+    this.addTrace(`${ref.id} starts, incarnation ${incarnation}`);
   }
 
   protected crash(vm: Vm): void {
-    vm.over = true;
-    this.vms[vm.slot] = undefined;
-    this.note(`${vm.ref.id} crashes`);
+    vm.hasEnded = true;
+    this.vms[vm.index] = undefined;
+    this.addTrace(`${vm.ref.id} crashes`);
   }
 
-  protected running(): Vm[] {
-    return this.vms.filter((vm): vm is Vm => !!vm && !vm.paused);
+  protected runningVms(): Vm[] {
+    return this.vms.filter((vm): vm is Vm => !!vm && !vm.isPaused);
   }
 
   protected viewOf(vm: Vm) {
-    const others = this.running()
-      .filter((v) => v !== vm && !this.links.isCut(v.slot, vm.slot))
+    const others = this.runningVms()
+      .filter((v) => v !== vm && !this.links.isCut(v.index, vm.index))
       .map((v) => v.ref);
     return {
       region: "r",
       live: others,
       witnesses: others.slice(0, 2),
-      rank: vm.slot,
+      rank: vm.index,
       writesPerS: 20,
     };
   }
 
   protected nowOf(vm: Vm): Now {
-    const monoMs = this.timeMs * vm.speed + vm.slot * 7777;
+    const monoMs = this.timeMs * vm.clockRate + vm.index * 7777;
     return { monoMs, nowMs: 1_000_000 + this.timeMs + vm.skewMs };
   }
 
-  protected do(vm: Vm, run: (now: Now) => Effect[]): void {
-    if (vm.over) return;
-    for (const effect of run(this.nowOf(vm))) this.#perform(vm, effect);
+  protected runShard(vm: Vm, action: (now: Now) => Effect[]): void {
+    if (vm.hasEnded) return;
+    for (const effect of action(this.nowOf(vm))) {
+      this.#performEffect(vm, effect);
+    }
     if (vm.shard.isStopped) this.crash(vm);
   }
 
-  #perform(vm: Vm, effect: Effect): void {
+  #performEffect(vm: Vm, effect: Effect): void {
     switch (effect.type) {
       case "read":
         return this.#callStore(
@@ -168,63 +170,68 @@
       case "replicate":
         return this.#replicate(vm, effect);
       case "reply":
-        this.#tickets.get(effect.ticket)?.(effect.reply);
-        this.#tickets.delete(effect.ticket);
+        this.#replyHandlers.get(effect.ticket)?.(effect.reply);
+        this.#replyHandlers.delete(effect.ticket);
         return;
       case "log":
-        return this.note(`${vm.ref.id}: ${effect.event} ${effect.detail}`);
+        return this.addTrace(`${vm.ref.id}: ${effect.event} ${effect.detail}`);
     }
   }
 
   #callStore<T>(
     vm: Vm,
-    act: () => Result<T, StoreError>,
-    then: (result: Result<T, StoreError>) => Effect[],
+    operation: () => Result<T, StoreError>,
+    onResult: (result: Result<T, StoreError>) => Effect[],
   ): void {
-    const result = this.store.call(vm.slot, act);
-    this.links.answer(vm.slot, () => this.do(vm, () => then(result)));
+    const result = this.store.call(vm.index, operation);
+    this.links.sendAnswer(
+      vm.index,
+      () => this.runShard(vm, () => onResult(result)),
+    );
   }
 
-  protected landLateWrite(): void {
-    const landed = this.store.landLateWrite();
-    if (landed !== undefined) this.note(`a late write lands: ${landed}`);
+  protected applyDelayedWrite(): void {
+    const tookEffect = this.store.applyDelayedWrite();
+    if (tookEffect !== undefined) {
+      this.addTrace(`a late write lands: ${tookEffect}`);
+    }
   }
 
   #replicate(vm: Vm, effect: Extract<Effect, { type: "replicate" }>): void {
-    const slot = NAMES.indexOf(effect.to.id);
-    const back = (accepted: boolean) =>
-      this.do(
+    const index = VM_IDS.indexOf(effect.to.id);
+    const onAnswer = (accepted: boolean) =>
+      this.runShard(
         vm,
         (now) => vm.shard.onReplicaAnswer(now, effect.to, accepted, effect),
       );
-    this.links.post(vm.slot, slot, () => {
-      const to = this.vms[slot];
-      const accepted = !!to && sameVm(to.ref, effect.to) &&
-        to.shard.onReplica(this.nowOf(to), effect.message).accepted;
-      this.links.post(slot, vm.slot, () => back(accepted));
-    }, () => back(false));
+    this.links.send(vm.index, index, () => {
+      const target = this.vms[index];
+      const accepted = !!target && sameVm(target.ref, effect.to) &&
+        target.shard.onReplica(this.nowOf(target), effect.message).accepted;
+      this.links.send(index, vm.index, () => onAnswer(accepted));
+    }, () => onAnswer(false));
   }
 
   /** What is for a paused VM waits, what is for a VM that is gone is lost. */
   protected deliver(): void {
-    this.links.deliver((slot) => this.vms[slot]?.paused ?? false);
+    this.links.deliver((index) => this.vms[index]?.isPaused ?? false);
   }
 
   protected owners(): Vm[] {
     return this.vms.filter((vm): vm is Vm => vm?.shard.isOwner ?? false);
   }
 
-  protected send(
+  protected sendRequest(
     vm: Vm,
-    run: (ticket: number, now: Now) => Effect[],
-    then: (reply: ShardReply) => void,
+    action: (ticket: number, now: Now) => Effect[],
+    onReply: (reply: ShardReply) => void,
   ): void {
     const ticket = this.nextTicket++;
-    this.#tickets.set(ticket, then);
-    this.do(vm, (now) => run(ticket, now));
+    this.#replyHandlers.set(ticket, onReply);
+    this.runShard(vm, (now) => action(ticket, now));
   }
 
-  protected note(line: string): void {
+  protected addTrace(line: string): void {
     this.trace.push(`${this.timeMs} ${line}`);
   }
 }
--- a/test/fuzz_table.ts
+++ b/test/fuzz_table.ts
@@ -5,16 +5,16 @@
  */
 
 import fc from "fast-check";
-import { type Move, moveTypes } from "./fuzz_table_model.ts";
+import { type Move, MOVE_TYPES } from "./fuzz_table_model.ts";
 import { type Machines, replay } from "./fuzz_table_world.ts";
 
 /** Moves without a restore of the store. */
-export const calm = moveTypes.filter((type) =>
+export const MOVES_WITHOUT_RESTORE = MOVE_TYPES.filter((type) =>
   type !== "save" && type !== "restore"
 );
 
 /** Moves that bring about two histories: a late answer after a restore, then edits and images from both sides. */
-export const forking: readonly Move["type"][] = [
+export const FORKING_MOVES: readonly Move["type"][] = [
   "propose",
   "work",
   "land",
@@ -37,7 +37,7 @@
   { types, seed, runs }: TableFuzzOptions,
 ): string | undefined {
   const property = fc.property(
-    schedules(types),
+    makeScheduleArbitrary(types),
     (moves) => replay(machines, moves),
   );
   const details = fc.check(property, { seed, numRuns: runs });
@@ -46,9 +46,11 @@
   return `seed ${seed}: ${String(details.errorInstance)}\nreplay: ${moves}`;
 }
 
-function schedules(types: readonly Move["type"][]): fc.Arbitrary<Move[]> {
-  const nat = fc.nat({ max: 11 });
+function makeScheduleArbitrary(
+  types: readonly Move["type"][],
+): fc.Arbitrary<Move[]> {
+  const choice = fc.nat({ max: 11 });
   const type = fc.constantFrom(...types);
-  const move = fc.record({ type, a: nat, b: nat, c: nat });
+  const move = fc.record({ type, a: choice, b: choice, c: choice });
   return fc.array(move, { minLength: 5, maxLength: 80, size: "max" });
 }
--- a/test/fuzz_table_model.ts
+++ b/test/fuzz_table_model.ts
@@ -13,14 +13,14 @@
 
 /** One step of a schedule; `a`, `b` and `c` choose among what is possible. */
 export interface Move {
-  readonly type: typeof moveTypes[number];
+  readonly type: typeof MOVE_TYPES[number];
   readonly a: number;
   readonly b: number;
   readonly c: number;
 }
 
 /** All moves; those that come twice come twice as often. */
-export const moveTypes = [
+export const MOVE_TYPES = [
   "propose",
   "read",
   "work",
@@ -40,7 +40,7 @@
 ] as const;
 
 /** The store. */
-export interface Store {
+export interface StoreState {
   rev: number;
   head: TableHead | undefined;
   headRev: number;
@@ -49,7 +49,7 @@
 }
 
 /** A store without a table. */
-export function emptyStore(): Store {
+export function makeEmptyStore(): StoreState {
   return {
     rev: 0,
     head: undefined,
@@ -60,17 +60,17 @@
 }
 
 /** A copy that later writes leave alone. */
-export function copyStore(store: Store): Store {
+export function copyStore(store: StoreState): StoreState {
   return { ...store, log: new Map(store.log) };
 }
 
 /** All that a table says, as text. */
-export function rowsOf(table: Table): string {
+export function formatTable(table: Table): string {
   const rows = [...table.rows()].map((it) => JSON.stringify(it)).sort();
   return `${table.version} ${rows.join()}`;
 }
 
 /** Throws if a rule does not hold. */
-export function must(holds: boolean, rule: string): void {
+export function check(holds: boolean, rule: string): void {
   if (!holds) throw new Error(rule);
 }
--- a/test/fuzz_table_world.ts
+++ b/test/fuzz_table_world.ts
@@ -15,49 +15,49 @@
   TableLog,
 } from "../src/agreement/mod.ts";
 import {
+  check,
   copyStore,
-  emptyStore,
+  formatTable,
+  makeEmptyStore,
   type Move,
-  must,
-  rowsOf,
-  type Store,
+  type StoreState,
 } from "./fuzz_table_model.ts";
 
 /** The machines under test; a broken variant replaces one of them. */
 export interface Machines {
-  log(): TableLog;
-  attempt(...input: ConstructorParameters<typeof EditAttempt>): EditAttempt;
+  makeLog(): TableLog;
+  makeAttempt(...input: ConstructorParameters<typeof EditAttempt>): EditAttempt;
 }
 
 /** The machines as they are. */
-export const whole: Machines = {
-  log: () => new TableLog(),
-  attempt: (proposal) => new EditAttempt(proposal),
+export const INTACT_MACHINES: Machines = {
+  makeLog: () => new TableLog(),
+  makeAttempt: (proposal) => new EditAttempt(proposal),
 };
 
 interface Vm {
   log: TableLog;
   attempts: EditAttempt[];
   /** The step that waits for a write's answer. */
-  waiting: Flight | undefined;
+  pendingWrite: TableWrite | undefined;
   /** A reading of the head whose answer is on its way. */
-  seen: SeenHead | undefined;
+  pendingRead: SeenHead | undefined;
   /** The highest version seen, for the rule that it never goes down. */
-  highest: number;
+  maxVersion: number;
   /** The last edit seen in force, for the rule that an edit in force stays so. */
   lastId: string;
 }
 
-interface Flight {
+interface TableWrite {
   readonly vm: Vm;
   readonly attempt: EditAttempt;
   readonly step: Extract<EditStep, { type: "write" }>;
   result: "flying" | "done" | "conflict" | "cut";
 }
 
-const ROWS = 3;
+const ROW_COUNT = 3;
 
-function row(id: number, weight: number): RegionRow {
+function makeRow(id: number, weight: number): RegionRow {
   const upstreamHourMicrocents = 0;
   const name = `r${id}`;
   return {
@@ -70,55 +70,55 @@
 }
 
 /** A few VMs, a store and what is between them; each move checks the rules and throws if one is violated. */
-class World {
+class TableSimulation {
   readonly #machines: Machines;
   readonly #vms: Vm[];
   readonly #tables = new Map<string, Table>([["", Table.empty]]);
-  readonly #chain = new Map<string, LoggedEdit>();
+  readonly #edits = new Map<string, LoggedEdit>();
   /** Edits that stand in the store's log or are in force at a VM. */
   #accepted = new Map<string, LoggedEdit>();
   readonly #refused = new Set<string>();
-  readonly #lost: ConstructorParameters<typeof EditAttempt>[0][] = [];
+  readonly #unanswered: ConstructorParameters<typeof EditAttempt>[0][] = [];
   readonly #resubmitted = new Set<string>();
-  #flights: Flight[] = [];
-  #store: Store = emptyStore();
-  #saved: Store | undefined;
+  #writes: TableWrite[] = [];
+  #store: StoreState = makeEmptyStore();
+  #backup: StoreState | undefined;
   #nextId = 1;
-  #restored = false;
+  #isRestored = false;
 
-  constructor(machines: Machines, vms: number) {
+  constructor(machines: Machines, vmCount: number) {
     this.#machines = machines;
-    this.#vms = Array.from({ length: vms }, () => this.#freshVm());
+    this.#vms = Array.from({ length: vmCount }, () => this.#makeVm());
   }
 
-  run(move: Move): void {
+  runMove(move: Move): void {
     const vm = this.#vms[move.a % this.#vms.length];
     const other = this.#vms[move.b % this.#vms.length];
     switch (move.type) {
       case "propose":
         return this.#propose(vm, move);
       case "read":
-        vm.seen = this.#read(vm);
+        vm.pendingRead = this.#read(vm);
         return;
       case "work":
-        return this.#work(vm);
+        return this.#advanceAttempt(vm);
       case "land":
-        return this.#land(this.#pickFlight(move, "flying"));
+        return this.#applyWrite(this.#pickWrite(move, "flying"));
       case "answer":
-        return this.#answer(this.#pickFlight(move, "landed"), false);
+        return this.#deliverAnswer(this.#pickWrite(move, "landed"), false);
       case "lose":
-        return this.#answer(this.#pickFlight(move), true);
+        return this.#deliverAnswer(this.#pickWrite(move), true);
       case "push":
         return this.#push(other, vm, move.c);
       case "pull":
         vm.log.load(other.log.image());
-        return this.#check(vm);
+        return this.#checkVm(vm);
       case "crash":
         return this.#crash(move.a % this.#vms.length);
       case "snapshot":
         return this.#snapshot(vm);
       case "save":
-        this.#saved ??= copyStore(this.#store);
+        this.#backup ??= copyStore(this.#store);
         return;
       case "restore":
         return this.#restore();
@@ -129,89 +129,89 @@
 
   /** Ends all that is under way and checks that every VM comes to the newest version. */
   settle(): void {
-    for (let i = 0; i < 200 && this.#busy(); i++) {
-      for (const flight of [...this.#flights]) {
-        this.#land(flight);
-        this.#answer(flight, false);
+    for (let i = 0; i < 200 && this.#isBusy(); i++) {
+      for (const write of [...this.#writes]) {
+        this.#applyWrite(write);
+        this.#deliverAnswer(write, false);
       }
-      for (const vm of this.#vms) this.#work(vm);
+      for (const vm of this.#vms) this.#advanceAttempt(vm);
     }
     for (const id of this.#refused) {
-      must(!this.#accepted.has(id), `refused edit ${id} is in the log`);
+      check(!this.#accepted.has(id), `refused edit ${id} is in the log`);
     }
-    if (this.#restored) return;
-    must(!this.#busy(), "an edit never came to an end");
+    if (this.#isRestored) return;
+    check(!this.#isBusy(), "an edit never came to an end");
     for (const vm of this.#vms) {
       this.#catchUp(vm, this.#read(vm));
       const { version } = vm.log.table;
-      must(version === (this.#store.head?.version ?? 0), "a VM stays behind");
+      check(version === (this.#store.head?.version ?? 0), "a VM stays behind");
     }
   }
 
-  #freshVm(): Vm {
-    const log = this.#machines.log();
+  #makeVm(): Vm {
+    const log = this.#machines.makeLog();
     return {
       log,
       attempts: [],
-      waiting: undefined,
-      seen: undefined,
-      highest: 0,
+      pendingWrite: undefined,
+      pendingRead: undefined,
+      maxVersion: 0,
       lastId: "",
     };
   }
 
   #propose(vm: Vm, move: Move): void {
-    const key = `region/r${move.b % ROWS}`;
+    const key = `region/r${move.b % ROW_COUNT}`;
     const ifVersion = vm.log.table.get(key)?.version ?? 0;
     const id = `e${this.#nextId++}`;
     const change = move.c % 4 === 0 && ifVersion > 0
       ? { type: "delete" as const, key, ifVersion }
       : {
         type: "put" as const,
-        row: row(move.b % ROWS, this.#nextId),
+        row: makeRow(move.b % ROW_COUNT, this.#nextId),
         ifVersion,
       };
     vm.attempts.push(
-      this.#machines.attempt({ id, author: "op", changes: [change] }),
+      this.#machines.makeAttempt({ id, author: "op", changes: [change] }),
     );
   }
 
   #resubmit(vm: Vm): void {
-    const proposal = this.#lost.pop();
+    const proposal = this.#unanswered.pop();
     if (!proposal) return;
     this.#resubmitted.add(proposal.id);
-    vm.attempts.push(this.#machines.attempt(proposal));
+    vm.attempts.push(this.#machines.makeAttempt(proposal));
   }
 
-  #work(vm: Vm): void {
+  #advanceAttempt(vm: Vm): void {
     const [attempt] = vm.attempts;
-    if (vm.waiting || !attempt) return;
-    const known = Math.max(...this.#vms.map((it) => it.log.table.version));
-    const seen = vm.seen ?? this.#read(vm);
-    vm.seen = undefined;
-    this.#catchUp(vm, seen);
-    const step = attempt.next(vm.log, seen, known, 0);
+    if (vm.pendingWrite || !attempt) return;
+    const maxVersion = Math.max(...this.#vms.map((it) => it.log.table.version));
+    const head = vm.pendingRead ?? this.#read(vm);
+    vm.pendingRead = undefined;
+    this.#catchUp(vm, head);
+    const step = attempt.next(vm.log, head, maxVersion, 0);
     if (step.type === "write") {
-      const flight = { vm, attempt, step, result: "flying" as const };
-      vm.waiting = flight;
-      this.#flights.push(flight);
-    } else this.#end(vm, attempt, step);
+      const write = { vm, attempt, step, result: "flying" as const };
+      vm.pendingWrite = write;
+      this.#writes.push(write);
+    } else this.#endAttempt(vm, attempt, step);
   }
 
-  #end(vm: Vm, attempt: EditAttempt, step: EditStep): void {
+  #endAttempt(vm: Vm, attempt: EditAttempt, step: EditStep): void {
     const { id } = attempt.proposal;
     if (step.type === "catchUp" || step.type === "write") return;
     vm.attempts = vm.attempts.filter((it) => it !== attempt);
     if (step.type === "accepted") {
-      this.#forgetVanished();
-      must(this.#accepted.has(id), `${id} was told accepted but is not`);
+      this.#recomputeAccepted();
+      check(this.#accepted.has(id), `${id} was told accepted but is not`);
     }
     // On its second way, at another VM, a refusal that never read the log says nothing of the first.
-    const told = step.type === "conflict" || step.type === "invalid" ||
+    const wasRefused = step.type === "conflict" || step.type === "invalid" ||
       (step.type === "regressed" && !step.maybeAccepted &&
         !this.#resubmitted.has(id));
-    if (told && !this.#accepted.has(id)) this.#refused.add(id);
-    if (told && this.#accepted.has(id)) {
+    if (wasRefused && !this.#accepted.has(id)) this.#refused.add(id);
+    if (wasRefused && this.#accepted.has(id)) {
       throw new Error(`${id} is in the log but was told ${step.type}`);
     }
   }
@@ -225,7 +225,7 @@
     const { log, snapshot } = this.#store;
     const relation = vm.log.compareHead(head, readAtVersion);
     if (relation === "older") {
-      must(vm.log.regression !== undefined, "an older store without an alarm");
+      check(vm.log.regression !== undefined, "an older store without an alarm");
     }
     if (relation === "ahead") {
       const next = vm.log.table.version + 1;
@@ -233,18 +233,18 @@
       vm.log.offer([...log.values()]);
       vm.log.compareHead(head, readAtVersion);
     }
-    this.#check(vm);
+    this.#checkVm(vm);
   }
 
-  #land(flight: Flight | undefined): void {
-    if (flight?.result !== "flying") return;
-    const { edit, head, headRev } = flight.step;
+  #applyWrite(write: TableWrite | undefined): void {
+    if (write?.result !== "flying") return;
+    const { edit, head, headRev } = write.step;
     const store = this.#store;
     if (store.headRev !== headRev || store.log.has(edit.version)) {
-      flight.result = "conflict";
+      write.result = "conflict";
       return;
     }
-    flight.result = "done";
+    write.result = "done";
     store.rev++;
     store.head = head;
     store.headRev = store.rev;
@@ -253,30 +253,37 @@
   }
 
   #record(edit: LoggedEdit): void {
-    must(!this.#accepted.has(edit.id), `${edit.id} is in the log twice`);
-    this.#chain.set(edit.id, edit);
+    check(!this.#accepted.has(edit.id), `${edit.id} is in the log twice`);
+    this.#edits.set(edit.id, edit);
     this.#accepted.set(edit.id, edit);
     const previous = this.#tables.get(edit.prevId)!;
     for (const change of edit.changes) {
       const key = change.type === "put"
-        ? `region/${rowId(change)}`
+        ? `region/${findRegionId(change)}`
         : change.key;
-      const stood = previous.get(key)?.version ?? 0;
-      must(stood === change.ifVersion, `${edit.id} overwrote another's ${key}`);
+      const current = previous.get(key)?.version ?? 0;
+      check(
+        current === change.ifVersion,
+        `${edit.id} overwrote another's ${key}`,
+      );
     }
     this.#tables.set(edit.id, previous.apply(edit));
   }
 
-  #answer(flight: Flight | undefined, lost: boolean): void {
-    if (!flight) return;
-    if (flight.result === "flying" && !lost) return;
-    if (flight.result !== "flying") this.#drop(flight);
-    const { vm, attempt } = flight;
-    if (vm.waiting !== flight) return;
-    vm.waiting = undefined;
-    const { result } = flight;
-    const heard = !lost && result !== "flying" && result !== "cut";
-    this.#end(vm, attempt, attempt.onAnswer(heard ? result : "lost", vm.log));
+  #deliverAnswer(write: TableWrite | undefined, isLost: boolean): void {
+    if (!write) return;
+    if (write.result === "flying" && !isLost) return;
+    if (write.result !== "flying") this.#removeWrite(write);
+    const { vm, attempt } = write;
+    if (vm.pendingWrite !== write) return;
+    vm.pendingWrite = undefined;
+    const { result } = write;
+    const wasReceived = !isLost && result !== "flying" && result !== "cut";
+    this.#endAttempt(
+      vm,
+      attempt,
+      attempt.onAnswer(wasReceived ? result : "lost", vm.log),
+    );
   }
 
   #push(from: Vm, to: Vm, c: number): void {
@@ -284,40 +291,40 @@
     const part = edits.slice(c % (edits.length + 1));
     if (c % 2) part.reverse();
     to.log.offer(c % 3 ? part : [...part, ...part.slice(0, 2)]);
-    this.#check(to);
+    this.#checkVm(to);
   }
 
   #crash(index: number): void {
-    const [vm] = this.#vms.splice(index, 1, this.#freshVm());
-    vm.waiting = undefined;
+    const [vm] = this.#vms.splice(index, 1, this.#makeVm());
+    vm.pendingWrite = undefined;
     // The operator's tool has no answer and sends the same proposal to another VM.
-    this.#lost.push(...vm.attempts.map((attempt) => attempt.proposal));
-    this.#forgetVanished();
+    this.#unanswered.push(...vm.attempts.map((attempt) => attempt.proposal));
+    this.#recomputeAccepted();
   }
 
   /** Puts the old copy in place. That breaks the store's connections, so no write on its way lands afterwards. */
   #restore(): void {
-    if (!this.#saved) return;
-    this.#restored = true;
-    this.#store = copyStore(this.#saved);
-    for (const flight of this.#flights) {
-      if (flight.result === "flying") flight.result = "cut";
+    if (!this.#backup) return;
+    this.#isRestored = true;
+    this.#store = copyStore(this.#backup);
+    for (const write of this.#writes) {
+      if (write.result === "flying") write.result = "cut";
     }
-    this.#forgetVanished();
+    this.#recomputeAccepted();
   }
 
   /** A restore, or a crash after one, may take away an edit that nobody has in force: nothing holds for it any more. */
-  #forgetVanished(): void {
-    const standing = new Map<string, LoggedEdit>();
-    const ends = this.#vms.map((vm) => vm.log.lastId);
-    for (const end of [this.#store.head?.id ?? "", ...ends]) {
-      let edit = this.#chain.get(end);
+  #recomputeAccepted(): void {
+    const accepted = new Map<string, LoggedEdit>();
+    const lastIds = this.#vms.map((vm) => vm.log.lastId);
+    for (const lastId of [this.#store.head?.id ?? "", ...lastIds]) {
+      let edit = this.#edits.get(lastId);
       while (edit) {
-        standing.set(edit.id, edit);
-        edit = this.#chain.get(edit.prevId);
+        accepted.set(edit.id, edit);
+        edit = this.#edits.get(edit.prevId);
       }
     }
-    this.#accepted = standing;
+    this.#accepted = accepted;
   }
 
   #snapshot(vm: Vm): void {
@@ -332,43 +339,50 @@
     }
   }
 
-  #check(vm: Vm): void {
+  #checkVm(vm: Vm): void {
     const { table, lastId } = vm.log;
-    must(table.version >= vm.highest, "a VM's version went down");
-    vm.highest = table.version;
-    must(this.#restored || !vm.log.regression, "an alarm without a cause");
-    must(this.#continues(lastId, vm.lastId), "an edit in force was taken back");
+    check(table.version >= vm.maxVersion, "a VM's version went down");
+    vm.maxVersion = table.version;
+    check(this.#isRestored || !vm.log.regression, "an alarm without a cause");
+    check(
+      this.#historyContains(lastId, vm.lastId),
+      "an edit in force was taken back",
+    );
     vm.lastId = lastId;
-    const wanted = this.#tables.get(lastId);
-    must(wanted !== undefined, `edit ${lastId} was never accepted`);
-    must(rowsOf(wanted!) === rowsOf(table), `a VM's rows differ at ${lastId}`);
+    const expected = this.#tables.get(lastId);
+    check(expected !== undefined, `edit ${lastId} was never accepted`);
+    check(
+      formatTable(expected!) === formatTable(table),
+      `a VM's rows differ at ${lastId}`,
+    );
   }
 
   /** Whether the history that ends in `id` holds `earlier`. */
-  #continues(id: string, earlier: string): boolean {
-    let edit = this.#chain.get(id);
-    while (edit && edit.id !== earlier) edit = this.#chain.get(edit.prevId);
+  #historyContains(id: string, earlier: string): boolean {
+    let edit = this.#edits.get(id);
+    while (edit && edit.id !== earlier) edit = this.#edits.get(edit.prevId);
     return edit !== undefined || earlier === "";
   }
 
-  #pickFlight(move: Move, want?: "flying" | "landed"): Flight | undefined {
-    const flights = this.#flights.filter((flight) =>
-      want === undefined || (flight.result === "flying") === (want === "flying")
+  #pickWrite(move: Move, state?: "flying" | "landed"): TableWrite | undefined {
+    const writes = this.#writes.filter((write) =>
+      state === undefined ||
+      (write.result === "flying") === (state === "flying")
     );
-    return flights[move.a % Math.max(1, flights.length)];
+    return writes[move.a % Math.max(1, writes.length)];
   }
 
-  #drop(flight: Flight): void {
-    this.#flights = this.#flights.filter((it) => it !== flight);
+  #removeWrite(write: TableWrite): void {
+    this.#writes = this.#writes.filter((it) => it !== write);
   }
 
-  #busy(): boolean {
-    return this.#flights.length > 0 ||
+  #isBusy(): boolean {
+    return this.#writes.length > 0 ||
       this.#vms.some((vm) => vm.attempts.length > 0);
   }
 }
 
-function rowId(change: LoggedEdit["changes"][number]): string {
+function findRegionId(change: LoggedEdit["changes"][number]): string {
   return change.type === "put" && change.row.kind === "region"
     ? change.row.id
     : "";
@@ -376,7 +390,7 @@
 
 /** Replays one schedule; throws if a rule is violated. */
 export function replay(machines: Machines, moves: readonly Move[]): void {
-  const world = new World(machines, 3);
-  for (const move of moves) world.run(move);
-  world.settle();
+  const simulation = new TableSimulation(machines, 3);
+  for (const move of moves) simulation.runMove(move);
+  simulation.settle();
 }
--- a/test/gateway_lab.ts
+++ b/test/gateway_lab.ts
@@ -18,7 +18,7 @@
   ROUTE_HOST,
   Runner,
 } from "../src/standins/mod.ts";
-import { keepLog } from "./kept.ts";
+import { openLogFile } from "./kept.ts";
 
 /** What a caller got. */
 export interface CallerAnswer {
@@ -56,7 +56,7 @@
   readonly #keep: (text: string) => void;
 
   constructor(vmId: string) {
-    this.#keep = keepLog(vmId);
+    this.#keep = openLogFile(vmId);
   }
 
   debug(): void {}
--- a/test/house_test.ts
+++ b/test/house_test.ts
@@ -6,9 +6,9 @@
 import { codes } from "../src/base/mod.ts";
 
 const ROOT = fileURLToPath(new URL("../..", import.meta.url));
-const MOST_LINES = 400;
+const MAX_LINES = 400;
 /** Folders whose modules decide and do no I/O. */
-const PURE = [
+const PURE_FOLDERS = [
   "src/decisions/",
   "src/agreement/",
   "src/region/",
@@ -27,10 +27,10 @@
   "zod",
 ]);
 /** Reading a clock, timers and unseeded random numbers would make a decision differ from run to run. */
-const IMPURE =
+const IMPURE_CALLS =
   /\b(Date\.now|performance\.now|Math\.random|setTimeout|setInterval|setImmediate|fetch)\b/;
 /** The one module of `base` that reads the clocks, which decisions get as arguments. */
-const CLOCK = "src/base/clock.ts";
+const CLOCK_MODULE = "src/base/clock.ts";
 
 /** Names that the users' platform gives to its calls, headers, keys and fields. */
 const WIRE_NAMES =
@@ -41,7 +41,7 @@
   readonly text: string;
 }
 
-function sourcesOf(folder: string): Source[] {
+function readSources(folder: string): Source[] {
   if (!existsSync(join(ROOT, folder))) return [];
   const names = readdirSync(join(ROOT, folder), {
     recursive: true,
@@ -52,14 +52,14 @@
   });
 }
 
-const all = ["src", "test", "bench", "soak"].flatMap(sourcesOf);
-const byPath = new Map(all.map((source) => [source.path, source]));
-const modules = all.filter(({ path }) =>
+const allSources = ["src", "test", "bench", "soak"].flatMap(readSources);
+const byPath = new Map(allSources.map((source) => [source.path, source]));
+const modules = allSources.filter(({ path }) =>
   path.startsWith("src/") && !path.endsWith("_test.ts")
 );
 
 /** Files and packages that a module imports or re-exports. */
-function importsOf({ path, text }: Source, withTypes: boolean): string[] {
+function parseImports({ path, text }: Source, withTypes: boolean): string[] {
   const pattern =
     /^(?:import|export)\b(?<type> type \{)?[^;]*?\bfrom\s+"([^"]+)"|^import\s+"([^"]+)"/gm;
   const found = [...text.matchAll(pattern)].filter((match) =>
@@ -81,18 +81,18 @@
  * All that a module imports when it runs, over any number of steps, with what it comes through for the message. Imports
  * of types alone are erased.
  */
-function reached(start: Source): Map<string, string> {
-  const from = new Map<string, string>();
+function findReachableImports(start: Source): Map<string, string> {
+  const importedBy = new Map<string, string>();
   const queue = [start];
   for (let source = queue.pop(); source; source = queue.pop()) {
-    for (const name of importsOf(source, false)) {
-      if (from.has(name)) continue;
-      from.set(name, source.path);
+    for (const name of parseImports(source, false)) {
+      if (importedBy.has(name)) continue;
+      importedBy.set(name, source.path);
       const next = byPath.get(name);
       if (next) queue.push(next);
     }
   }
-  return from;
+  return importedBy;
 }
 
 /** A cycle in a graph, as the nodes on it; empty if there is none. */
@@ -119,33 +119,35 @@
   it("no module imports itself around a circle, types included", (t) => {
     const edges = new Map(modules.map((source) => [
       source.path,
-      new Set(importsOf(source, true).filter((name) => byPath.has(name))),
+      new Set(parseImports(source, true).filter((name) => byPath.has(name))),
     ]));
     t.deepEqual(findCycle(edges), []);
   });
 
   it("decisions and agreement reach nothing that does I/O", (t) => {
-    const pure = modules.filter(({ path }) =>
-      PURE.some((folder) => path.startsWith(folder))
+    const pureModules = modules.filter(({ path }) =>
+      PURE_FOLDERS.some((folder) => path.startsWith(folder))
     );
-    t.true(pure.length > 10);
-    for (const source of pure) {
+    t.true(pureModules.length > 10);
+    for (const source of pureModules) {
       t.notRegex(
         source.text.replaceAll(/\/\*\*[^]*?\*\//g, ""),
-        IMPURE,
+        IMPURE_CALLS,
         source.path,
       );
-      for (const [name, by] of reached(source)) {
+      for (const [name, importer] of findReachableImports(source)) {
         const allowed = byPath.has(name)
-          ? [...PURE, "src/base/"].some((folder) => name.startsWith(folder))
+          ? [...PURE_FOLDERS, "src/base/"].some((folder) =>
+            name.startsWith(folder)
+          )
           : PURE_PACKAGES.has(name);
-        t.true(allowed, `${source.path} reaches ${name} through ${by}`);
+        t.true(allowed, `${source.path} reaches ${name} through ${importer}`);
       }
     }
-    const clocks = modules.filter(({ path, text }) =>
-      path.startsWith("src/base/") && IMPURE.test(text)
+    const clockModules = modules.filter(({ path, text }) =>
+      path.startsWith("src/base/") && IMPURE_CALLS.test(text)
     );
-    t.deepEqual(clocks.map(({ path }) => path), [CLOCK]);
+    t.deepEqual(clockModules.map(({ path }) => path), [CLOCK_MODULE]);
   });
 
   it("folders do not import each other in a circle", (t) => {
@@ -153,7 +155,7 @@
     for (const source of modules) {
       const from = folderOf(source.path);
       const to = edges.get(from) ?? new Set();
-      for (const name of importsOf(source, true)) {
+      for (const name of parseImports(source, true)) {
         if (byPath.has(name) && folderOf(name) !== from) to.add(folderOf(name));
       }
       edges.set(from, to);
@@ -161,19 +163,21 @@
     t.deepEqual(findCycle(edges), []);
   });
 
-  it(`no source file is longer than ${MOST_LINES} lines`, (t) => {
-    const long = all.filter(({ text }) =>
-      text.trimEnd().split("\n").length > MOST_LINES
+  it(`no source file is longer than ${MAX_LINES} lines`, (t) => {
+    const tooLong = allSources.filter(({ text }) =>
+      text.trimEnd().split("\n").length > MAX_LINES
     );
-    t.deepEqual(long.map(({ path }) => path), []);
+    t.deepEqual(tooLong.map(({ path }) => path), []);
   });
 
   it("the platform's names stand in the adapter and the stand-ins alone", (t) => {
-    const apart = modules.filter(({ path }) =>
+    const otherModules = modules.filter(({ path }) =>
       !path.startsWith("src/platform/") && !path.startsWith("src/standins/")
     );
-    t.true(apart.length > 100);
-    for (const { path, text } of apart) t.notRegex(text, WIRE_NAMES, path);
+    t.true(otherModules.length > 100);
+    for (const { path, text } of otherModules) {
+      t.notRegex(text, WIRE_NAMES, path);
+    }
   });
 
   it("modules and exported items have doc comments", (t) => {
@@ -183,11 +187,11 @@
         missing.push(`${path}: module`);
       }
       const lines = text.split("\n");
-      lines.forEach((line, at) => {
+      lines.forEach((line, index) => {
         const item =
           /^export (?:declare )?(?:async |abstract )*(?:function|class|const|interface|type|enum) (\w+)/
             .exec(line);
-        if (item && !lines[at - 1]?.trimEnd().endsWith("*/")) {
+        if (item && !lines[index - 1]?.trimEnd().endsWith("*/")) {
           missing.push(`${path}: ${item[1]}`);
         }
       });
@@ -207,14 +211,14 @@
     const page = pages.find(({ path }) => path === "docs/RESULT_CODES.md")!;
     const rows = page.text.split("\n").filter((line) => /^\| \d/.test(line))
       .map((line) => line.split("|").slice(1, 6).map((cell) => cell.trim()));
-    const wanted = Object.entries(codes).map(([name, row]) => [
+    const expected = Object.entries(codes).map(([name, row]) => [
       String(row.code),
       `\`${name}\``,
       String(row.httpStatus),
       row.ran,
       row.retryable ? "yes" : "no",
     ]);
-    t.deepEqual(rows, wanted);
+    t.deepEqual(rows, expected);
   });
 
   it("PROOF.md names tests that exist", (t) => {
@@ -222,9 +226,9 @@
       /\s+/g,
       " ",
     );
-    const named = [...page.matchAll(/`([\w/]+_test\.ts)`: "([^"]+)"/g)];
-    t.true(named.length > 30);
-    for (const [, path, title] of named) {
+    const references = [...page.matchAll(/`([\w/]+_test\.ts)`: "([^"]+)"/g)];
+    t.true(references.length > 30);
+    for (const [, path, title] of references) {
       const text = readFileSync(join(ROOT, path), "utf8");
       t.true(text.includes(title), `${path} has no test "${title}"`);
     }
--- a/test/kept.ts
+++ b/test/kept.ts
@@ -8,17 +8,20 @@
 import { join } from "node:path";
 
 /** Folder of kept logs; nothing is kept if it is not set. */
-const FOLDER = process.env.IBISGAP_TEST_LOGS;
+const LOG_FOLDER = process.env.IBISGAP_TEST_LOGS;
 /** The test file, as `describe` sets it. */
-const FILE_VARIABLE = "IBISGAP_TEST_FILE";
+const TEST_FILE_VARIABLE = "IBISGAP_TEST_FILE";
 
-let count = 0;
+let fileCount = 0;
 
 /** Opens a kept log; `name` tells it from others of the same test file. */
-export function keepLog(name: string): (text: string) => void {
-  if (!FOLDER) return () => {};
-  const file = process.env[FILE_VARIABLE] ?? "other";
-  const path = join(FOLDER, `${file}.${process.pid}.${count++}.${name}.log`);
+export function openLogFile(name: string): (text: string) => void {
+  if (!LOG_FOLDER) return () => {};
+  const file = process.env[TEST_FILE_VARIABLE] ?? "other";
+  const path = join(
+    LOG_FOLDER,
+    `${file}.${process.pid}.${fileCount++}.${name}.log`,
+  );
   let stream: WriteStream | undefined;
   return (text) => {
     stream ??= createWriteStream(path, { flags: "a" });
--- a/test/log_flood.ts
+++ b/test/log_flood.ts
@@ -6,14 +6,14 @@
 
 import { LineLog, openStandardOutput } from "../src/gateway/mod.ts";
 
-const LINES = 20_000;
+const LINE_COUNT = 20_000;
 /** Lines of one made-up second: below what a second may write, so that only the reader limits them. */
 const LINES_PER_S = 200;
 
 const sink = openStandardOutput();
 let nowMs = 0;
 const log = new LineLog(sink, { vm: "vm-1" }, () => nowMs);
-for (let i = 0; i < LINES; i++) {
+for (let i = 0; i < LINE_COUNT; i++) {
   if (i % LINES_PER_S === 0) nowMs += 1_000;
   log.info("request", {
     attempt: `a-${i}`,
@@ -21,5 +21,5 @@
     text: "x".repeat(200),
   });
 }
-process.stderr.write(`written ${LINES}, waiting ${sink.waitingBytes()}\n`);
+process.stderr.write(`written ${LINE_COUNT}, waiting ${sink.waitingBytes()}\n`);
 setTimeout(() => process.exit(0), 60_000);
--- a/test/path_test.ts
+++ b/test/path_test.ts
@@ -2,12 +2,12 @@
 import { describe, itAlone as it } from "../src/base/describe.ts";
 import { formatAnswer } from "../src/standins/mod.ts";
 import {
-  caller,
+  callVm,
   Cluster,
   keyOf,
-  refusal,
+  readError,
   standardRows,
-  upstream,
+  upstreamRow,
   type Vm,
 } from "./cluster.ts";
 
@@ -15,21 +15,21 @@
 const KEY = keyOf(REGION);
 
 /** Two VMs of one region, an engine and a ledger, each in a process of its own where it matters. */
-async function openRegion(
+async function openTestRegion(
   t: ExecutionContext,
 ): Promise<{ cluster: Cluster; vms: Vm[] }> {
   const cluster = new Cluster();
   t.teardown(() => cluster.close());
   await cluster.startPlatform();
   const [engine, ledger] = await cluster.startUpstreams(1, 1);
-  await cluster.seed(standardRows([REGION], [
-    upstream("engine-1", "plan", REGION, engine.url),
-    upstream("ledger-1", "ledger", REGION, ledger.url),
+  await cluster.seedTable(standardRows([REGION], [
+    upstreamRow("engine-1", "plan", REGION, engine.url),
+    upstreamRow("ledger-1", "ledger", REGION, ledger.url),
   ]));
   await cluster.startRegions([REGION], 2);
   const vms = [...cluster.vms.values()];
   for (const vm of vms) {
-    await cluster.until(
+    await cluster.waitFor(
       vm,
       (status) => status.tableVersion === 1 && status.region.length === 2,
     );
@@ -39,14 +39,14 @@
 
 describe("path, each part a process", () => {
   it("serves models and the ledger through either VM, each call once", async (t) => {
-    const { vms } = await openRegion(t);
+    const { vms } = await openTestRegion(t);
     for (const vm of vms) {
       const body = {
         model: "plan",
         max_tokens: 6,
         messages: [{ role: "user", content: `nonce:${vm.id} pass?` }],
       };
-      const answer = await caller(vm, KEY, "/v1/chat/completions", { body });
+      const answer = await callVm(vm, KEY, "/v1/chat/completions", { body });
       t.is(answer.statusCode, 200, answer.body);
       t.is(
         JSON.parse(answer.body).choices[0].message.content,
@@ -54,18 +54,22 @@
       );
       t.is(answer.headers["x-ibisgap-region"], REGION);
     }
-    const log = (vm: Vm, truck: number) =>
-      caller(vm, KEY, "/services/ledger/departures", {
+    const sendDeparture = (vm: Vm, truck: number) =>
+      callVm(vm, KEY, "/services/ledger/departures", {
         body: { truck },
         headers: { "idempotency-key": "dep-1" },
       });
-    const first = await log(vms[0], 1);
-    const second = await log(vms[1], 1);
+    const first = await sendDeparture(vms[0], 1);
+    const second = await sendDeparture(vms[1], 1);
     t.is(first.statusCode, 200, first.body);
     t.is(second.body, first.body);
     t.is(second.headers["x-ibisgap-repeated"], "true");
-    const other = await log(vms[1], 2);
-    t.deepEqual([other.statusCode, refusal(other).code, refusal(other).ran], [
+    const changed = await sendDeparture(vms[1], 2);
+    t.deepEqual([
+      changed.statusCode,
+      readError(changed).code,
+      readError(changed).ran,
+    ], [
       422,
       2010,
       "no",
@@ -75,42 +79,42 @@
   // A VM gets SIGTERM while a caller reads a stream from it. The stream must end whole, new requests are told where to
   // go and that nothing ran, and the process ends by itself with code 0.
   it("stops a VM in good order", async (t) => {
-    const { vms: [leaving, staying] } = await openRegion(t);
+    const { vms: [stoppingVm, otherVm] } = await openTestRegion(t);
     const body = {
       model: "plan",
       max_tokens: 150,
       stream: true,
       messages: [{ role: "user", content: "nonce:slow plan" }],
     };
-    const open = await fetch(`${leaving.url}/v1/chat/completions`, {
+    const response = await fetch(`${stoppingVm.url}/v1/chat/completions`, {
       method: "POST",
       headers: { authorization: `Bearer ${KEY}` },
       body: JSON.stringify(body),
     });
-    const reader = open.body!.getReader();
+    const reader = response.body!.getReader();
     const chunks = [(await reader.read()).value!];
-    leaving.proc.signal("SIGTERM");
-    await leaving.proc.said(/event=stopping/);
-    const refused = await caller(leaving, KEY, "/v1/chat/completions", {
+    stoppingVm.proc.signal("SIGTERM");
+    await stoppingVm.proc.waitForOutput(/event=stopping/);
+    const refused = await callVm(stoppingVm, KEY, "/v1/chat/completions", {
       body,
     });
     t.deepEqual([
       refused.statusCode,
-      refusal(refused).code,
-      refusal(refused).ran,
+      readError(refused).code,
+      readError(refused).ran,
     ], [503, 3006, "no"]);
-    t.deepEqual(refusal(refused).goTo, [staying.url]);
+    t.deepEqual(readError(refused).goTo, [otherVm.url]);
     for (;;) {
       const { value, done } = await reader.read();
       if (done) break;
       chunks.push(value);
     }
     t.is(
-      streamedText(Buffer.concat(chunks).toString()),
+      parseStreamedText(Buffer.concat(chunks).toString()),
       formatAnswer("slow", 150),
     );
-    t.is(await leaving.proc.exited, 0);
-    const after = await caller(staying, KEY, "/v1/chat/completions", {
+    t.is(await stoppingVm.proc.exited, 0);
+    const after = await callVm(otherVm, KEY, "/v1/chat/completions", {
       body: { ...body, stream: false, max_tokens: 5 },
     });
     t.is(after.statusCode, 200, after.body);
@@ -118,7 +122,7 @@
 });
 
 /** The answer's text; throws unless the stream ends with its end mark. */
-function streamedText(events: string): string {
+function parseStreamedText(events: string): string {
   const data = events.trim().split("\n\n").map((event) =>
     event.slice("data: ".length)
   );
--- a/test/shift_test.ts
+++ b/test/shift_test.ts
@@ -3,76 +3,76 @@
 import { secretDigest } from "../src/base/mod.ts";
 import { formatAnswer } from "../src/standins/mod.ts";
 import {
-  caller,
+  callVm,
   Cluster,
   keyOf,
-  refusal,
+  readError,
   sleep,
   standardRows,
-  upstream,
+  upstreamRow,
   type Vm,
 } from "./cluster.ts";
 
 const HOME = "agadir";
-const FAR = "marrakech";
-const FREE_KEY = "key-of-free-workspace";
+const REMOTE = "marrakech";
+const UNBOUND_KEY = "key-of-free-workspace";
 
-interface Bench {
+interface TestRegions {
   readonly cluster: Cluster;
   readonly home: Vm;
-  readonly far: Vm;
+  readonly remote: Vm;
 }
 
 /** Two regions of one VM and one engine each; the home's engine runs one request at a time. */
-async function openRegions(t: ExecutionContext): Promise<Bench> {
+async function openRegions(t: ExecutionContext): Promise<TestRegions> {
   const cluster = new Cluster();
   t.teardown(() => cluster.close());
   await cluster.startPlatform();
-  const [near, far, ledger] = await cluster.startUpstreams(2, 1);
-  await cluster.seed([
-    ...standardRows([HOME, FAR], [
-      upstream("near", "plan", HOME, near.url, { slots: 1 }),
-      upstream("far", "plan", FAR, far.url, { slots: 16 }),
-      upstream("ledger-1", "ledger", HOME, ledger.url),
+  const [homeEngine, remoteEngine, ledger] = await cluster.startUpstreams(2, 1);
+  await cluster.seedTable([
+    ...standardRows([HOME, REMOTE], [
+      upstreamRow("near", "plan", HOME, homeEngine.url, { slots: 1 }),
+      upstreamRow("far", "plan", REMOTE, remoteEngine.url, { slots: 16 }),
+      upstreamRow("ledger-1", "ledger", HOME, ledger.url),
     ]),
-    { kind: "traffic", service: "plan", region: HOME, mayGoTo: [FAR] },
+    { kind: "traffic", service: "plan", region: HOME, mayGoTo: [REMOTE] },
     {
       kind: "workspace",
       id: "free",
       home: HOME,
       bound: false,
-      keyDigests: [secretDigest(FREE_KEY)],
+      keyDigests: [secretDigest(UNBOUND_KEY)],
     },
   ]);
-  await cluster.startRegions([HOME, FAR], 1);
-  const [homeVm, farVm] = [
+  await cluster.startRegions([HOME, REMOTE], 1);
+  const [homeVm, remoteVm] = [
     cluster.vms.get(`${HOME}-1`)!,
-    cluster.vms.get(`${FAR}-1`)!,
+    cluster.vms.get(`${REMOTE}-1`)!,
   ];
-  for (const vm of [homeVm, farVm]) {
-    await cluster.until(vm, (status) => status.tableVersion === 1);
+  for (const vm of [homeVm, remoteVm]) {
+    await cluster.waitFor(vm, (status) => status.tableVersion === 1);
   }
-  return { cluster, home: homeVm, far: farVm };
+  return { cluster, home: homeVm, remote: remoteVm };
 }
 
-interface Told {
+interface Reply {
   readonly httpStatus: number;
   readonly region: string | undefined;
   readonly text: string;
 }
 
-async function ask(
+async function sendChat(
   vm: Vm,
   key: string,
   nonce: string,
-  tokens: number,
-): Promise<Told> {
+  maxTokens: number,
+): Promise<Reply> {
   const body = {
     model: "plan",
-    max_tokens: tokens,
+    max_tokens: maxTokens,
     messages: [{ role: "user", content: `nonce:${nonce} route` }],
   };
-  const answer = await caller(vm, key, "/v1/chat/completions", { body });
+  const answer = await callVm(vm, key, "/v1/chat/completions", { body });
   const text = answer.statusCode === 200
     ? JSON.parse(answer.body).choices[0].message.content
     : answer.body;
@@ -84,9 +84,12 @@
 }
 
 /** Sends `count` requests side by side, enough to keep the home's one slot busy for seconds. */
-function burst(vm: Vm, key: string, count: number): Promise<Told[]> {
+function sendBurst(vm: Vm, key: string, count: number): Promise<Reply[]> {
   return Promise.all(
-    Array.from({ length: count }, (_, i) => ask(vm, key, `${key}-${i}`, 60)),
+    Array.from(
+      { length: count },
+      (_, i) => sendChat(vm, key, `${key}-${i}`, 60),
+    ),
   );
 }
 
@@ -96,45 +99,52 @@
   // the table binds stays at home in the same burst.
   it("moves what may move, and nothing else", async (t) => {
     const { home } = await openRegions(t);
-    const moved: Told[] = [];
+    const replies: Reply[] = [];
     for (
       let round = 0;
-      round < 10 && !moved.some((told) => told.region === FAR);
+      round < 10 && !replies.some((reply) => reply.region === REMOTE);
       round++
     ) {
-      moved.push(...await burst(home, FREE_KEY, 8));
+      replies.push(...await sendBurst(home, UNBOUND_KEY, 8));
     }
-    t.true(moved.some((told) => told.region === FAR), "nothing moved");
-    for (const [i, told] of moved.entries()) {
-      t.is(told.httpStatus, 200, told.text);
-      t.is(told.text, formatAnswer(`${FREE_KEY}-${i % 8}`, 60));
+    t.true(replies.some((reply) => reply.region === REMOTE), "nothing moved");
+    for (const [i, reply] of replies.entries()) {
+      t.is(reply.httpStatus, 200, reply.text);
+      t.is(reply.text, formatAnswer(`${UNBOUND_KEY}-${i % 8}`, 60));
     }
-    const bound = await burst(home, keyOf(HOME), 8);
-    t.deepEqual([...new Set(bound.map((told) => told.region))], [HOME]);
+    const boundReplies = await sendBurst(home, keyOf(HOME), 8);
+    t.deepEqual([...new Set(boundReplies.map((reply) => reply.region))], [
+      HOME,
+    ]);
   });
 
   // The far region is cut off. Its digest ages, nothing is sent there, and the home serves its own as well as it can:
   // callers see waiting, not errors. When the link is back, requests move again.
   it("stays at home while the link is cut", async (t) => {
-    const { cluster, home, far } = await openRegions(t);
-    await cluster.setLinks(home, { cut: { peer: {}, cut: true } });
+    const { cluster, home, remote } = await openRegions(t);
+    await cluster.setLinkFaults(home, { cut: { peer: {}, cut: true } });
     await sleep(4000);
-    const alone = await burst(home, FREE_KEY, 8);
+    const localReplies = await sendBurst(home, UNBOUND_KEY, 8);
     t.deepEqual([
-      ...new Set(alone.map((told) => [told.httpStatus, told.region].join())),
+      ...new Set(
+        localReplies.map((reply) => [reply.httpStatus, reply.region].join()),
+      ),
     ], [`200,${HOME}`]);
-    const foreign = await caller(far, keyOf(HOME), "/services/ledger/x", {
+    const refused = await callVm(remote, keyOf(HOME), "/services/ledger/x", {
       body: {},
       headers: { "idempotency-key": "k" },
     });
-    t.deepEqual([refusal(foreign).code, refusal(foreign).ran], [2008, "no"]);
-    await cluster.setLinks(home, {});
+    t.deepEqual([readError(refused).code, readError(refused).ran], [
+      2008,
+      "no",
+    ]);
+    await cluster.setLinkFaults(home, {});
     const regions = new Set<string | undefined>();
-    for (let round = 0; round < 20 && !regions.has(FAR); round++) {
-      for (const told of await burst(home, FREE_KEY, 8)) {
-        regions.add(told.region);
+    for (let round = 0; round < 20 && !regions.has(REMOTE); round++) {
+      for (const reply of await sendBurst(home, UNBOUND_KEY, 8)) {
+        regions.add(reply.region);
       }
     }
-    t.true(regions.has(FAR), "nothing moved after the link came back");
+    t.true(regions.has(REMOTE), "nothing moved after the link came back");
   });
 });
--- a/test/table_vms.ts
+++ b/test/table_vms.ts
@@ -39,7 +39,7 @@
   readonly store: EtcdKeyValue;
   readonly table: TableService;
   readonly editor: TableEditor;
-  #open = true;
+  #isOpen = true;
 
   private constructor(options: TableVmOptions, transport: WsTransport) {
     const { id, region, platformUrl, periods } = options;
@@ -94,8 +94,8 @@
   }
 
   /** Whether it has crashed. */
-  get closed(): boolean {
-    return !this.#open;
+  get isClosed(): boolean {
+    return !this.#isOpen;
   }
 
   /** The version in force here; 0 for none. */
@@ -111,7 +111,7 @@
 
   /** Puts rows, without looking at what stands there. */
   put(...rows: readonly unknown[]) {
-    return this.edit(rows.map((it) => ({ type: "put", row: rowOf(it) })));
+    return this.edit(rows.map((it) => ({ type: "put", row: parseRow(it) })));
   }
 
   /** The table's state as `ibisgap dump` shows it. */
@@ -121,8 +121,8 @@
 
   /** Ends as a crash does: connections break, nobody is told. */
   async crash(): Promise<void> {
-    if (!this.#open) return;
-    this.#open = false;
+    if (!this.#isOpen) return;
+    this.#isOpen = false;
     await this.transport.terminate();
     await this.kernel.close(Date.now());
     await this.store.close();
@@ -130,17 +130,17 @@
 }
 
 /** A row with defaults filled in. */
-export function rowOf(row: unknown): TableRow {
+export function parseRow(row: unknown): TableRow {
   return tableRow.parse(row);
 }
 
 /** The key of a row with defaults filled in. */
-export function keyOfRow(row: unknown): string {
-  return rowKey(rowOf(row));
+export function parseRowKey(row: unknown): string {
+  return rowKey(parseRow(row));
 }
 
 /** A region's row; its weight tells one edit from another. */
-export function regionRowOf(id: string, weight = 1) {
+export function makeRegionRow(id: string, weight = 1) {
   return { kind: "region", id, weight };
 }
 
@@ -148,11 +148,11 @@
 export async function openTableVms(
   platformUrl: string,
   regions: readonly string[],
-  count: number,
+  vmsPerRegion: number,
   periods?: Partial<TablePeriods>,
 ): Promise<TableVm[]> {
   const vms: TableVm[] = [];
-  for (let i = 0; i < count; i++) {
+  for (let i = 0; i < vmsPerRegion; i++) {
     for (const region of regions) {
       const seeds = vms.slice(0, 3).map((vm) => vm.transport.address);
       const id = `${region}-${i}`;
--- a/test/vms.ts
+++ b/test/vms.ts
@@ -45,22 +45,22 @@
 }
 
 /** A table of these rows, with defaults filled in. */
-export function tableOf(version: number, rows: readonly unknown[]): Table {
+export function makeTable(version: number, rows: readonly unknown[]): Table {
   const parsed: TableRow[] = rows.map((row) => tableRow.parse(row));
   return Table.of(version, parsed.map((row) => ({ row, version })));
 }
 
 /** One service `plan` with this many upstreams of `slots` slots in each region. */
-export function planTable(
+export function makePlanTable(
   version: number,
   regions: readonly string[],
-  upstreams: number,
-  slots: number,
+  upstreamCount: number,
+  slotsPerUpstream: number,
 ): Table {
   const rows: unknown[] = [{ kind: "service", id: "plan", type: "model" }];
   for (const region of regions) {
     rows.push({ kind: "region", id: region });
-    for (let n = 0; n < upstreams; n++) {
+    for (let n = 0; n < upstreamCount; n++) {
       rows.push({
         kind: "upstream",
         id: `${region}-u${n}`,
@@ -68,17 +68,17 @@
         region,
         failureDomain: `${region}-1`,
         url: `http://127.0.0.1:1/${region}-u${n}`,
-        slots,
+        slots: slotsPerUpstream,
       });
     }
   }
-  return tableOf(version, rows);
+  return makeTable(version, rows);
 }
 
 /** A request for a slot of `plan`. */
-export function planRequest(
+export function makePlanRequest(
   attemptId: string,
-  more: Partial<SlotRequest> = {},
+  overrides: Partial<SlotRequest> = {},
 ): SlotRequest {
   const nowMs = Date.now();
   return {
@@ -93,7 +93,7 @@
     expectedOutputTokens: 20,
     exclude: [],
     tableVersion: 1,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -177,22 +177,22 @@
   }
 
   /** The VMs of its region as it sees them, by id. */
-  async sees(): Promise<Map<string, VmInfo>> {
+  async readRegion(): Promise<Map<string, VmInfo>> {
     const region = await this.members.ask("region", undefined);
     return new Map(region.map((info) => [info.id, info]));
   }
 
   /** The pools that it leads, by key. */
-  leads(): string[] {
-    return Object.keys(this.#ledPools());
+  ledPoolKeys(): string[] {
+    return Object.keys(this.#dumpLedPools());
   }
 
   /** A pool that it leads. */
-  led(pool: string): LedPool | undefined {
-    return this.#ledPools()[pool];
+  ledPool(pool: string): LedPool | undefined {
+    return this.#dumpLedPools()[pool];
   }
 
-  #ledPools(): Record<string, LedPool> {
+  #dumpLedPools(): Record<string, LedPool> {
     const slots = this.kernel.dump().slots as
       | { leads: { pools: Record<string, LedPool> } }
       | undefined;
@@ -222,8 +222,8 @@
 ): Promise<Vm[]> {
   const vms: Vm[] = [];
   for (let n = 0; n < count; n++) {
-    const known = vms.slice(0, 3).map((vm) => vm.address);
-    const seeds = [...known, ...options.seeds ?? []];
+    const earlierAddresses = vms.slice(0, 3).map((vm) => vm.address);
+    const seeds = [...earlierAddresses, ...options.seeds ?? []];
     vms.push(
       await Vm.open({ ...options, id: `${region}-${n}`, region, seeds }),
     );
@@ -232,23 +232,25 @@
 }
 
 /** Waits until `holds`; fails after 30 s, which only guards against a hang. */
-export async function until(
-  what: string,
-  holds: () => boolean | Promise<boolean>,
+export async function waitUntil(
+  description: string,
+  isTrue: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const giveUpMs = Date.now() + 30_000;
-  while (!await holds()) {
-    if (Date.now() > giveUpMs) throw new Error(`never came true: ${what}`);
+  const deadlineMs = Date.now() + 30_000;
+  while (!await isTrue()) {
+    if (Date.now() > deadlineMs) {
+      throw new Error(`never came true: ${description}`);
+    }
     await systemClock.sleep(20);
   }
 }
 
 /** Waits until every VM sees exactly these VMs, all of them live. */
-export async function untilAgreed(vms: readonly Vm[]): Promise<void> {
+export async function waitUntilAgreed(vms: readonly Vm[]): Promise<void> {
   const ids = vms.map((vm) => vm.id).sort().join();
-  await until(`all see ${ids}`, async () => {
+  await waitUntil(`all see ${ids}`, async () => {
     for (const vm of vms) {
-      const seen = [...(await vm.sees()).values()];
+      const seen = [...(await vm.readRegion()).values()];
       const live = seen.filter((info) => info.state === "live");
       if (live.map((info) => info.id).sort().join() !== ids) return false;
     }
@@ -257,8 +259,11 @@
 }
 
 /** The one VM that leads this pool; waits until there is exactly one. */
-export async function leadOf(vms: readonly Vm[], pool: string): Promise<Vm> {
-  const leads = () => vms.filter((vm) => vm.leads().includes(pool));
-  await until(`one VM leads ${pool}`, () => leads().length === 1);
-  return leads()[0];
+export async function waitForLead(
+  vms: readonly Vm[],
+  pool: string,
+): Promise<Vm> {
+  const findLeads = () => vms.filter((vm) => vm.ledPoolKeys().includes(pool));
+  await waitUntil(`one VM leads ${pool}`, () => findLeads().length === 1);
+  return findLeads()[0];
 }
