--- a/src/edge/answer.ts
+++ b/src/edge/answer.ts
@@ -1,6 +1,6 @@
 /**
- * What callers are told: the OpenAI error shape with the numbered result code, whether the request ran, and when or
- * where to come back.
+ * Sends responses to callers. Errors have the OpenAI error format plus the numeric result code, whether the request
+ * ran, and when or where to retry.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import type { ServerResponse } from "node:http";
 import { codes, type Failure } from "../base/mod.ts";
 
-/** Which VM and region answers; sent with every answer. */
+/** The VM that responds and its region; sent with every response. */
 export interface VmIdentity {
   readonly vmId: string;
   readonly region: string;
 }
 
-/** The JSON body of a failure. */
+/** Builds the JSON body of a failure. */
 export function buildFailureBody(
   failure: Failure,
 ): { readonly error: Record<string, unknown> } {
@@ -34,13 +34,13 @@
   };
 }
 
-/** Marks an answer with the region and VM that serve it. */
+/** Sets the headers that name the region and VM that serve the request. */
 export function setVmHeaders(response: ServerResponse, vm: VmIdentity): void {
   response.setHeader("x-ibisgap-region", vm.region);
   response.setHeader("x-ibisgap-vm", vm.vmId);
 }
 
-/** Sends a failure; its body and headers are final and leave at once. */
+/** Sends a failure as the complete response. If the headers were already sent, the connection is closed instead. */
 export function sendFailure(
   response: ServerResponse,
   failure: Failure,
@@ -63,7 +63,7 @@
   response.end(JSON.stringify(buildFailureBody(failure)));
 }
 
-/** Sends a value as JSON. */
+/** Sends a value as a JSON response. */
 export function sendJson(
   response: ServerResponse,
   httpStatus: number,
--- a/src/edge/attempts.ts
+++ b/src/edge/attempts.ts
@@ -1,5 +1,5 @@
 /**
- * Attempts of one request: a slot from the pool's lead for each, and its report at the end.
+ * Attempts of one request. Each attempt needs a slot from the pool's lead and reports its outcome at the end.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import { type Call, isBound } from "./call.ts";
 import type { EdgeContext } from "./context.ts";
 
-/** What placing a request needs, besides its {@link Call}. */
+/** What the lead needs to place a request, besides its {@link Call}. */
 export interface SlotDemand {
   readonly service: string;
   readonly deadlineMs: number;
@@ -19,14 +19,14 @@
   readonly prefixHashes: readonly number[];
 }
 
-/** What was seen of an attempt. */
+/** Measurements of an attempt, as far as they are known. */
 export interface AttemptStats {
   readonly firstTokenAtMs?: number;
   readonly outputTokens?: number;
   readonly cachedTokens?: number;
 }
 
-/** A granted attempt; it must be ended by {@link Attempt.report} or {@link Attempt.cancel}, once. */
+/** An attempt whose slot was granted. It must be ended by {@link Attempt.report} or {@link Attempt.cancel}. */
 export class Attempt {
   readonly grant: SlotGrant;
   readonly startedAtMs: number;
@@ -41,7 +41,7 @@
     this.startedAtMs = context.clock.nowMs();
   }
 
-  /** The first token came: the lead learns of a slow upstream now and not at the answer's end. */
+  /** Reports the first token, so that the lead learns of a slow upstream now and not at the end of the answer. */
   reportStarted(firstTokenAtMs: number): void {
     void this.#context.slots.ask(
       "report",
@@ -49,14 +49,14 @@
     );
   }
 
-  /** Frees the slot and tells the lead how the upstream did. */
+  /** Frees the slot and reports the outcome to the lead. */
   report(outcome: SlotReport["outcome"], stats: AttemptStats = {}): void {
     if (this.#hasEnded) return;
     this.#hasEnded = true;
     void this.#context.slots.ask("report", this.#buildReport(outcome, stats));
   }
 
-  /** Gives the slot back unused. */
+  /** Returns the slot unused. */
   cancel(): void {
     if (this.#hasEnded) return;
     this.#hasEnded = true;
@@ -86,7 +86,7 @@
   }
 }
 
-/** Asks for slots for one request, never for an upstream it was already at. */
+/** Acquires slots for one request, never at an upstream that the request has already tried. */
 export class AttemptIterator {
   readonly #context: EdgeContext;
   readonly #call: Call;
@@ -100,13 +100,13 @@
     this.#demand = demand;
   }
 
-  /** Whether another attempt is allowed: a request that fails everywhere must not go round for ever. */
+  /** Whether another attempt is allowed. The limits keep a request that fails everywhere from being retried forever. */
   get hasNext(): boolean {
     return this.#triedUpstreamIds.length < this.#context.limits.attempts &&
       this.#context.clock.nowMs() < this.#demand.deadlineMs;
   }
 
-  /** Waits for a slot. Fails with the lead's refusal, or `canceled` when the caller has gone. */
+  /** Waits for a slot. Fails with the lead's refusal, or with `canceled` if the caller has disconnected. */
   async next(): Promise<Result<Attempt, Failure>> {
     const attemptId = this.#context.createAttemptId();
     const service = this.#demand.service;
--- a/src/edge/body.ts
+++ b/src/edge/body.ts
@@ -1,5 +1,5 @@
 /**
- * Reading bodies within limits.
+ * Reads bodies within limits on size and time.
  *
  * @module
  */
@@ -9,15 +9,15 @@
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, type Failure, failure } from "../base/mod.ts";
 
-/** Bounds on a caller's body. */
+/** Limits on the body of a caller's request. */
 export interface BodyLimits {
   readonly bodyBytes: number;
   readonly bodyWaitMs: number;
 }
 
 /**
- * The whole body of a caller's request. A caller that sends it drop by drop would hold memory and a connection for
- * ever; it is cut off when the wait is over.
+ * Reads the whole body of a caller's request. A caller that sends its body too slowly would hold memory and a
+ * connection indefinitely, so the read fails after `bodyWaitMs`.
  */
 export function readBody(
   request: IncomingMessage,
@@ -67,10 +67,12 @@
   );
 }
 
-/** A whole answer that is not passed on as it comes may be this long. */
+/** Maximum length of an upstream's answer that is buffered whole instead of streamed. */
 const MAX_ANSWER_BYTES = 32 << 20;
 
-/** The whole body of an upstream's answer; `undefined` if it broke off or is too long to hold. */
+/**
+ * Reads the whole body of an upstream's answer; `undefined` if the connection broke or the body is too long to buffer.
+ */
 export async function readAnswerBody(
   body: Readable,
 ): Promise<Buffer | undefined> {
--- a/src/edge/call.ts
+++ b/src/edge/call.ts
@@ -1,5 +1,5 @@
 /**
- * What the edge knows of a caller's request before it reads the body.
+ * What the edge knows about a caller's request before it reads the body.
  *
  * @module
  */
@@ -13,22 +13,22 @@
 import type { ServiceRow, Table, WorkspaceRow } from "../agreement/mod.ts";
 import { type Failure, failure } from "../base/mod.ts";
 
-/** Lowest and highest priority a caller may ask for; 0 is the default. */
+/** Minimum and maximum priority that a caller may request; 0 is the default. */
 const PRIORITY_LIMITS = { min: -10, max: 10 };
 
 const IDEMPOTENCY_KEY_PATTERN = /^[\x21-\x7e]{1,255}$/;
 
-/** What the headers say. */
+/** The parsed request headers that affect how a call is handled. */
 export interface CallHeaders {
   readonly priority: number;
-  /** The answer must begin by then; absent: the service's default counts from arrival. */
+  /** Time by which the response must begin. If absent, the service's default deadline counts from the arrival. */
   readonly deadlineMs?: number;
   readonly idempotencyKey?: string;
-  /** The caller itself binds the request to its home region. */
+  /** Whether the caller requires that the request is served in its home region. */
   readonly bound: boolean;
 }
 
-/** A caller's request on its way through the edge. It is decided on one `table` from start to end. */
+/** A caller's request in the edge. All decisions about it use the same version of the `table`. */
 export interface Call {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -36,11 +36,11 @@
   readonly workspace: WorkspaceRow;
   readonly headers: CallHeaders;
   readonly arrivedAtMs: number;
-  /** Aborted when the caller goes, or the edge gives the request up. */
+  /** Aborted when the caller disconnects or the edge shuts down. */
   readonly signal: AbortSignal;
 }
 
-/** Reads and checks the headers that steer a request. */
+/** Parses and validates the headers that affect how a request is handled. */
 export function parseCallHeaders(
   headers: IncomingHttpHeaders,
   nowMs: number,
@@ -78,13 +78,13 @@
   });
 }
 
-/** The time by which the answer must begin. */
+/** Returns the time by which the response must begin. */
 export function getDeadlineMs(call: Call, service: ServiceRow): number {
   return call.headers.deadlineMs ??
     call.arrivedAtMs + service.defaultDeadlineMs;
 }
 
-/** Whether the request may be served in its workspace's home only; the stricter of table and caller holds. */
+/** Whether the request may be served only in its workspace's home region, because the table or the caller says so. */
 export function isBound(
   workspace: WorkspaceRow,
   headers: CallHeaders,
@@ -92,7 +92,7 @@
   return workspace.bound || headers.bound;
 }
 
-/** A whole number; `undefined` if the text is not one. */
+/** Parses a whole number; `undefined` if the text is not one. */
 function parseInteger(
   text: string | string[] | undefined,
   defaultValue: number,
--- a/src/edge/call_handler.ts
+++ b/src/edge/call_handler.ts
@@ -1,5 +1,5 @@
 /**
- * What all calls have in common: what is known of their attempts, and how their caller is told.
+ * The common base of model calls and plain calls: the results of their attempts and the response to their caller.
  *
  * @module
  */
@@ -12,20 +12,20 @@
 import { RequestStats } from "./request_stats.ts";
 import { SuspectCheck } from "./suspect_check.ts";
 
-/** What to do after an attempt: the caller has its answer, or another attempt may follow. */
+/** Result of an attempt: the caller has its response, or another attempt may follow. */
 export type AttemptResult = "answered" | "retry";
 
-/** When a caller may come back whose attempts met upstreams that take nothing now. */
+/** Delay after which a caller may retry if its attempts found only upstreams that accept no requests now. */
 const RETRY_DELAY_MS = 1000;
 
-/** One call of a caller, on its way through its attempts; `run` once. */
+/** Handles one call of a caller with all its attempts. `run` may be called once. */
 export abstract class CallHandler {
   protected readonly context: EdgeContext;
   protected readonly call: Call;
   protected readonly stats: RequestStats;
-  /** What is known of the attempts so far, for the caller's "was it run?". */
+  /** Whether an attempt so far has run the call, which failures report to the caller. */
   protected ran: Ran = "no";
-  /** What the caller is told if no further attempt is made. */
+  /** The failure that the caller gets if no further attempt is made. */
   protected lastFailure: Failure = failure("noUpstream");
 
   constructor(context: EdgeContext, call: Call) {
@@ -34,20 +34,20 @@
     this.stats = new RequestStats(context, call);
   }
 
-  /** Answers the caller. */
+  /** Runs the call and responds to the caller. */
   abstract run(): Promise<void>;
 
-  /** Whether upstreams ended under this call; asked before each attempt. */
+  /** Creates the check whether upstreams crashed under this call, which is made before each attempt. */
   protected createSuspectCheck(body: Buffer): SuspectCheck {
     return new SuspectCheck(this.context, this.call, this.stats, body);
   }
 
-  /** A refusal after an attempt that may have run must not claim that nothing was run. */
+  /** Adds `ran` to a refusal: after an attempt that may have run, it must not say that nothing was run. */
   protected keepRan(refusal: Failure): Failure {
     return this.ran === "no" ? refusal : { ...refusal, ran: this.ran };
   }
 
-  /** The attempt's upstream did not run the call, for certain: another one may. */
+  /** Handles an attempt that the upstream certainly did not run, so that another upstream may run the call. */
   protected handleNotRun(
     attempt: Attempt,
     outcome: "unreachable" | "refused",
@@ -61,7 +61,7 @@
     return "retry";
   }
 
-  /** Whether the answer with these headers is the attempt's own. Upstreams that echo the attempt's id tell it. */
+  /** Whether an answer belongs to the attempt. This can be checked only if the upstream echoes the attempt's id. */
   protected isOwnAnswer(
     attempt: Attempt,
     headers: Readonly<Record<string, string>>,
@@ -70,7 +70,7 @@
     return echoedId === undefined || echoedId === attempt.grant.attemptId;
   }
 
-  /** The call ended with an answer, or its caller has gone; `code` is 0 for success. */
+  /** Ends a call that got its response or whose caller has disconnected. `code` is 0 for success. */
   protected finish(
     attempt: Attempt,
     outcome: "done" | "canceled" | "failed",
@@ -80,7 +80,7 @@
     this.stats.finish(code);
   }
 
-  /** The call ends with a failure. */
+  /** Ends the call with a failure. */
   protected fail(error: Failure): void {
     sendFailure(this.call.response, error, this.context.clock.nowMs());
     this.stats.fail(error);
--- a/src/edge/context.ts
+++ b/src/edge/context.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of the callers' edge share.
+ * Dependencies that the modules of the edge share.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 } from "../services/mod.ts";
 import type { VmIdentity } from "./answer.ts";
 
-/** Limits of the edge; the daemon's settings have the same fields. */
+/** Limits of the edge. The daemon's settings have the same fields. */
 export interface EdgeLimits {
   readonly bodyBytes: number;
   readonly headerBytes: number;
@@ -31,7 +31,7 @@
   readonly drainMs: number;
 }
 
-/** The services, clients and limits that a request needs. */
+/** The services, clients and limits that handling a request needs. */
 export interface EdgeContext {
   readonly vm: VmIdentity;
   readonly limits: EdgeLimits;
@@ -45,6 +45,6 @@
   readonly directory: TaskPort<DirectoryMessages>;
   readonly suspects: TaskPort<SuspectsMessages>;
   readonly metrics: TaskPort<MetricsMessages>;
-  /** A new id for an attempt, unlike any other's. */
+  /** Creates a unique id for an attempt. */
   createAttemptId(): string;
 }
--- a/src/edge/edge.ts
+++ b/src/edge/edge.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' edge: a task with one listener for callers and operators.
+ * The edge task: serves the HTTP API of callers and operators on one listener.
  *
  * @module
  */
@@ -21,28 +21,30 @@
 import { PlainCallHandler } from "./plain_call.ts";
 import type { ModelPath } from "./model_request.ts";
 
-/** How the edge is set up. */
+/** Options of the {@link Edge}. */
 export interface EdgeOptions {
   readonly vmId: string;
   readonly region: string;
   readonly listener: CallerListener;
   readonly limits: EdgeLimits;
   readonly operatorTokenDigests: readonly string[];
-  /** Further operators' routes, below `/admin`. */
+  /** Additional routes for operators, below `/admin`. */
   readonly adminRoutes?: (kernel: Kernel) => readonly Router[];
 }
 
-/** What the edge answers; its name is `edge`. */
+/** Messages of the `edge` task. */
 export type EdgeMessages = {
   address: { in: void; out: { readonly host: string; readonly port: number } };
-  /** Refuses new requests from now on; resolves when the open ones have ended, or with how many are left. */
+  /**
+   * Refuses new requests from now on. Resolves when no request is open, or at the deadline, with the number still open.
+   */
   drain: { in: { readonly deadlineMs: number }; out: number };
 };
 
-/** How often a drain looks whether it is done. */
+/** How often a drain checks whether all requests have ended. */
 const DRAIN_POLL_MS = 20;
 
-/** See {@link EdgeMessages}. */
+/** Accepts callers' requests and passes them to their handlers; see {@link EdgeMessages}. */
 export class Edge extends Task<EdgeMessages> {
   readonly name = "edge";
   readonly #options: EdgeOptions;
@@ -50,7 +52,7 @@
   readonly #active = new Set<AbortController>();
   #kernel!: Kernel;
   #context!: EdgeContext;
-  #draining = false;
+  #isDraining = false;
   #servedCount = 0;
 
   protected readonly handlers = {
@@ -62,7 +64,7 @@
   constructor(options: EdgeOptions) {
     super();
     this.#options = options;
-    // Streams are watched by the relay, which knows pauses; this bound is for all other answers.
+    // The relay detects stalled streams itself, since it knows when it pauses them. This timeout is for other answers.
     this.#upstreams = new HttpUpstreamClient(
       2 * options.limits.upstreamStallMs,
     );
@@ -101,12 +103,12 @@
     return {
       open: this.#active.size,
       served: this.#servedCount,
-      draining: this.#draining,
+      draining: this.#isDraining,
     };
   }
 
   async #drain(deadlineMs: number): Promise<number> {
-    this.#draining = true;
+    this.#isDraining = true;
     this.#options.listener.closeIdleConnections();
     while (this.#active.size > 0 && this.#context.clock.nowMs() < deadlineMs) {
       await this.#context.clock.sleep(DRAIN_POLL_MS);
@@ -120,10 +122,10 @@
     const router = new Router();
     router.get("/healthz", (ctx) => void (ctx.body = "ok\n"));
     router.get("/readyz", async (ctx) => {
-      const ready = !this.#draining &&
+      const isReady = !this.#isDraining &&
         await this.#context.table.ask("current", undefined) !== undefined;
-      ctx.status = ready ? 200 : 503;
-      ctx.body = ready ? "ready\n" : "not ready\n";
+      ctx.status = isReady ? 200 : 503;
+      ctx.body = isReady ? "ready\n" : "not ready\n";
     });
     for (const path of ["/v1/chat/completions", "/v1/completions"] as const) {
       router.post(
@@ -158,10 +160,10 @@
     return app;
   }
 
-  /** Operators' paths need an operator's token; every answer says who gave it; a fault of ours is said so. */
+  /** Sets the VM headers, checks the token on operators' paths, and responds to exceptions with `internal`. */
   async #runGuarded(ctx: Koa.Context, next: Koa.Next): Promise<void> {
     setVmHeaders(ctx.res, this.#context.vm);
-    if (this.#draining) ctx.res.setHeader("connection", "close");
+    if (this.#isDraining) ctx.res.setHeader("connection", "close");
     try {
       if (ctx.path === "/admin" || ctx.path.startsWith("/admin/")) {
         const refusal = this.#checkOperator(ctx);
@@ -192,7 +194,7 @@
     return isKnown ? undefined : failure("forbidden");
   }
 
-  /** Answers by hand: the calls write to the socket themselves, for back-pressure and exact ends. */
+  /** Responds without Koa: calls write to the socket themselves to control back-pressure and how a response ends. */
   #raw(ctx: Koa.Context, respond: (response: ServerResponse) => void): void {
     ctx.respond = false;
     respond(ctx.res);
@@ -218,14 +220,14 @@
     }
   }
 
-  /** Everything that can be refused before the body is read. */
+  /** Makes all checks that can refuse a request before its body is read. */
   async #admit(
     request: IncomingMessage,
     response: ServerResponse,
     signal: AbortSignal,
   ): Promise<Call | undefined> {
     const nowMs = this.#context.clock.nowMs();
-    if (this.#draining) {
+    if (this.#isDraining) {
       const goTo = await this.#findOtherVmUrls(this.#options.region);
       return this.#refuse(
         response,
@@ -266,8 +268,9 @@
   }
 
   /**
-   * A manifest or scan must not leave its region, and reading it here would already be that. So the head alone decides,
-   * and the connection is closed on a body that is still being sent.
+   * Refuses a request that is bound to another region. Data of a bound workspace must not leave its home region, and
+   * reading the body here would already violate that. So only the headers decide, and the connection is closed even if
+   * the body is still being sent.
    */
   async #checkHomeRegion(call: Call): Promise<Failure | undefined> {
     const { home } = call.workspace;
@@ -284,7 +287,7 @@
     });
   }
 
-  /** Base URLs of the other live VMs of a region. */
+  /** Returns the base URLs of the live VMs of a region other than this VM. */
   async #findOtherVmUrls(region: string): Promise<string[]> {
     const vms = region === this.#options.region
       ? await this.#context.members.ask("region", undefined)
@@ -336,7 +339,7 @@
     ).run();
   }
 
-  /** What became of a request that may not be repeated: `?service=NAME` names its service. */
+  /** Reports the state of an at-most-once request, by its idempotency key and `?service=NAME`. */
   async #lookUp(call: Call, key: string): Promise<void> {
     const service = new URL(call.request.url!, "http://vm").searchParams.get(
       "service",
@@ -371,7 +374,7 @@
     });
   }
 
-  /** Which VMs to use. The `workspace` query is that of the key; another is refused when the key is checked. */
+  /** Lists the VMs that a caller may use. A `workspace` parameter other than the key's workspace is refused. */
   async #findVms(call: Call): Promise<void> {
     const named = new URL(call.request.url!, "http://vm").searchParams.get(
       "workspace",
--- a/src/edge/headers.ts
+++ b/src/edge/headers.ts
@@ -1,12 +1,12 @@
 /**
- * Which headers pass through the gateway.
+ * Selects the headers that the gateway forwards.
  *
  * @module
  */
 
 import type { IncomingHttpHeaders } from "node:http";
 
-/** Headers of one connection, by HTTP's definition, and those the edge sets anew. */
+/** Headers that are not forwarded: HTTP's hop-by-hop headers, and those that the edge sets itself. */
 const DROPPED_HEADERS = new Set([
   "connection",
   "keep-alive",
@@ -21,13 +21,13 @@
   "expect",
   "x-request-id",
   "last-event-id",
-  // The caller's key is for the gateway; an upstream never sees it.
+  // The caller's key is meant for the gateway. It must not reach an upstream.
   "authorization",
 ]);
 
 /**
- * The headers of `headers` that go on to the other side. Names that the gateway itself gives a meaning to are dropped:
- * a caller that sends them must not pass for the gateway.
+ * Returns the headers that are forwarded to the other side. The gateway's own headers (`x-ibisgap-*`) are dropped, so
+ * that a caller that sends them is not mistaken for the gateway.
  */
 export function selectForwardedHeaders(
   headers: IncomingHttpHeaders | Readonly<Record<string, string>>,
--- a/src/edge/identity.ts
+++ b/src/edge/identity.ts
@@ -1,5 +1,5 @@
 /**
- * Who a caller is, by its key. The table holds digests only.
+ * Authenticates callers by their keys. The table holds only digests of keys.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 
 const keyIndexes = new WeakMap<Table, ReadonlyMap<string, string>>();
 
-/** Digest of a key to workspace id, built once per version of the table. */
+/** Returns the map from key digest to workspace id, which is built once per version of the table. */
 function getKeyIndex(table: Table): ReadonlyMap<string, string> {
   const cached = keyIndexes.get(table);
   if (cached) return cached;
@@ -24,7 +24,7 @@
   return index;
 }
 
-/** The bearer token of a request. */
+/** Returns the bearer token of a request. */
 export function readBearerToken(
   headers: IncomingHttpHeaders,
 ): string | undefined {
@@ -32,7 +32,10 @@
   return match?.[1];
 }
 
-/** The workspace whose key this is. A `x-ibisgap-workspace` header that names another one is refused. */
+/**
+ * Returns the workspace that the request's key belongs to. A request whose `x-ibisgap-workspace` header names another
+ * workspace is refused.
+ */
 export function authenticate(
   table: Table,
   headers: IncomingHttpHeaders,
@@ -45,7 +48,7 @@
       }),
     );
   }
-  // A lookup by digest does not leak the key by its timing: an attacker cannot steer a digest's prefix.
+  // The timing of a lookup by digest does not leak the key, because an attacker cannot choose the prefix of a digest.
   const workspaceId = getKeyIndex(table).get(secretDigest(key));
   const workspace = workspaceId === undefined
     ? undefined
--- a/src/edge/listener.ts
+++ b/src/edge/listener.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' listener. It is open before the services start, so that its port can be told to other VMs; until the
- * edge serves, it refuses truthfully.
+ * The HTTP listener for callers. It opens before the services start, so that its port can be announced to other VMs.
+ * Until the edge sets its handler, it refuses requests with the reason that this VM is starting.
  *
  * @module
  */
@@ -11,20 +11,23 @@
 import { failure } from "../base/mod.ts";
 import { sendFailure } from "./answer.ts";
 
-/** A head must be whole by then; Node closes the connection otherwise. */
+/** Time within which the headers must arrive completely; Node closes the connection otherwise. */
 const HEADERS_TIMEOUT_MS = 10_000;
-/** Longer than common clients keep idle connections, so that it is they who close: no request meets a closing end. */
+/**
+ * How long an idle connection is kept open. This is longer than common clients keep one, so that the client closes it
+ * and no request is sent on a connection that the server is closing.
+ */
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
-/** Where to listen, and for how large heads. */
+/** The address to listen on and the maximum size of a request's headers. */
 export interface ListenerOptions {
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   readonly headerBytes: number;
 }
 
-/** An open listener; see {@link openListener}. */
+/** The callers' HTTP server, created by {@link openListener}. */
 export class CallerListener {
   readonly #server: Server;
   #handler: RequestListener = (_request, response) => {
@@ -51,13 +54,13 @@
     this.#server.on("clientError", rejectUnreadableRequest);
   }
 
-  /** `host` and `port` it listens on. */
+  /** The `host` and `port` that the server listens on. */
   get address(): { readonly host: string; readonly port: number } {
     const { address, port } = this.#server.address() as AddressInfo;
     return { host: address, port };
   }
 
-  /** From now on `serve` answers. */
+  /** Passes all requests to `handler` from now on. */
   setHandler(handler: RequestListener): void {
     this.#handler = handler;
   }
@@ -67,7 +70,7 @@
     this.#server.closeIdleConnections();
   }
 
-  /** Listens; use {@link openListener}. */
+  /** Starts to listen; use {@link openListener}. */
   open(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
@@ -93,7 +96,7 @@
   return listener;
 }
 
-/** A head that cannot be read gets a numbered answer too. */
+/** Responds with a numeric result code also to a request whose headers cannot be parsed. */
 function rejectUnreadableRequest(
   error: NodeJS.ErrnoException,
   socket: Duplex,
--- a/src/edge/mod.ts
+++ b/src/edge/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' edge: who calls, what they ask for, and how they are answered.
+ * The HTTP front end of a VM: it authenticates callers, parses their requests and sends their responses.
  *
  * @module
  */
--- a/src/edge/model_call.ts
+++ b/src/edge/model_call.ts
@@ -1,5 +1,5 @@
 /**
- * One call of a model: attempts at engines until one answers whole, or a final failure.
+ * Handles one call of a model: makes attempts at engines until one answers completely or the call fails.
  *
  * @module
  */
@@ -23,12 +23,12 @@
 import { StreamCheck } from "./stream_check.ts";
 import type { SuspectCheck } from "./suspect_check.ts";
 
-/** Reconnections to one engine for one broken stream: an engine that cuts again and again is not waited for. */
+/** How often a broken stream is resumed at its engine at most. An engine that keeps breaking it is not waited for. */
 const MAX_RESUMES = 3;
-/** Engines answer so when they take no more work; by their contract nothing was run. */
+/** Statuses by which engines refuse more work. By their contract, they did not run the call. */
 const REFUSAL_STATUSES = new Set([429, 503]);
 
-/** See the module's comment; `run` once. */
+/** Handles a call of a model. `run` may be called once. */
 export class ModelCallHandler extends CallHandler {
   readonly #path: ModelPath;
   readonly #streamCheck = new StreamCheck();
@@ -39,7 +39,7 @@
     this.#path = path;
   }
 
-  /** Answers the caller. */
+  /** Runs the call and responds to the caller. */
   override async run(): Promise<void> {
     const { request, table } = this.call;
     const body = await readBody(
@@ -94,7 +94,7 @@
     );
   }
 
-  /** Runs one attempt under a signal that the caller's going and the deadline of the first byte abort. */
+  /** Runs one attempt. It is aborted if the caller disconnects, or if the deadline passes before the first byte. */
   async #runAttempt(
     attempt: Attempt,
     originalBody: Buffer,
@@ -272,7 +272,7 @@
     response.setHeader("cache-control", "no-cache");
   }
 
-  /** Takes up a broken stream where it stopped, on the engine that holds its state, if that engine can. */
+  /** Resumes a broken stream where it stopped, at the engine that holds its state, if that engine supports it. */
   async #resume(
     attempt: Attempt,
     body: Buffer,
@@ -290,7 +290,7 @@
     return undefined;
   }
 
-  /** Nothing passed on yet: another engine may answer. Otherwise the caller is told in the stream itself. */
+  /** Retries at another engine if nothing was forwarded yet; otherwise sends the failure within the stream. */
   #handleBrokenStream(attempt: Attempt, reason: string): AttemptResult {
     this.ran = "yes";
     this.lastFailure = failure("streamBroken", {
--- a/src/edge/model_request.ts
+++ b/src/edge/model_request.ts
@@ -1,5 +1,5 @@
 /**
- * What a model call asks for, as far as placing it needs.
+ * Parses the body of a model call and extracts what placement needs to know of it.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { z } from "zod";
 import { type Failure, failure, hash32 } from "../base/mod.ts";
 
-/** Characters of one prefix block. Engines cache blocks of about 16 tokens; a coarser block keeps the list short. */
+/** Characters of one prefix block. Engines cache blocks of about 16 tokens; larger blocks here keep the list short. */
 const PREFIX_BLOCK_CHARS = 512;
-/** Most blocks hashed: beyond this a longer shared prefix changes no placement. */
+/** Maximum number of blocks that are hashed. A shared prefix longer than this does not change the placement. */
 const MAX_PREFIX_BLOCKS = 64;
-/** Characters a token stands for, on average, in the users' languages. */
+/** Average number of characters per token in the users' languages. */
 const CHARS_PER_TOKEN = 4;
-/** Expected output of a call that sets no limit. */
+/** Expected output tokens of a call that sets no maximum. */
 const DEFAULT_OUTPUT_TOKENS = 256;
 
 const contentSchema = z.union([
@@ -41,21 +41,21 @@
   max_tokens: z.number().int().min(1).nullish(),
 });
 
-/** Which of the two model paths was called. */
+/** The path of a model call. */
 export type ModelPath = "/v1/chat/completions" | "/v1/completions";
 
-/** A checked model call. */
+/** A validated model call. */
 export interface ModelRequest {
   readonly model: string;
   readonly stream: boolean;
   readonly promptTokens: number;
   readonly expectedOutputTokens: number;
   readonly prefixHashes: readonly number[];
-  /** The body as parsed, for {@link withPriority}. */
+  /** The parsed body, for {@link withPriority}. */
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** Checks the body of a model call. */
+/** Parses and validates the body of a model call. */
 export function parseModelRequest(
   path: ModelPath,
   body: Uint8Array,
@@ -91,7 +91,10 @@
   });
 }
 
-/** The body with the priority that the lead gives it. A caller's own `priority` would jump the engine's queue. */
+/**
+ * Returns the body with the priority that the lead assigned. It replaces a `priority` that the caller set, which would
+ * let the caller skip ahead in the engine's queue.
+ */
 export function withPriority(
   request: ModelRequest,
   bytes: Buffer,
@@ -117,7 +120,7 @@
   return typeof value === "string" ? value : JSON.stringify(value ?? "");
 }
 
-/** Hashes of the leading blocks, each over all text before it, so that equal hashes mean equal prefixes. */
+/** Hashes the leading blocks. Each hash also covers all text before its block, so equal hashes mean equal prefixes. */
 export function hashPrefixBlocks(text: string): number[] {
   const hashes: number[] = [];
   let previousHash = 0;
--- a/src/edge/plain_call.ts
+++ b/src/edge/plain_call.ts
@@ -1,5 +1,5 @@
 /**
- * One call of a plain service; one that may not be repeated runs under a claim.
+ * Handles one call of a plain service. A call that must run at most once runs under a claim.
  *
  * @module
  */
@@ -17,29 +17,31 @@
 import { selectForwardedHeaders } from "./headers.ts";
 import type { SuspectCheck } from "./suspect_check.ts";
 
-/** Methods that change nothing, by HTTP's own definition: they need no claim and may be sent again. */
+/** Methods that HTTP defines as safe: they change nothing, so they need no claim and may be retried. */
 const SAFE_METHODS = new Set(["GET", "HEAD", "OPTIONS"]);
-/** Methods whose repetition changes nothing more; without `atMostOnce` they may be sent again too. */
+/** Methods that HTTP defines as idempotent; they may be retried too if the service is not `atMostOnce`. */
 const IDEMPOTENT_METHODS = new Set([...SAFE_METHODS, "PUT", "DELETE"]);
-/** Longest answer kept for repeats; a longer one is told to have been left out. */
+/**
+ * Maximum length of an answer that is stored for repeated requests. A longer one is omitted, and the repeat is told so.
+ */
 const MAX_KEPT_ANSWER_BYTES = 16 << 10;
-/** Work counted for a plain call, in tokens: it prefills nothing and its length is not known. */
+/** Work assumed for a plain call, in tokens: it has no prefill, and the length of its answer is not known. */
 const PLAIN_DEMAND = {
   promptTokens: 1,
   expectedOutputTokens: 1,
   prefixHashes: [],
 };
 
-/** Answers that mean "not run", but only where the service says so itself by `x-ran: no`. */
+/** Statuses that mean that the call was not run, provided that the service confirms it by `x-ran: no`. */
 const REFUSAL_STATUSES = new Set([429, 503]);
 
-/** The claim a call runs under. */
+/** The claim that a call runs under. */
 interface HeldClaim extends ClaimKey {
   readonly claimId: string;
   readonly dispatchBeforeMonoMs: number;
 }
 
-/** See the module's comment; `run` once. */
+/** Handles a call of a plain service. `run` may be called once. */
 export class PlainCallHandler extends CallHandler {
   readonly #service: ServiceRow;
   readonly #path: string;
@@ -48,7 +50,7 @@
   #claim: HeldClaim | undefined;
   #suspectCheck!: SuspectCheck;
 
-  /** `path` is what follows the service's name, with its query. */
+  /** `path` is the part of the URL after the service's name, including the query. */
   constructor(
     context: EdgeContext,
     call: Call,
@@ -64,7 +66,7 @@
     this.#isRepeatable = !this.#needsClaim && IDEMPOTENT_METHODS.has(method);
   }
 
-  /** Answers the caller. */
+  /** Runs the call and responds to the caller. */
   override async run(): Promise<void> {
     if (this.#needsClaim && this.call.headers.idempotencyKey === undefined) {
       return this.fail(failure("keyRequired"));
@@ -111,7 +113,7 @@
     }
     const controller = new AbortController();
     const abort = () => controller.abort();
-    // A call under a claim goes on when its caller has gone: its answer is kept for the caller's next try.
+    // A call under a claim continues after its caller disconnects: its answer is stored for the caller's next try.
     if (!this.#needsClaim) {
       this.call.signal.addEventListener("abort", abort, { once: true });
     }
@@ -133,8 +135,9 @@
   }
 
   /**
-   * A VM that was paused between its claim and this line may wake after another VM took the claim over; the call would
-   * run twice. The claim's own deadline on this VM's monotonic clock is therefore checked in the step that sends.
+   * Sends the call to the upstream. If this VM was paused after it acquired the claim, another VM may have taken the
+   * claim over since, and the call would run twice. So the claim's deadline on this VM's monotonic clock is checked in
+   * the same synchronous step that sends the call.
    */
   async #dispatch(attempt: Attempt, body: Buffer, signal: AbortSignal) {
     const { grant } = attempt;
@@ -160,7 +163,7 @@
     }, signal);
   }
 
-  /** Records the claim; otherwise answers the caller with what the key stands for, and returns false. */
+  /** Acquires the claim. Otherwise responds to the caller with the state of the idempotency key and returns false. */
   async #acquireClaim(body: Buffer, deadlineMs: number): Promise<boolean> {
     const key: ClaimKey = {
       service: this.#service.id,
@@ -198,7 +201,7 @@
     }
   }
 
-  /** Gives a second arrival the first one's answer. */
+  /** Responds to a repeated request with the stored answer of the first one. */
   #sendStoredAnswer(answer: ClaimAnswer): void {
     const { response } = this.call;
     response.setHeader("x-ibisgap-repeated", "true");
@@ -259,7 +262,7 @@
       if (!this.call.signal.aborted) {
         void this.#suspectCheck.reportBrokenConnection(attempt);
       }
-      // Its length or last chunk is missing, so the caller's client sees that the answer was cut.
+      // The rest of the content or the last chunk is missing, so the caller's client detects the incomplete answer.
       response.destroy();
       this.finish(
         attempt,
@@ -270,7 +273,7 @@
     return "answered";
   }
 
-  /** Keeps the answer for repeats before it is passed on: what one caller has seen, a repeat must see too. */
+  /** Stores the answer before it is forwarded, so that a repeated request gets the answer that the first caller got. */
   async #storeAndForwardAnswer(
     attempt: Attempt,
     answer: UpstreamAnswer,
@@ -283,7 +286,7 @@
         message,
       });
     }
-    const truncated = body.length > MAX_KEPT_ANSWER_BYTES;
+    const isTruncated = body.length > MAX_KEPT_ANSWER_BYTES;
     const claim = this.#claim!;
     await this.context.claims.ask("finish", {
       ...claim,
@@ -291,8 +294,8 @@
         httpStatus: answer.httpStatus,
         contentType: answer.headers["content-type"] ??
           "application/octet-stream",
-        bodyBase64: truncated ? "" : body.toString("base64"),
-        truncated,
+        bodyBase64: isTruncated ? "" : body.toString("base64"),
+        truncated: isTruncated,
       },
     });
     this.#startResponse(attempt, answer);
@@ -316,7 +319,7 @@
     }
   }
 
-  /** The final answer after no attempt succeeded; the claim is given back only if no byte went out. */
+  /** Ends the call after all attempts failed. The claim is released only if no byte was sent, otherwise abandoned. */
   async #finishWithFailure(error: Failure): Promise<void> {
     const claim = this.#claim;
     if (claim) {
--- a/src/edge/relay.ts
+++ b/src/edge/relay.ts
@@ -1,5 +1,5 @@
 /**
- * Carries an engine's stream of events to the caller, with back-pressure from end to end.
+ * Forwards an engine's event stream to the caller, with end-to-end back-pressure.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 import type { Clock } from "../base/mod.ts";
 import type { StreamCheck, StreamEvent } from "./stream_check.ts";
 
-/** How the carrying of one attempt's stream ended. `broken` is the upstream's doing, `gone` the caller's. */
+/** How the relay of one attempt's stream ended. `broken` is caused by the upstream, `gone` by the caller. */
 export type RelayResult =
   | { readonly type: "whole" }
   | { readonly type: "broken"; readonly reason: string }
   | { readonly type: "gone" };
 
-/** What a relay needs to know besides the streams. */
+/** Options of {@link relayStream}. */
 export interface RelayOptions {
   readonly clock: Clock;
   readonly check: StreamCheck;
   readonly upstreamStallMs: number;
   readonly stalledCallerMs: number;
-  /** Called before the first event is written, and for each one. */
+  /** Called for each event before it is written to the caller. */
   onEvent(atMs: number): void;
 }
 
-/** Reads `body` to its end or first fault and writes what passes the check to the caller. */
+/** Reads `body` until its end or its first fault, and writes the events that pass the check to the caller. */
 export async function relayStream(
   body: Readable,
   response: ServerResponse,
@@ -41,8 +41,8 @@
   try {
     for await (const chunk of body) {
       parser.feed(decoder.decode(chunk as Uint8Array, { stream: true }));
-      // While the caller is slow this loop does not read, so the engine's connection fills and the engine waits too;
-      // that wait is not the engine's stall.
+      // While the caller is slow, this loop does not read. The engine's connection fills up and the engine waits too,
+      // which must not count as a stall of the engine.
       stallTimer.pause();
       const result = await forwardEvents(events.splice(0), response, options);
       if (result) return result;
@@ -60,7 +60,7 @@
     stallTimer.close();
     body.destroy();
   }
-  // An engine that dies may close its connection in good order; only its own end mark says that the answer is whole.
+  // An engine that crashes may close its connection cleanly. Only its end marker shows that the answer is complete.
   return response.destroyed
     ? { type: "gone" }
     : { type: "broken", reason: "the stream ended before its end mark" };
@@ -93,7 +93,7 @@
   return result;
 }
 
-/** Writes and waits until the caller's connection takes more; false when the caller is gone or takes nothing. */
+/** Writes and waits until the caller's connection accepts more; false if the caller has disconnected or stalls. */
 function writeWithBackpressure(
   response: ServerResponse,
   text: string,
@@ -120,13 +120,14 @@
   });
 }
 
-/** A stall is told after this many ticks of its timer without an event. */
+/** Number of timer ticks without an event after which the upstream counts as stalled. */
 const STALL_TICKS = 4;
 
 /**
- * Destroys the body when the upstream sends nothing for too long. Ticks are counted, not time: after this VM itself was
- * paused, or its loop was busy, a clock would show a long wait while the engine's events lie unread in the socket, and
- * healthy streams would break all at once. A late timer ticks once, and the events are read before its next tick.
+ * Destroys the body when the upstream sends nothing for too long. It counts ticks instead of time: after this VM was
+ * paused or its event loop was busy, a clock would show a long wait while the engine's events are still unread in the
+ * socket, and all healthy streams would be broken at once. A late timer ticks only once, and the events are read before
+ * its next tick.
  */
 function startStallTimer(body: Readable, options: RelayOptions) {
   let ticks = 0;
--- a/src/edge/request_stats.ts
+++ b/src/edge/request_stats.ts
@@ -1,5 +1,5 @@
 /**
- * What was seen of one request, for the lead's learning and for the metrics.
+ * Measurements of one request, for the lead's estimates and for the metrics.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 import type { Call } from "./call.ts";
 import type { EdgeContext } from "./context.ts";
 
-/** Gaps kept of one answer: enough for its percentiles, bounded for long answers. */
+/** Maximum number of gaps kept of one answer: enough for percentiles, with bounded memory for long answers. */
 const MAX_GAPS = 512;
 
-/** The record of one request. */
+/** Collects the measurements of one request. */
 export class RequestStats {
   service = "";
   outputTokens = 0;
@@ -33,24 +33,24 @@
     this.#region = context.vm.region;
   }
 
-  /** Whether anything of an answer was passed on to the caller. */
+  /** Whether any part of an answer was forwarded to the caller. */
   get hasStarted(): boolean {
     return this.firstTokenAtMs !== undefined;
   }
 
-  /** A slot was granted. */
+  /** Records that a slot was granted. */
   recordGrant(attempt: Attempt): void {
     this.#queuedMs = attempt.grant.queuedMs;
   }
 
-  /** The row of the attempt's upstream, in the version this request is decided on. */
+  /** Returns the row of the attempt's upstream, in the version of the table that this request uses. */
   findUpstreamRow(attempt: Attempt): UpstreamRow | undefined {
     return this.#call.table.get(`upstream/${attempt.grant.upstreamId}`)?.row as
       | UpstreamRow
       | undefined;
   }
 
-  /** Marks the answer with the region of the upstream that gives it. */
+  /** Records the region of the upstream that answers, and sets it in the response's headers. */
   setServingUpstream(attempt: Attempt): void {
     this.#region = this.findUpstreamRow(attempt)?.region ?? this.#region;
     setVmHeaders(this.#call.response, {
@@ -59,7 +59,7 @@
     });
   }
 
-  /** One event, or the whole answer, passes on. */
+  /** Records that one event of a stream, or a whole answer, is forwarded. */
   recordEvent(atMs: number): void {
     if (this.firstTokenAtMs === undefined) this.firstTokenAtMs = atMs;
     else if (this.#gapsMs.length < MAX_GAPS) {
@@ -69,7 +69,7 @@
     this.outputTokens++;
   }
 
-  /** What the engine says of its answer's tokens, where it says it. */
+  /** Takes the token counts from the engine's `usage` object, where it has them. */
   recordUsage(value: unknown): void {
     const usage = value as {
       completion_tokens?: unknown;
@@ -82,12 +82,12 @@
     if (typeof cached === "number") this.cachedTokens = cached;
   }
 
-  /** The request ended with a failure that the caller was told. */
+  /** Records that the request ended with a failure that was sent to the caller. */
   fail(error: Failure): void {
     this.finish(codes[error.code].code);
   }
 
-  /** The request ended; `code` is 0 for success. */
+  /** Reports the ended request to the metrics. `code` is 0 for success. */
   finish(code: number): void {
     void this.#context.metrics.ask("request", {
       service: this.service || "none",
--- a/src/edge/stream_check.ts
+++ b/src/edge/stream_check.ts
@@ -1,19 +1,20 @@
 /**
- * Checks that a stream of events from an engine is one caller's whole answer: its own, in order, once, to its end.
+ * Checks that an engine's stream of events is the complete answer to one request: that each event belongs to it, comes
+ * in order and only once, and that the stream reaches its end.
  *
  * @module
  */
 
 /** One server-sent event of an engine. */
 export interface StreamEvent {
-  /** The event's `id` field: its place in the stream, where the engine sends one. */
+  /** The event's `id` field, which is its number in the stream if the engine sends one. */
   readonly id?: string;
   readonly data: string;
 }
 
 /**
- * What to do with an event. `pass`: it is the caller's next one. `skip`: a repeat. `broken`: the stream cannot be
- * trusted from here on.
+ * What to do with an event. `pass`: forward it, it is the next one. `skip`: drop it, it is a repeat. `end`: the answer
+ * is complete. `broken`: neither this event nor the rest of the stream can be trusted.
  */
 export type StreamVerdict =
   | { readonly type: "pass" }
@@ -28,7 +29,7 @@
   reason: "an event belongs to another answer",
 };
 
-/** The check of one stream over all its attempts. */
+/** Checks the events of one call's stream across all its attempts. */
 export class StreamCheck {
   #attemptId = "";
   #answerId: string | undefined;
@@ -37,18 +38,18 @@
   #lastEventNumber: number | undefined;
   #hasEnded = false;
 
-  /** Whether the engine said that the answer is whole. */
+  /** Whether the engine marked the answer as complete. */
   get hasEnded(): boolean {
     return this.#hasEnded;
   }
-  /** Place of the last event passed, where the engine numbers them; a resumed stream goes on after it. */
+  /** Number of the last event that passed, if the engine numbers them. A resumed stream continues after it. */
   get lastEventNumber(): number | undefined {
     return this.#lastEventNumber;
   }
 
   /**
-   * A new attempt begins, or a resumed one. `echoed` says that the engine repeated the attempt's id in its headers: it
-   * then names its answers by that id too, and one that it names otherwise is another request's.
+   * Starts the check of a new or resumed attempt. `hasEchoedId` is true if the engine echoed the attempt's id in its
+   * headers. Such an engine also puts it into the id of the answer, so an answer with another id is another request's.
    */
   startAttempt(attemptId: string, hasEchoedId: boolean): void {
     this.#attemptId = attemptId;
@@ -57,7 +58,7 @@
     this.#hasAttemptId = false;
   }
 
-  /** Decides on the attempt's next event. */
+  /** Checks the next event of the attempt. */
   next(event: StreamEvent): StreamVerdict {
     if (this.#hasEnded) return SKIP;
     if (event.data === "[DONE]") {
@@ -69,9 +70,10 @@
   }
 
   /**
-   * An engine under load may put another request's tokens on this connection. The symptom is a fluent answer to someone
-   * else's question. Engines name the answer in every event, after our attempt's id where they take it; a name that is
-   * not the attempt's, or that changes, ends the stream before the event is passed on.
+   * Checks that an event belongs to this answer. An engine under load may send another request's tokens on this
+   * connection; the caller then gets a fluent answer to another caller's question. Engines put the id of the answer
+   * into every event, and engines that accept the attempt's id include it there. If the id is not the attempt's, or if
+   * it changes, the stream counts as broken before the event is forwarded.
    */
   #checkOwner(data: string): StreamVerdict | undefined {
     if (this.#hasAttemptId && data.includes(this.#attemptId)) return undefined;
--- a/src/edge/suspect_check.ts
+++ b/src/edge/suspect_check.ts
@@ -1,5 +1,5 @@
 /**
- * How one call stands: whether upstreams ended under it, in this call or before, and whether it may run.
+ * Checks whether a call may run, given the upstreams that crashed under the same request, in this call or before.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { EdgeContext } from "./context.ts";
 import type { RequestStats } from "./request_stats.ts";
 
-/** See the module. */
+/** Reports what happens to one call to the suspects service, and asks it whether the call may run. */
 export class SuspectCheck {
   readonly #context: EdgeContext;
   readonly #stats: RequestStats;
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Why the call may not run now; `undefined` if it may. */
+  /** Returns why the call may not run now; `undefined` if it may. */
   async findRefusal(): Promise<Failure | undefined> {
     const verdict = await this.#context.suspects.ask("judge", {
       digest: this.#digest,
@@ -48,7 +48,7 @@
     return failure(verdict.code, { retryAtMs });
   }
 
-  /** An attempt's connection broke. Waits until it is known whether its upstream ended. */
+  /** Reports that the connection of an attempt broke. Waits until it is known whether its upstream crashed. */
   async reportBrokenConnection({ grant, startedAtMs }: Attempt): Promise<void> {
     const nowMs = this.#context.clock.nowMs();
     const { firstTokenAtMs } = this.#stats;
@@ -63,7 +63,7 @@
     });
   }
 
-  /** The call was answered. */
+  /** Reports that the call was answered. */
   reportServed(): void {
     void this.#context.suspects.ask("served", { digest: this.#digest });
   }
