--- a/src/replay/attempt.ts
+++ b/src/replay/attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt of a replay's caller at one VM, by the protocol that any caller uses.
+ * Makes one attempt of a replay's caller at one VM, with the same protocol that every caller uses.
  *
  * @module
  */
@@ -13,15 +13,15 @@
 import type { AttemptRecord } from "./request_record.ts";
 import type { TraceRequest } from "./trace.ts";
 
-/** What an attempt needs besides its request. */
+/** Options of an attempt. */
 export interface AttemptOptions {
   readonly url: string;
   readonly key: string;
-  /** Tags the prompt; unique for each attempt. */
+  /** Tag in the prompt, unique for each attempt. */
   readonly nonce: string;
-  /** Wall clock. */
+  /** Wall-clock time. */
   readonly deadlineMs: number;
-  /** When the caller hangs up, wall clock. */
+  /** Wall-clock time at which the caller closes the connection. */
   readonly hangUpAtMs: number;
 }
 
@@ -32,10 +32,10 @@
   readonly goTo?: unknown;
 }
 
-/** Connections of all callers, kept alive as real clients keep them. */
+/** Connection pool of all callers. Connections are kept alive, as real clients do. */
 const agent = new Agent({ keepAlive: true, maxSockets: Infinity });
 
-/** The body of a plain call: it follows from the key, so that a repeat has the same. */
+/** Builds the body of a plain call. It depends on the idempotency key, so that a retry has the same body. */
 export function buildPlainBody(request: TraceRequest): string {
   const seed = request.idempotencyKey ?? `${request.arrivalMs}`;
   return JSON.stringify({
@@ -80,7 +80,7 @@
   try {
     await readResponse(stream, result);
   } catch {
-    // The connection broke: `end` says so already.
+    // The connection broke, or the caller closed it. `end` already says so.
   }
   clearTimeout(hangUp);
   result.endedAtMs = Date.now();
@@ -137,7 +137,7 @@
   return type.startsWith("text/event-stream");
 }
 
-/** Reads an answer that came whole: a plain service's, or an error. */
+/** Reads a response that is not streamed: a plain service's answer, or an error. */
 function readWholeAnswer(raw: string, result: AttemptRecord): void {
   const body = parseJson(raw);
   if (result.httpStatus >= 400) {
@@ -167,7 +167,7 @@
   }
 }
 
-/** Reads a streamed answer. */
+/** Parses a streamed answer and records it in the attempt. */
 class StreamedAnswer {
   readonly #result: AttemptRecord;
   readonly #parser = createParser({
@@ -184,7 +184,7 @@
     this.#parser.feed(text);
   }
 
-  /** The connection ended cleanly; without `[DONE]` or an error event that is a break in disguise. */
+  /** Handles a clean end of the connection. Without `[DONE]` or an error event before it, the answer counts as cut. */
   end(): void {
     if (this.#result.end === "failed") return;
     this.#result.end = "answered";
--- a/src/replay/caller.ts
+++ b/src/replay/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A polite caller: asks the directory, follows `goTo` and `retryAtMs`, and goes on until its answer is whole, a failure
- * is final or its deadline has passed.
+ * A well-behaved caller: it queries the directory, follows `goTo` and `retryAtMs`, and retries until its answer is
+ * complete, a failure is final or its deadline has passed.
  *
  * @module
  */
@@ -11,27 +11,27 @@
 import type { AttemptRecord, RequestRecord } from "./request_record.ts";
 import type { TraceRequest } from "./trace.ts";
 
-/** What callers of a replay share. */
+/** Options of a caller. */
 export interface CallerOptions {
   readonly directory: DirectoryClient;
-  /** The key that a workspace's callers present. */
+  /** Returns the API key of a workspace's callers. */
   readonly getKey: (workspace: string) => string;
-  /** Number of the request in the trace, for its nonces. */
+  /** Index of the request in the trace, which is part of its nonces. */
   readonly index: number;
-  /** Tells the nonces of one replay from those of another. */
+  /** Distinguishes the nonces of one replay from those of another. */
   readonly runId: string;
 }
 
 const ATTEMPT_LIMIT = 12;
 const DEFAULT_RETRY_MS = 150;
-/** A caller waits this much beyond its deadline, to see whether the final answer comes. */
+/** How long a caller waits after its deadline, to record whether a final response still comes. */
 const HANG_UP_AFTER_DEADLINE_MS = 2000;
 
 const retryableCodes = new Set<number>(
   Object.values(codes).filter((row) => row.retryable).map((row) => row.code),
 );
 
-/** Makes one request of the trace; `arrivedAtMs` is the wall-clock time of its arrival. */
+/** Makes one request of the trace with its retries. `arrivedAtMs` is the wall-clock time of its arrival. */
 export async function makeRequest(
   request: TraceRequest,
   arrivedAtMs: number,
@@ -62,7 +62,7 @@
   return { request, arrivedAtMs, attempts };
 }
 
-/** The first VM that did not just break a connection, or the first of all. */
+/** Selects the first VM that has not broken a connection of this request; if all have, the first VM. */
 function pickUrl(
   urls: readonly string[],
   attempts: readonly AttemptRecord[],
@@ -73,7 +73,7 @@
   return urls.find((url) => !brokenUrls.has(url)) ?? urls[0];
 }
 
-/** When to try again, wall clock; undefined if the outcome is final. */
+/** Returns the wall-clock time of the next attempt; `undefined` if the outcome is final. */
 function getRetryAtMs(
   request: TraceRequest,
   last: AttemptRecord,
--- a/src/replay/days.ts
+++ b/src/replay/days.ts
@@ -1,5 +1,5 @@
 /**
- * The two users' days that ship as traces: their topologies, demands and a set of faults each.
+ * The profiles of the two days that ship as traces, one per user: topology, demand and faults.
  *
  * @module
  */
@@ -134,7 +134,7 @@
   return { type: "fault", atMs, target: "upstream", upstream, faults };
 }
 
-/** The cooperative's day: tail latency weighs most. */
+/** Creates the cooperative's day, where tail latency has the highest weight. */
 export function createCooperativeDay(): DayProfile {
   const regions = buildRegions({ casablanca: 3, marrakech: 2, agadir: 2 }, 15);
   const demands = [
@@ -208,7 +208,7 @@
   };
 }
 
-/** The directorate's day: cost and the share sent away weigh most; Salalah has a holiday. */
+/** Creates the directorate's day, where cost and the share sent to other regions weigh most. Salalah has a holiday. */
 export function createDirectorateDay(): DayProfile {
   const regions = buildRegions({ muscat: 2, salalah: 2, sohar: 2 }, 15);
   const demands = [
@@ -297,7 +297,7 @@
   };
 }
 
-/** The days that ship, by name. */
+/** Functions that create the days that ship, by name. */
 export const dayFactories: Readonly<Record<string, () => DayProfile>> = {
   cooperative: createCooperativeDay,
   directorate: createDirectorateDay,
--- a/src/replay/directory.ts
+++ b/src/replay/directory.ts
@@ -1,12 +1,12 @@
 /**
- * The entry VMs that a caller uses: asked from the gateway's directory, kept until it says to ask again.
+ * Finds the entry VMs for callers: queries the gateway's directory and caches the list until its `askAgainAtMs`.
  *
  * @module
  */
 
 import got from "got";
 
-/** An entry VM where a caller may start; one with a region serves the callers there first. */
+/** An entry VM that a caller may contact first. Callers in its region, if it has one, prefer it. */
 export interface Target {
   readonly url: string;
   readonly region?: string;
@@ -29,7 +29,7 @@
 
 const REQUEST_TIMEOUT_MS = 1500;
 
-/** Reads `REGION=URL` or `URL`, several parted by commas. */
+/** Parses a comma-separated list of `REGION=URL` or `URL`. */
 export function parseTargets(text: string): Target[] {
   return text.split(",").filter((part) => part !== "").map((part) => {
     const match = /^([^=/:]+)=(.*)$/.exec(part);
@@ -37,17 +37,17 @@
   });
 }
 
-/** Finds VMs for callers. */
+/** Queries and caches the entry VMs for callers. */
 export class DirectoryClient {
   readonly #targets: readonly Target[];
   readonly #cache = new Map<string, Promise<CachedVms>>();
 
-  /** Starts from these VMs. */
+  /** Creates a client that sends its directory queries to `targets`. */
   constructor(targets: readonly Target[]) {
     this.#targets = targets;
   }
 
-  /** Base URLs for a caller of this workspace in this region, best first. */
+  /** Returns base URLs for a caller of a workspace in a region, best first. */
   async findUrls(
     workspace: string,
     region: string,
@@ -61,7 +61,7 @@
     return (await query).urls;
   }
 
-  /** Forgets what was kept, after a VM on the list did not answer. */
+  /** Drops the cached list, after a VM on it broke a connection. */
   forget(workspace: string, region: string): void {
     this.#cache.delete(`${workspace} ${region}`);
   }
@@ -79,7 +79,7 @@
     for (const url of startUrls) {
       const answer = await queryVm(url, workspace, key);
       if (!answer) continue;
-      // VMs of the caller's own region come first; the directory's order holds among them.
+      // VMs of the caller's own region come first. Otherwise the order of the directory is kept.
       const vms = [...answer.vms].sort((a, b) =>
         Number(b.region === region) - Number(a.region === region)
       );
--- a/src/replay/generate.ts
+++ b/src/replay/generate.ts
@@ -1,6 +1,6 @@
 /**
- * Makes traces from a description of a day: demand that follows the daylight of each region, bursts, and faults. The
- * same description and seed give the same trace.
+ * Generates traces from the profile of a day: demand that follows the time of day in each region, bursts, and faults.
+ * The same profile and seed give the same trace.
  *
  * @module
  */
@@ -8,28 +8,29 @@
 import { Random } from "../base/mod.ts";
 import type { Trace, TraceFault, TraceHeader, TraceRequest } from "./trace.ts";
 
-/** A kind of request and how much of it there is. */
+/** A kind of request and its rate. */
 export interface Demand {
   readonly group: string;
   readonly service: string;
   readonly kind: "chat" | "plain";
-  /** Requests per second of one region at its peak. */
+  /** Requests per second in one region at its peak. */
   readonly peakPerS: number;
-  /** Callers of this kind belong to the workspace `WORKSPACE-REGION`. */
+  /** The callers of each region belong to the workspace `WORKSPACE-REGION`. */
   readonly workspace: string;
   readonly bound: boolean;
   readonly repeatable: boolean;
-  /** Mean tokens of the prompt without the shared prefix, and of the answer. */
+  /** Mean number of tokens of the prompt without its shared prefix. */
   readonly promptTokens: number;
+  /** Mean number of tokens of the answer. */
   readonly outputTokens: number;
-  /** Prompts share one of so many prefixes in each region. */
+  /** Number of prefixes per region; each prompt begins with one of them. 0 means no shared prefix. */
   readonly prefixCount: number;
   readonly prefixTokens: number;
   readonly priority: number;
   readonly timeoutMs: number;
 }
 
-/** Extra demand of one group in one region. */
+/** A burst in the demand of one group in one region. */
 export interface Burst {
   readonly group: string;
   readonly region: string;
@@ -38,14 +39,14 @@
   readonly factor: number;
 }
 
-/** A day, compressed to `durationMs`. */
+/** The profile of a day that is compressed to `durationMs`. */
 export interface DayProfile {
   readonly name: string;
   readonly durationMs: number;
   readonly topology: TraceHeader["topology"];
-  /** When each region has its peak, as a share of the day. */
+  /** Time of each region's peak, as a share of the day. */
   readonly peakTimes: Readonly<Record<string, number>>;
-  /** Regions that have a holiday: half the demand all day. */
+  /** Regions that have a holiday, which halves their demand for the whole day. */
   readonly holidayRegions: readonly string[];
   readonly demands: readonly Demand[];
   readonly bursts: readonly Burst[];
@@ -54,7 +55,7 @@
 
 const LOW_DEMAND_SHARE = 0.5;
 
-/** Makes the trace of a day. */
+/** Generates the trace of a day. */
 export function generateTrace(day: DayProfile, seed: number): Trace {
   const random = new Random(seed);
   const requests = day.topology.regions.flatMap(({ id }) =>
@@ -76,13 +77,16 @@
   };
 }
 
-/** The trace as JSON lines. */
+/** Returns the trace as JSON lines. */
 export function serializeTrace(trace: Trace): string {
   const lines = [trace.header, ...trace.faults, ...trace.requests];
   return lines.map((line) => JSON.stringify(line) + "\n").join("");
 }
 
-/** A Poisson process by thinning: drawn at the highest rate, kept with the share that the time of day has. */
+/**
+ * Generates arrivals as a Poisson process by thinning: draws them at the maximum rate and keeps each with the
+ * probability of the current rate divided by the maximum rate.
+ */
 function generateArrivals(
   day: DayProfile,
   region: string,
@@ -111,7 +115,7 @@
   }
 }
 
-/** Demand at this time as a share of the peak. */
+/** Returns the demand at a time relative to the peak; a burst can raise it above 1. */
 function getDemandFactor(
   day: DayProfile,
   region: string,
@@ -163,7 +167,7 @@
   };
 }
 
-/** Between half and one and a half times the mean, at least 4. */
+/** Draws a number between 0.5 and 1.5 times the mean, at least 4. */
 function drawAround(mean: number, random: Random): number {
   return Math.max(4, Math.round(mean * (0.5 + random.next())));
 }
--- a/src/replay/mod.ts
+++ b/src/replay/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Replay of traces against stated outcomes, judged by what callers saw and what truly ran.
+ * Replays traces and checks expected outcomes against what callers received and what upstreams actually ran.
  *
  * @module
  */
--- a/src/replay/outcomes.ts
+++ b/src/replay/outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * Stated outcomes: limits on the measures of a replay, for all its requests or a part of them.
+ * Expected outcomes: limits on the measures of a replay, for all its requests or a part of them.
  *
  * @module
  */
@@ -11,11 +11,11 @@
 
 const outcomeSchema = z.strictObject({
   measure: z.enum(measureNames),
-  /** Only requests of this group. */
+  /** If set, only requests of this group count. */
   group: z.string().optional(),
-  /** Only requests of callers in this region. */
+  /** If set, only requests of callers in this region count. */
   region: z.string().optional(),
-  /** Only requests that arrived in this span of the trace. */
+  /** If set, only requests count that arrive in this span of the trace. */
   fromMs: z.number().optional(),
   toMs: z.number().optional(),
   atMost: z.number().optional(),
@@ -29,17 +29,17 @@
   outcomes: z.array(outcomeSchema).min(1),
 });
 
-/** One stated outcome. */
+/** One expected outcome. */
 export type Outcome = z.infer<typeof outcomeSchema>;
 
-/** What became of a stated outcome; one that could not be measured is not held. */
+/** Result of checking an expected outcome. `held` is false if it could not be measured. */
 export interface OutcomeResult {
   readonly outcome: Outcome;
   readonly value: number | undefined;
   readonly held: boolean;
 }
 
-/** Reads a file of outcomes. */
+/** Reads expected outcomes from a file. */
 export function readOutcomes(path: string): Result<Outcome[], string> {
   try {
     const parsed = outcomesFileSchema.safeParse(
@@ -53,7 +53,7 @@
   }
 }
 
-/** Compares the report with what was stated. */
+/** Checks the report against the expected outcomes. */
 export function checkOutcomes(
   report: Report,
   outcomes: readonly Outcome[],
--- a/src/replay/print.ts
+++ b/src/replay/print.ts
@@ -1,5 +1,5 @@
 /**
- * Tables of a replay for people, and the same as JSON.
+ * Formats the report of a replay as tables for people and as JSON.
  *
  * @module
  */
@@ -21,7 +21,7 @@
   "totalP95Ms",
 ];
 
-/** Rows with aligned columns; the first row is the head. */
+/** Formats rows with aligned columns. The first row is the header. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = rows[0].map((_, column) =>
     Math.max(...rows.map((row) => row[column].length))
@@ -34,7 +34,7 @@
   ).join("\n");
 }
 
-/** The measures by group and region, the promises, and the outcomes. */
+/** Formats the measures by group and region, the result codes, and the outcomes. */
 export function formatReport(
   trace: Trace,
   report: Report,
@@ -62,7 +62,7 @@
   ].join("\n\n");
 }
 
-/** The report as one JSON value. */
+/** Builds the report as one JSON value. */
 export function buildReportJson(
   trace: Trace,
   report: Report,
--- a/src/replay/prompt.ts
+++ b/src/replay/prompt.ts
@@ -1,6 +1,6 @@
 /**
- * The text of a trace's prompts: the same prefix id always gives the same leading text, and the nonce stands last, so
- * that it does not spoil the shared prefix.
+ * Builds the prompts of a trace. The same prefix id always gives the same leading text, and the nonce is at the end, so
+ * that it does not break the shared prefix.
  *
  * @module
  */
@@ -10,14 +10,14 @@
 
 const CHARS_PER_TOKEN = 4;
 
-/** Filler of `tokens` tokens that belongs to `id`. */
+/** Builds filler text of `tokens` tokens that depends on `id` only. */
 function buildFiller(id: string, tokens: number): string {
   const chars = tokens * CHARS_PER_TOKEN;
   const word = `${hash32(id).toString(36).padStart(7, "0")} `;
   return word.repeat(Math.ceil(chars / word.length)).slice(0, chars);
 }
 
-/** The prompt of a request, tagged with the nonce of one attempt. */
+/** Builds the prompt of a request, tagged with the nonce of one attempt. */
 export function buildPrompt(request: TraceRequest, nonce: string): string {
   const { prefixId, prefixTokens, promptTokens } = request;
   const shared = prefixId ? buildFiller(prefixId, prefixTokens) : "";
--- a/src/replay/replay.ts
+++ b/src/replay/replay.ts
@@ -1,5 +1,5 @@
 /**
- * Replays a trace against running VMs: each request at its arrival time, whatever became of those before it.
+ * Replays a trace against running VMs. Each request is sent at its arrival time, whatever the state of earlier ones.
  *
  * @module
  */
@@ -11,24 +11,24 @@
 import type { RequestRecord } from "./request_record.ts";
 import type { Trace, TraceFault } from "./trace.ts";
 
-/** Brings about the faults of a trace. */
+/** Injects the faults of a trace into the running system. */
 export abstract class FaultInjector {
-  /** Carries one fault out, or mends it. */
+  /** Starts one fault, or ends it. */
   abstract inject(fault: TraceFault): Promise<void>;
 }
 
-/** How a trace is replayed. */
+/** Options of {@link replay}. */
 export interface ReplayOptions {
   readonly targets: readonly Target[];
   readonly getKey?: (workspace: string) => string;
-  /** Where to read what ran; without, measures that need it are left out. */
+  /** Where to fetch the records of runs. Without it, measures that need them are `undefined`. */
   readonly recordSources?: readonly RecordSource[];
-  /** Without it, the trace's faults are left out. */
+  /** Without it, the faults of the trace are skipped. */
   readonly injector?: FaultInjector;
   readonly onProgress?: (progress: ReplayProgress) => void;
 }
 
-/** How far a replay has come. */
+/** Progress of a replay. */
 export interface ReplayProgress {
   readonly nowMs: number;
   readonly endMs: number;
@@ -38,15 +38,15 @@
 }
 
 const PROGRESS_PERIOD_MS = 500;
-/** Time for upstreams to finish what callers no longer wait for. */
+/** Time for upstreams to finish requests whose callers no longer wait for them. */
 const SETTLE_MS = 500;
 
-/** The key that a workspace's callers present unless told otherwise. */
+/** Returns the API key of a workspace's callers if no other is configured. */
 export function buildDefaultKey(workspace: string): string {
   return `key-${workspace}`;
 }
 
-/** Replays the whole trace and reports. */
+/** Replays the whole trace and returns its report. */
 export async function replay(
   trace: Trace,
   options: ReplayOptions,
--- a/src/replay/replay_test.ts
+++ b/src/replay/replay_test.ts
@@ -18,7 +18,7 @@
   type Trace,
 } from "./mod.ts";
 
-/** What the gateway under test does wrong, if anything. */
+/** The fault of the gateway under test; `honest` has none. */
 type GatewayBehavior =
   | "honest"
   | "wrongRegion"
@@ -68,7 +68,7 @@
     ._unsafeUnwrap();
 }
 
-/** Replays the small trace through a gateway with this behavior. */
+/** Replays the small trace through a gateway with the given behavior. */
 async function replayThrough(
   t: ExecutionContext,
   behavior: GatewayBehavior,
@@ -180,7 +180,7 @@
   "answeredNotRun",
 ];
 
-/** Each fault of a gateway, and the measures that must show it. */
+/** Each behavior of a gateway with the measures that must report a violation. */
 const cases: readonly [GatewayBehavior, readonly Measure[]][] = [
   ["honest", []],
   ["wrongRegion", ["residencyViolations"]],
@@ -192,10 +192,10 @@
 ];
 
 describe("replay", () => {
-  // A checker that catches nothing proves nothing: through an honest gateway no promise counts as broken, and through
-  // one that breaks a single promise just the measure of that promise rises.
+  // Guards against measures that miss a violation or report a false one: with a correct gateway no measure reports a
+  // violation, and with a gateway that violates one guarantee only the measure of that guarantee does.
   for (const [behavior, expected] of cases) {
-    it(`finds what a gateway does wrong: ${behavior}`, async (t) => {
+    it(`reports exactly the guarantees that a gateway violates: ${behavior}`, async (t) => {
       const report = await replayThrough(t, behavior);
       const brokenGuarantees = guaranteeMeasures.filter((name) =>
         report.measure(name) !== 0
@@ -205,14 +205,14 @@
     });
   }
 
-  it("counts refusals without advice, and retries them until the deadline", async (t) => {
+  it("counts refusals without retry advice and retries them until the deadline", async (t) => {
     const report = await replayThrough(t, "noAdvice");
     t.is(report.measure("refusedShare"), 1);
     t.is(report.measure("adviceMissing"), 8);
     t.true(report.measure("attemptsMean")! > 1);
   });
 
-  it("holds no outcome that could not be measured", async (t) => {
+  it("reports an outcome that cannot be measured as not held", async (t) => {
     const report = await replayThrough(t, "honest");
     const [met, missed, unmeasured] = checkOutcomes(report, [
       { measure: "completeShare", atLeast: 1 },
@@ -227,7 +227,7 @@
 });
 
 describe("traces", () => {
-  it("are the same for the same seed and read back as written", (t) => {
+  it("are the same for the same seed and are parsed back as they were written", (t) => {
     const trace = generateTrace(createCooperativeDay(), 7);
     t.is(
       serializeTrace(trace),
@@ -240,7 +240,7 @@
     t.deepEqual(parseTrace(serializeTrace(trace))._unsafeUnwrap(), trace);
   });
 
-  it("with a mistake are refused by line and field", (t) => {
+  it("with an invalid field are refused with its line and name", (t) => {
     const [first, ...rest] = serializeTrace(
       generateTrace(createCooperativeDay(), 7),
     )
--- a/src/replay/report.ts
+++ b/src/replay/report.ts
@@ -1,5 +1,5 @@
 /**
- * The measures of a replay, over all requests or a part of them.
+ * Computes the measures of a replay, over all requests or a part of them.
  *
  * @module
  */
@@ -13,7 +13,7 @@
   type RequestRecord,
 } from "./request_record.ts";
 
-/** All measures by name; see docs/TRACE.md. */
+/** The names of all measures; see docs/TRACE.md. */
 export const measureNames = [
   "requests",
   "completeShare",
@@ -42,7 +42,7 @@
 /** The name of a measure. */
 export type Measure = typeof measureNames[number];
 
-/** The part of the requests that is measured; absent fields let all through. */
+/** Selects the requests that are measured. An absent field selects all. */
 export interface RequestFilter {
   readonly group?: string | undefined;
   readonly region?: string | undefined;
@@ -103,18 +103,18 @@
   readonly #records: readonly RequestRecord[];
   readonly #runs: RunIndex | undefined;
 
-  /** Without `runs`, measures that need the upstreams' records are undefined. */
+  /** Without `runs`, the measures that need the upstreams' records are `undefined`. */
   constructor(records: readonly RequestRecord[], runs: RunIndex | undefined) {
     this.#records = records;
     this.#runs = runs;
   }
 
-  /** One measure; undefined if there is nothing to measure it by. */
+  /** Computes one measure; `undefined` if there are no requests or records to compute it from. */
   measure(name: Measure, filter: RequestFilter = {}): number | undefined {
     return measures[name](this.selectRecords(filter), this.#runs);
   }
 
-  /** All measures of a part. */
+  /** Computes all measures of the selected requests. */
   measureAll(filter: RequestFilter = {}): Record<Measure, number | undefined> {
     const pairs = measureNames.map((
       name,
@@ -122,7 +122,7 @@
     return Object.fromEntries(pairs) as Record<Measure, number | undefined>;
   }
 
-  /** The requests of a part. */
+  /** Returns the records of the selected requests. */
   selectRecords(filter: RequestFilter): readonly RequestRecord[] {
     return this.#records.filter(({ request }) =>
       (filter.group === undefined || request.group === filter.group) &&
@@ -132,17 +132,17 @@
     );
   }
 
-  /** The groups that occur, sorted. */
+  /** Returns the groups that occur, sorted. */
   listGroups(): string[] {
     return [...new Set(this.#records.map((s) => s.request.group))].sort();
   }
 
-  /** All requests with all that their callers saw. */
+  /** Returns the records of all requests. */
   getRecords(): readonly RequestRecord[] {
     return this.#records;
   }
 
-  /** How often each result code was an attempt's answer. */
+  /** Counts the attempts that ended with each result code. */
   countCodes(): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const record of this.#records) {
@@ -191,7 +191,7 @@
   return region !== undefined && region !== record.request.home;
 }
 
-/** A clean end of an answer that was not whole. */
+/** Whether an attempt's answer ended cleanly although it was incomplete or garbled. */
 function hasIncompleteAnswer(record: RequestRecord): boolean {
   return record.attempts.some((a) =>
     a.end === "answered" && (a.check === "cut" || a.check === "garbled")
--- a/src/replay/request_record.ts
+++ b/src/replay/request_record.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller of the replay saw of its request.
+ * Records of the replay's requests, as their callers saw them.
  *
  * @module
  */
@@ -10,56 +10,57 @@
 
 /** How one attempt ended. */
 export type AttemptEnd =
-  /** A whole answer with a clean end. */
+  /** A complete response: the connection ended cleanly. */
   | "answered"
-  /** A refusal or an error with a result code, before or within the stream. */
+  /** A refusal, or an error with a result code, before the stream or within it. */
   | "failed"
-  /** The connection broke without a word. */
+  /** The connection broke without an error response. */
   | "broken"
-  /** No final answer by the deadline; the caller gave up. */
+  /** No final response by the deadline; the caller gave up. */
   | "timeout";
 
 /** One attempt at one VM. */
 export interface AttemptRecord {
-  /** Tag of this attempt in the prompt, or the digest of the body. */
+  /** Tag of this attempt in the prompt, or the digest of the body for a plain call. */
   readonly nonce: string;
   readonly url: string;
-  /** Wall-clock times. */
+  /** Wall-clock time, as are the other times of the attempt. */
   readonly sentAtMs: number;
   endedAtMs: number;
   end: AttemptEnd;
-  /** HTTP status; 0 if there was no answer. */
+  /** HTTP status; 0 if there was no response. */
   httpStatus: number;
   /** Numeric result code of a failure. */
   code?: number;
-  /** What the caller was told; absent: nothing. */
+  /** Whether the request ran, according to the response; absent if it did not say. */
   ran?: Ran;
   retryAtMs?: number;
   goTo?: readonly string[];
-  /** Region and VM that answered. */
+  /** The region that served the request. */
   region?: string;
+  /** The VM that responded. */
   vm?: string;
   firstTokenAtMs?: number;
-  /** Comparison of the answer with the one that the nonce stands for. */
+  /** Result of the comparison with the answer that the nonce requires. */
   check?: AnswerCheck;
 }
 
-/** A request of the trace and all that its caller saw. */
+/** A request of the trace with all attempts of its caller. */
 export interface RequestRecord {
   readonly request: TraceRequest;
-  /** Wall-clock time of the arrival that the trace states. */
+  /** Wall-clock time of the arrival that the trace specifies. */
   readonly arrivedAtMs: number;
   readonly attempts: readonly AttemptRecord[];
 }
 
-/** The attempt that decided the outcome. */
+/** Returns the last attempt, which decided the outcome. */
 export function getLastAttempt(
   record: RequestRecord,
 ): AttemptRecord | undefined {
   return record.attempts.at(-1);
 }
 
-/** Whether the caller got its own whole answer. */
+/** Whether the caller got the complete answer to its own request. */
 export function isComplete(record: RequestRecord): boolean {
   const last = getLastAttempt(record);
   return last?.end === "answered" && last.check === "complete";
--- a/src/replay/runs.ts
+++ b/src/replay/runs.ts
@@ -1,5 +1,5 @@
 /**
- * What truly ran, read from the records of stand-in upstreams, and the promises that it is checked against.
+ * Fetches the runs that the stand-in upstreams recorded, and checks the gateway's guarantees against them.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 import type { RunRecord } from "../standins/mod.ts";
 import type { AttemptRecord, RequestRecord } from "./request_record.ts";
 
-/** A run with the upstream that it was at. */
+/** A run and the upstream that executed it. */
 export interface UpstreamRun extends RunRecord {
   readonly upstream: string;
   readonly region: string;
 }
 
-/** Where the records of one upstream are read. */
+/** Where to fetch the records of one upstream. */
 export interface RecordSource {
   readonly upstream: string;
   readonly region: string;
   readonly controlUrl: string;
 }
 
-/** Reads the records of all upstreams. */
+/** Fetches the records of all upstreams. */
 export async function fetchRuns(
   sources: readonly RecordSource[],
 ): Promise<UpstreamRun[]> {
@@ -33,12 +33,12 @@
   return lists.flat();
 }
 
-/** Runs by the nonce of an attempt and by idempotency key. */
+/** Index of the runs by the nonce of their attempt and by idempotency key. */
 export class RunIndex {
   readonly #byNonce = new Map<string, UpstreamRun[]>();
   readonly #byKey = new Map<string, UpstreamRun[]>();
 
-  /** Indexes the requests that were executed; refused ones and those that never left the queue were not. */
+  /** Indexes the runs that were started. Requests that were refused or never left the queue are left out. */
   constructor(runs: readonly UpstreamRun[]) {
     for (const run of runs) {
       if (run.startedAtMs === undefined) continue;
@@ -47,21 +47,21 @@
     }
   }
 
-  /** The runs of a request: of its key, or of its attempts' nonces. */
+  /** Returns the runs of a request, by its idempotency key or else by the nonces of its attempts. */
   findRuns(record: RequestRecord): readonly UpstreamRun[] {
     const key = record.request.idempotencyKey;
     if (key) return this.#byKey.get(key) ?? [];
     return record.attempts.flatMap((a) => this.#byNonce.get(a.nonce) ?? []);
   }
 
-  /** Whether a call that may not be repeated ran more than once. */
+  /** Whether a request that must not be repeated ran more than once. */
   ranTwice(record: RequestRecord): boolean {
     return !record.request.repeatable && this.findRuns(record).length > 1;
   }
 
   /**
-   * Whether a caller was told "not run" of something that ran. Attempts of one key share it, so a run counts against
-   * the promise if it began before any attempt whose answer left it open whether it ran.
+   * Whether a caller was told "not run" although the request ran. All attempts of a request share its idempotency key,
+   * so a run counts as a violation if it started before every attempt whose response allows that the request ran.
    */
   ranThoughDenied(record: RequestRecord): boolean {
     const denied = record.attempts.filter((a) => a.ran === "no");
@@ -77,7 +77,7 @@
     );
   }
 
-  /** Whether an answer was given for something that never ran. */
+  /** Whether an answer was given for a request that never ran. */
   answeredWithoutRun(record: RequestRecord): boolean {
     return record.attempts.some((a) => a.end === "answered") &&
       this.findRuns(record).length === 0;
--- a/src/replay/trace.ts
+++ b/src/replay/trace.ts
@@ -1,7 +1,7 @@
 /**
- * Traces: JSON lines that say who asks what and when, and what fails in between. See docs/TRACE.md.
+ * Traces: JSON lines that list the requests of callers and the faults, with their times. See docs/TRACE.md.
  *
- * All times of a trace are ms since its start; so are its deadlines.
+ * All times in a trace, including deadlines, are milliseconds since its start.
  *
  * @module
  */
@@ -18,13 +18,13 @@
 const topology = z.strictObject({
   regions: z.array(z.strictObject({
     id,
-    /** Entry VMs to start here. */
+    /** Number of entry VMs in this region. */
     vms: z.number().int().min(1),
     linkMs: z.record(id, z.number().min(0)).default({}),
   })),
   services: z.array(z.strictObject({
     row: serviceRow,
-    /** Upstreams by region. */
+    /** Number of upstreams by region. */
     upstreams: z.record(id, count),
     slots: z.number().int().min(1).default(8),
     prefillTokensPerS: z.number().min(1).default(8000),
@@ -32,7 +32,7 @@
     streamTokensPerS: z.number().min(1).default(100),
     cacheTokens: z.number().min(0).default(200_000),
     resumes: z.boolean().default(false),
-    /** Regions that requests of each region may be sent to. */
+    /** By region, the other regions that its requests may be sent to. */
     mayGoTo: z.record(id, z.array(id)).default({}),
   })),
   workspaces: z.array(z.strictObject({
@@ -43,18 +43,18 @@
   })),
 });
 
-/** The first line: what the trace is, and the system it was made for. */
+/** The first line: name and seed of the trace, and the topology that it was made for. */
 export const traceHeader = z.strictObject({
   type: z.literal("trace"),
   version: z.literal(1),
   name: id,
   seed: z.number().int(),
-  /** When the last deadline is over. */
+  /** Time of the last deadline. */
   endMs: atMs,
   topology,
 });
 
-/** A request of a caller. */
+/** A caller's request. */
 export const traceRequest = z.strictObject({
   type: z.literal("request"),
   arrivalMs: atMs,
@@ -64,11 +64,11 @@
   /** The region the caller is in. */
   region: id,
   service: id,
-  /** Name of a group of requests that outcomes are stated for: `manifest`, `question`. */
+  /** Name of a group of requests that outcomes can refer to, for example `manifest` or `question`. */
   group: id,
-  /** `chat` goes to a model, `plain` to a plain service. */
+  /** `chat` is sent to a model, `plain` to a plain service. */
   kind: z.enum(["chat", "plain"]),
-  /** Whether it must be served in its home region. */
+  /** Whether the request must be served in its home region. */
   bound: z.boolean(),
   promptTokens: count,
   /** Requests with the same prefix id share their first `prefixTokens`. */
@@ -77,12 +77,12 @@
   outputTokens: count,
   priority: z.number().int().default(0),
   deadlineMs: atMs,
-  /** Whether it may run more than once; if not, it has an idempotency key. */
+  /** Whether the request may run more than once. If not, it needs an idempotency key. */
   repeatable: z.boolean(),
   idempotencyKey: z.string().min(1).max(128).optional(),
 });
 
-/** Something fails, or is mended. */
+/** A fault that begins or ends. */
 export const traceFault = z.discriminatedUnion("target", [
   z.strictObject({
     type: z.literal("fault"),
@@ -90,7 +90,7 @@
     target: z.literal("upstream"),
     /** `SERVICE-REGION-NUMBER`. */
     upstream: id,
-    /** Faults of the stand-in from now on, in place of those before; none: mended. */
+    /** Faults of the stand-in from now on, which replace the earlier ones. An empty list ends them. */
     faults: z.array(z.record(z.string(), z.unknown())),
   }),
   z.strictObject({
@@ -99,7 +99,9 @@
     target: z.literal("vm"),
     /** `REGION-NUMBER`. */
     vm: id,
-    /** `kill` is SIGKILL, `stop` SIGTERM, `pause` SIGSTOP, `resume` SIGCONT, `start` a new process in its place. */
+    /**
+     * `kill` sends SIGKILL, `stop` SIGTERM, `pause` SIGSTOP, `resume` SIGCONT; `start` starts a new process as this VM.
+     */
     action: z.enum(["kill", "stop", "pause", "resume", "start"]),
   }),
   z.strictObject({
@@ -112,7 +114,7 @@
     type: z.literal("fault"),
     atMs,
     target: z.literal("link"),
-    /** The region that is cut off from all others, or joined to them again. */
+    /** The region that is disconnected from all others, or connected to them again. */
     region: id,
     action: z.enum(["cut", "heal"]),
   }),
@@ -120,21 +122,21 @@
 
 const traceLine = z.union([traceHeader, traceRequest, traceFault]);
 
-/** First line of a trace. */
+/** The parsed first line of a trace. */
 export type TraceHeader = z.infer<typeof traceHeader>;
-/** A request of a trace. */
+/** A parsed request of a trace. */
 export type TraceRequest = z.infer<typeof traceRequest>;
-/** A fault of a trace. */
+/** A parsed fault of a trace. */
 export type TraceFault = z.infer<typeof traceFault>;
 
-/** A trace, its requests and faults sorted by time. */
+/** A trace with its requests and faults sorted by time. */
 export interface Trace {
   readonly header: TraceHeader;
   readonly requests: readonly TraceRequest[];
   readonly faults: readonly TraceFault[];
 }
 
-/** Reads a trace; the error names the line and the field. */
+/** Parses a trace. An error names the line and the field. */
 export function parseTrace(text: string): Result<Trace, string> {
   let header: TraceHeader | undefined;
   const requests: TraceRequest[] = [];
