--- a/test/edge_crashing_test.ts
+++ b/test/edge_crashing_test.ts
@@ -5,10 +5,10 @@
 
 const RUNNER_COUNT = 6;
 const ATTEMPT_COUNT = 10;
-/** Upstreams that one request may end: three, and three more while the VMs tell each other. */
+/** Maximum number of upstreams that one request may crash: three, and three more until all VMs are informed. */
 const MAX_CRASHES = 6;
 const PAUSE_MS = 150;
-/** Longer than an upstream of these is away. */
+/** Longer than a crashed upstream in these tests is down. */
 const BLOCK_MS = 300;
 
 interface Bench extends EdgeBench {
@@ -31,7 +31,7 @@
   return { ...edge, runners };
 }
 
-/** Sends a request; one that got no answer has status 0. */
+/** Sends a request; the status is 0 if there was no answer. */
 async function post(
   { url }: Bench,
   path: string,
@@ -50,12 +50,12 @@
   }
 }
 
-/** Holds this process up after the runner's end, until it is back: only then the broken connection is seen. */
+/** Blocks this process after a crash until the runner is back, so that the broken connection is noticed only then. */
 function blockAfterCrash(runner: Runner): void {
-  const end = runner.crash.bind(runner);
+  const crash = runner.crash.bind(runner);
   runner.crash = () => {
     setImmediate(() => {
-      end();
+      crash();
       const untilMs = performance.now() + BLOCK_MS;
       while (performance.now() < untilMs);
     });
@@ -96,7 +96,7 @@
             (sum, runner) => sum + runner.crashCount,
             0,
           );
-          t.true(crashCount <= MAX_CRASHES, `${crashCount} upstreams ended`);
+          t.true(crashCount <= MAX_CRASHES, `${crashCount} upstreams crashed`);
           t.is(status, 503);
           t.is(await post(bench, "/services/notes/x", "another"), 200);
         });
--- a/test/edge_guard_test.ts
+++ b/test/edge_guard_test.ts
@@ -57,7 +57,7 @@
   };
 }
 
-/** Writes raw bytes and returns what comes back until the connection closes. */
+/** Sends raw text and returns what comes back until the connection closes. */
 function sendRaw(edge: EdgeBench, text: string): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(
@@ -105,7 +105,7 @@
       });
     }
 
-    it("lets operators in by token only, and never a caller", async (t) => {
+    it("admits operators only by token, and never a caller", async (t) => {
       const edge = await openEdgeWithEngine(t);
       t.is((await send(edge, "/admin/status", {})).httpStatus, 401);
       t.is((await send(edge, "/admin/status", AUTH)).httpStatus, 403);
@@ -126,9 +126,9 @@
   });
 
   describe("residency", () => {
-    // A family's scan bound to Muscat arrives at a VM in Agadir. The VM must send it home by the head alone; the body is
-    // held back here, so an answer proves that it was not waited for.
-    it("sends a bound request home before its body is read", async (t) => {
+    // A family's scan bound to Muscat arrives at a VM in Agadir. The VM must redirect it to its home region after the
+    // head alone. The test holds the body back, so an answer proves that the VM did not wait for it.
+    it("redirects a bound request to its home region before its body is read", async (t) => {
       const edge = await openEdgeWithEngine(t);
       const home: VmInfo = {
         id: "muscat-1",
@@ -159,7 +159,7 @@
     });
 
     it("holds the stricter of table and caller", async (t) => {
-      // The usual limit of the tests, twice 0.3 s for an answer's head, is exceeded while the machine is busy.
+      // The usual limit of the tests, twice 0.3 s for the head of an answer, is exceeded while the machine is busy.
       const edge = await openEdgeWithEngine(t, { upstreamStallMs: 5_000 });
       const unboundRows = [...edge.table.table!.rows()].map((
         { row, version },
@@ -192,7 +192,7 @@
       ["a body that is not JSON", {}, "{", 400, 2001],
       ["a body without a model", {}, { messages: PROMPT.messages }, 400, 2001],
       [
-        "a stream flag that is no boolean",
+        "a stream flag that is not a boolean",
         {},
         { ...PROMPT, stream: "yes" },
         400,
@@ -207,7 +207,7 @@
         2001,
       ],
       [
-        "a deadline that is no number",
+        "a deadline that is not a number",
         { "x-ibisgap-deadline": "soon" },
         PROMPT,
         400,
@@ -244,7 +244,7 @@
       });
     }
 
-    it("refuses a head that is too large with a numbered answer", async (t) => {
+    it("refuses a head that is too large with an error code", async (t) => {
       const edge = await openEdgeWithEngine(t, { headerBytes: 2048 });
       const answer = await sendRaw(
         edge,
@@ -258,7 +258,7 @@
       );
     });
 
-    it("cuts off a body that trickles", async (t) => {
+    it("cuts off a body that arrives too slowly", async (t) => {
       const edge = await openEdgeWithEngine(t, { bodyWaitMs: 50 });
       const head =
         `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${driversKey}\r\n` +
@@ -267,7 +267,7 @@
       t.true(answer.includes('"code":2012'), answer);
     });
 
-    it("refuses more open requests than its limit at once", async (t) => {
+    it("refuses requests over the limit of open requests at once", async (t) => {
       const edge = await openEdgeWithEngine(t, { openRequests: 0 });
       const answer = await send(edge, "/v1/chat/completions", AUTH, PROMPT);
       t.deepEqual([answer.httpStatus, answer.code, answer.ran], [
@@ -278,7 +278,7 @@
       t.truthy(answer.error.retryAtMs);
     });
 
-    it("serves nothing without a table", async (t) => {
+    it("serves no request without a table", async (t) => {
       const edge = await openEdgeWithEngine(t);
       edge.table.table = undefined;
       t.is((await send(edge, "/v1/chat/completions", AUTH, PROMPT)).code, 3007);
@@ -287,9 +287,9 @@
     });
   });
 
-  // A caller stops reading in the middle of a long answer. Its stream must not pile up in memory: the engine is paused
-  // by back-pressure, and after a while the caller is dropped and its slot freed.
-  it("drops a caller that takes nothing", async (t) => {
+  // A caller stops reading in the middle of a long answer. Its stream must not pile up in memory: backpressure pauses
+  // the engine, and after a while the caller is dropped and its slot is freed.
+  it("drops a caller that stops reading", async (t) => {
     const engine = await openEngine({
       stepMs: 1,
       streamTokensPerS: 1e6,
--- a/test/edge_plain_test.ts
+++ b/test/edge_plain_test.ts
@@ -91,7 +91,7 @@
       ]);
     });
 
-    it("runs once, and a second arrival gets the first one's answer", async (t) => {
+    it("runs once, and a second request with its key gets the first one's answer", async (t) => {
       const bench = await openBench(t, 2);
       const first = await post(bench, "/services/ledger/departures", "d1");
       const second = await post(bench, "/services/ledger/departures", "d1");
@@ -116,8 +116,8 @@
       t.is(countRuns(bench), 1);
     });
 
-    // What the upstream did is known only to it: the connection broke after the call was sent. The caller must hear
-    // "unknown", now and on each repeat, and no second upstream may be tried.
+    // Only the upstream knows what it did, because the connection broke after the call was sent. The caller must get
+    // "unknown", now and on each retry, and no second upstream may be tried.
     const lostAnswerCases: { fault: PlainFault; runs: number }[] = [
       { fault: { type: "cutAfterRun", times: 1 }, runs: 1 },
       { fault: { type: "cutBeforeRun", times: 1 }, runs: 0 },
@@ -142,9 +142,9 @@
       });
     }
 
-    // The first upstream says itself that it did not run the call, or nobody listens at its address: another one may run
-    // it under the same claim. Where all refuse, "not run" is the truth and the key can be used again.
-    it("goes to another upstream after a refusal, or is told not run", async (t) => {
+    // The first upstream itself says that it did not run the call, or nothing listens at its address, so another one
+    // may run it under the same claim. If all refuse, "not run" is true and the key can be used again.
+    it("goes to another upstream after a refusal, or is answered as not run", async (t) => {
       const bench = await openBench(t, 2);
       bench.services[0].faults.add({ type: "refuse" });
       t.is(
@@ -183,8 +183,8 @@
       t.is(bench.claims.states.get("d5"), undefined);
     });
 
-    // A crashed upstream resets connections that it had taken. What it did before is not known.
-    it("is told unknown where a connection is reset", async (t) => {
+    // A crashed upstream resets the connections that it had accepted. What it did before that is not known.
+    it("is answered as unknown if the connection is reset", async (t) => {
       const bench = await openBench(t, 2);
       bench.services[0].faults.add({ type: "dead" });
       const answer = await post(bench, "/services/ledger/departures", "d4");
@@ -195,7 +195,7 @@
       ]);
     });
 
-    it("gets the upstream's own failure as its answer, once", async (t) => {
+    it("gets the upstream's own failure as its answer, and runs once", async (t) => {
       const bench = await openBench(t, 1);
       bench.services[0].faults.add({ type: "failAfterRun", times: 1 });
       t.is(
@@ -209,9 +209,9 @@
       t.is(countRuns(bench), 1);
     });
 
-    // The VM sleeps between its claim and the dispatch, until another VM may have taken the claim over. It must not send
-    // the call any more, and says so.
-    it("is not sent after its claim's own deadline", async (t) => {
+    // The VM is suspended between its claim and the dispatch, until another VM may have taken over the claim. It must
+    // no longer send the call, and must say so.
+    it("is not sent after the deadline of its claim", async (t) => {
       const bench = await openBench(t, 1);
       bench.claims.dispatchMs = -1;
       const answer = await post(bench, "/services/ledger/departures", "d7");
@@ -223,8 +223,8 @@
       t.is(countRuns(bench), 0);
     });
 
-    // The upstream sends its head and part of its answer, and hangs. The caller must hear "unknown" and the slot must come
-    // back; before, both waited for ever.
+    // The upstream sends the head and a part of its answer, and then hangs. The caller must get "unknown" and the slot
+    // must be freed; an earlier version let both wait forever.
     it("is given up when its answer stalls", async (t) => {
       const hangingServer = createServer((request, response) => {
         request.resume();
@@ -257,7 +257,7 @@
       t.is(edge.claims.states.get("d11"), "unknown");
     });
 
-    it("is refused as not run where no claim can be recorded", async (t) => {
+    it("is refused as not run if no claim can be recorded", async (t) => {
       const bench = await openBench(t, 1);
       bench.claims.refuse = true;
       const answer = await post(bench, "/services/ledger/departures", "d8");
@@ -270,8 +270,9 @@
       t.is(bench.slots.canceled.length, 1);
     });
 
-    // The caller hangs up while its call runs. The call goes on, and its answer waits for the caller's next try.
-    it("goes on without its caller", async (t) => {
+    // The caller disconnects while its call runs. The call continues, and its answer is kept for the caller's next
+    // attempt.
+    it("continues without its caller", async (t) => {
       const bench = await openBench(t, 1, 100);
       const abort = new AbortController();
       const aborted = fetch(`${bench.url}/services/ledger/departures`, {
@@ -294,7 +295,7 @@
       t.is(countRuns(bench), 1);
     });
 
-    it("tells what became of a key", async (t) => {
+    it("can be looked up by its key", async (t) => {
       const bench = await openBench(t, 1);
       await post(bench, "/services/ledger/departures", "d10");
       const lookUp = async (key: string) => {
@@ -313,7 +314,7 @@
   });
 
   describe("a plain call", () => {
-    it("passes method, path, query and headers on, but neither the caller's key nor internal headers", async (t) => {
+    it("passes on method, path, query and headers, but neither the caller's key nor internal headers", async (t) => {
       const bench = await openBench(t, 1);
       const response = await fetch(`${bench.url}/services/notes/a/b?c=1`, {
         method: "PUT",
@@ -327,7 +328,7 @@
       t.deepEqual([body.method, body.path], ["PUT", "/a/b"]);
     });
 
-    it("that changes something is not sent twice, one that does not is", async (t) => {
+    it("that changes something is not sent twice, and one that changes nothing is", async (t) => {
       const bench = await openBench(t, 2);
       bench.services[0].faults.add({ type: "cutAfterRun" });
       bench.services[1].faults.add({ type: "cutAfterRun" });
--- a/test/edge_stream_test.ts
+++ b/test/edge_stream_test.ts
@@ -51,7 +51,7 @@
   return { ...edge, engines, client };
 }
 
-/** What a stock client makes of a streamed answer: its text, and the error it ended in. */
+/** Streams an answer through a stock client; returns its text and the error that it ended in. */
 async function streamAnswer(
   client: OpenAI,
   nonce: string,
@@ -82,7 +82,7 @@
 
 describe("edge", () => {
   describe("a stock client", () => {
-    it("gets a whole streamed answer", async (t) => {
+    it("gets a complete streamed answer", async (t) => {
       const { client, slots } = await openBench(t, 1);
       t.deepEqual(await streamAnswer(client, "n1"), {
         text: formatAnswer("n1", ANSWER_TOKENS),
@@ -91,7 +91,7 @@
       t.deepEqual(slots.started, [slots.reports[0].attemptId]);
     });
 
-    it("gets a whole answer in one piece, and a legacy completion", async (t) => {
+    it("gets a complete answer without streaming, and a legacy completion", async (t) => {
       const { client } = await openBench(t, 1);
       const chat = await client.chat.completions.create({
         model: "plan",
@@ -116,15 +116,15 @@
   });
 
   describe("a stream that breaks", () => {
-    // The caller reads some tokens, then the engine goes away. It cannot resume, so the caller must see an error in the
-    // stream, with the tokens so far a true prefix: a clean end would pass for a short answer.
+    // The engine fails after the caller has read some tokens. It cannot resume, so the caller must see an error in the
+    // stream, and the tokens so far must be a true prefix. A clean end would pass for a short answer.
     const breakCases: { name: string; fault: EngineFault }[] = [
       {
         name: "cut connection",
         fault: { type: "cut", afterTokens: 7, times: 1 },
       },
       {
-        name: "early but orderly end",
+        name: "early but clean end",
         fault: { type: "truncate", afterTokens: 7, times: 1 },
       },
       {
@@ -132,7 +132,7 @@
         fault: { type: "stall", afterTokens: 7, stallMs: 60_000, times: 1 },
       },
       {
-        name: "crossed with another answer",
+        name: "mixed up with another answer",
         fault: { type: "crossed", afterTokens: 7, times: 1 },
       },
     ];
@@ -151,13 +151,13 @@
       });
     }
 
-    // The engine resumes, as its row says. The caller sees one whole answer: nothing lost, nothing twice.
+    // The engine can resume, as its row says. The caller sees one complete answer: nothing is lost or duplicated.
     for (
       const { name, fault } of breakCases.filter((breakCase) =>
         breakCase.fault.type !== "crossed"
       )
     ) {
-      it(`is resumed where the engine can: ${name}`, async (t) => {
+      it(`is resumed if the engine can: ${name}`, async (t) => {
         const { client, engines } = await openBench(t, 1, { resumes: true }, {
           resumes: true,
         });
@@ -168,8 +168,8 @@
       });
     }
 
-    // The first engine fails before any token reached the caller; another one answers from the start, so the caller
-    // sees nothing of it. The failed engine is not asked again.
+    // The first engine fails before any token has reached the caller. Another one answers from the start, so the caller
+    // does not notice the failure. The failed engine is not tried again.
     for (
       const fault of [
         { type: "cut", afterTokens: 0, times: 1 },
@@ -191,7 +191,7 @@
       });
     }
 
-    it("passes a doubled event on once, where the engine numbers events", async (t) => {
+    it("passes a duplicate event on once if the engine numbers events", async (t) => {
       const { client, engines } = await openBench(t, 1, { resumes: true }, {
         resumes: true,
       });
@@ -202,9 +202,9 @@
     });
   });
 
-  // Many callers at once while one engine crosses answers and the other cuts. Each caller must end with its own whole
-  // answer, or with an error after a prefix of its own answer.
-  it("never hands one caller's answer to another", async (t) => {
+  // Many callers send requests at once, while one engine mixes up answers and the other cuts connections. Each caller
+  // must get its own complete answer, or an error after a prefix of its own answer.
+  it("never gives one caller's answer to another", async (t) => {
     const { client, engines } = await openBench(t, 2);
     for (let i = 0; i < 5; i++) {
       engines[0].faults.add({ type: "crossed", afterTokens: i, times: 2 });
@@ -215,16 +215,16 @@
       nonces.map((nonce) => streamAnswer(client, nonce)),
     );
     for (const [i, { text, error }] of answers.entries()) {
-      const whole = formatAnswer(nonces[i], ANSWER_TOKENS);
-      if (error) t.true(whole.startsWith(text));
-      else t.is(text, whole);
+      const fullAnswer = formatAnswer(nonces[i], ANSWER_TOKENS);
+      if (error) t.true(fullAnswer.startsWith(text));
+      else t.is(text, fullAnswer);
     }
     t.true(answers.some((answer) => answer.error));
   });
 
-  // The caller closes its connection in the middle of an answer. The engine must stop generating and the slot must come
-  // back, or abandoned answers would fill the engines.
-  it("cancels at the engine when the caller goes", async (t) => {
+  // The caller closes its connection in the middle of an answer. The engine must stop generating and the slot must be
+  // freed, or abandoned answers would fill the engines.
+  it("cancels the request at the engine when the caller disconnects", async (t) => {
     const { client, engines, slots } = await openBench(t, 1, {
       streamTokensPerS: 50,
     });
@@ -243,8 +243,8 @@
     t.true(engines[0].records()[0].tokens < 1000);
   });
 
-  // The engine accepts and then says nothing. At the request's deadline the caller gets its final answer at once, and
-  // the engine's late answer goes nowhere.
+  // The engine accepts the request and then sends nothing. At the request's deadline the caller gets its final answer
+  // at once, and the engine's late answer is discarded.
   it("answers at the deadline when no engine does", async (t) => {
     const { engines, url } = await openBench(t, 1, {}, { service: "quick" });
     engines[0].faults.add({ type: "late", delayMs: 60_000, times: 1 });
--- a/test/gateway_behind_test.ts
+++ b/test/gateway_behind_test.ts
@@ -22,7 +22,7 @@
   socket.destroy();
 }
 
-/** Makes each turn of this process's loop take so long, until closed. */
+/** Blocks each iteration of this process's event loop for `blockMs`, until closed. */
 function blockEventLoop(blockMs: number): { close(): void } {
   const timer = setInterval(() => {
     const endMs = performance.now() + blockMs;
@@ -31,7 +31,7 @@
   return { close: () => clearInterval(timer) };
 }
 
-/** Requests that were given up, or refused as they could not begin soon. */
+/** Counts the requests that were canceled, or refused because they could not start soon. */
 function countCanceledOrShed(vm: LabVm): number {
   const outcomes = vm.log.lines.map(({ fields }) => fields.outcome);
   return outcomes.filter((outcome) =>
@@ -39,12 +39,12 @@
   ).length;
 }
 
-// Alone in its file: it blocks its process, and with it whatever runs beside.
+// These tests have a file of their own because they block the process, and with it everything that runs concurrently.
 describe("gateway", () => {
-  describe("a caller that leaves", () => {
-    // The VM is so far behind that it reads the request together with the end of its connection. Sent on at once, the
-    // request would reach an upstream long after its caller had left.
-    it("while the VM is behind is not sent to an upstream", async (t) => {
+  describe("a request whose caller disconnects", () => {
+    // The VM is so far behind that it reads the request together with the end of its connection. If it sent the request
+    // on at once, the request would reach an upstream long after its caller had disconnected.
+    it("while the VM's event loop is blocked is not sent to an upstream", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const [host, port] = vm.settings.listen.callers.split(":");
       const socket = connect(Number(port), host);
@@ -63,8 +63,8 @@
       t.is(lab.runners[0].arrivals.length, before);
     });
 
-    // Each turn of the loop takes long, none so long that it shows by itself.
-    it("while every turn of the VM is slow is not sent to an upstream", async (t) => {
+    // Each iteration of the event loop takes long, but none so long that it is noticeable by itself.
+    it("while every iteration of the VM's event loop is slow is not sent to an upstream", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const sockets = await Promise.all(
         Array.from({ length: CALLER_COUNT }, () => connectToVm(vm)),
@@ -79,8 +79,9 @@
       t.is(lab.runners[0].arrivals.length, before);
     });
 
-    // A process takes one new connection a turn: the request has waited as long as all that were taken before it.
-    it("before its connection was taken is not sent to an upstream", async (t) => {
+    // A process accepts one new connection per iteration, so the request has waited for all that were accepted before
+    // it.
+    it("before its connection is accepted is not sent to an upstream", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       await lab.call(vm, { path: "/safe/" });
       const before = lab.runners[0].arrivals.length;
--- a/test/gateway_beliefs_test.ts
+++ b/test/gateway_beliefs_test.ts
@@ -9,7 +9,7 @@
   new URL("../src/cli/ibisgap.js", import.meta.url),
 );
 
-/** Runs the operators' tool. */
+/** Runs the operators' command-line tool. */
 async function runIbisgap(
   ...args: string[]
 ): Promise<{ code: number; out: string; err: string }> {
@@ -25,8 +25,8 @@
 }
 
 describe("gateway", () => {
-  describe("an operator who asks a VM what it believes", () => {
-    it("is told its tasks, or one of them", async (t) => {
+  describe("an operator who dumps a VM's state", () => {
+    it("gets all tasks, or one of them", async (t) => {
       const { vm, lab } = await openLab(t, 1);
       const { peers } = vm.settings.listen;
       const all = await runIbisgap("vm-dump", peers);
@@ -40,7 +40,7 @@
       );
     });
 
-    it("is told what is wrong with the question", async (t) => {
+    it("is told what is wrong with the command", async (t) => {
       const { vm } = await openLab(t, 1);
       const { peers } = vm.settings.listen;
       const unknownTask = await runIbisgap("vm-dump", peers, "nothing");
@@ -53,8 +53,8 @@
     });
   });
 
-  describe("what the store says", () => {
-    it("of the routes is in force soon, and an older version never comes back", async (t) => {
+  describe("the contents of the store", () => {
+    it("put new routes in force soon, and an older version is never applied", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.configure([...ROUTES, makeRoute({ path_prefix: "/new/" })]);
       await waitUntil(async () =>
@@ -71,7 +71,7 @@
       t.is((await lab.call(vm, { path: "/new/" })).status, 200);
     });
 
-    it("of a leaving or evacuated upstream keeps requests away from it", async (t) => {
+    it("keep requests away from draining or evacuated upstreams", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       lab.register(lab.runners[0], "north", { state: "draining" });
       await waitUntil(() =>
@@ -90,9 +90,9 @@
       );
     });
 
-    // All VMs start while the store is away: there is no configuration, and a 404 would tell callers that their route is
-    // gone.
-    it("is not there at a start: requests are refused for now, and the VM is not ready", async (t) => {
+    // All VMs start while the store is unavailable. There is no configuration, and a 404 would tell callers that their
+    // route is gone.
+    it("are unknown after a start during an outage: requests are refused for now, and the VM is not ready", async (t) => {
       const lab = new GatewayLab();
       t.teardown(() => lab.close());
       lab.configure();
@@ -108,8 +108,8 @@
       t.is((await lab.call(vm, { path: "/safe/" })).status, 200);
     });
 
-    // The store turns one VM away and serves the others and the operator.
-    it("reaches a VM that the store turns away, through another VM", async (t) => {
+    // The store refuses one VM, and serves the others and the operator.
+    it("reach a VM that the store refuses, through another VM", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const second = await lab.addVm();
       await lab.waitUntilReady(second);
@@ -125,8 +125,9 @@
       t.pass();
     });
 
-    // A fourth VM of a region does not ask the store about upstreams; it must still stop sending to one that leaves.
-    it("reaches a VM that leaves the asking to others", async (t) => {
+    // The fourth VM of a region does not query the store about upstreams, but must still stop sending to a draining
+    // one.
+    it("reach a VM that does not query the store", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       for (let i = 0; i < 3; i++) await lab.waitUntilReady(await lab.addVm());
       const findServedVms = () =>
@@ -149,8 +150,8 @@
       t.is((await lab.call(vm, { path: "/safe/" })).status, 503);
     });
 
-    // All entries lapse in an outage. They are back two seconds after its end; until then their upstreams serve on.
-    it("of upstreams that lapsed in an outage is forgotten only when they stay away", async (t) => {
+    // All entries expire in an outage and are back two seconds after its end. Until then their upstreams keep serving.
+    it("drop upstreams that expired in an outage only if they stay away", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.store.faults.set([{ outage: "refuse" }]);
       await waitUntil(() =>
@@ -170,8 +171,8 @@
     });
   });
 
-  describe("a VM that leaves", () => {
-    it("is not ready and not named at once, and serves on what still arrives", async (t) => {
+  describe("a VM that drains", () => {
+    it("is at once not ready and not in the directory, and still serves the requests that arrive", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const second = await lab.addVm();
       await lab.waitUntilReady(second);
@@ -193,8 +194,8 @@
     });
   });
 
-  describe("settings that change", () => {
-    it("are taken in while requests are served; another address needs a restart", async (t) => {
+  describe("new settings", () => {
+    it("take effect while requests are served; another address needs a restart", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       vm.gateway.reload({
         ...vm.settings,
@@ -209,7 +210,7 @@
       t.is((await lab.call(vm, { path: "/safe/" })).status, 200);
     });
 
-    it("and are wrong are told field by field", (t) => {
+    it("that are invalid are reported field by field", (t) => {
       const result = parseGatewaySettings(
         JSON.stringify({ vm: { id: "" }, listen: { callers: "here" } }),
       );
--- a/test/gateway_crashing_test.ts
+++ b/test/gateway_crashing_test.ts
@@ -1,5 +1,6 @@
 import type { ExecutionContext } from "ava";
-// One lab after the other: twelve at once in one process are slower than the times that they are about.
+// The tests run one after the other: twelve labs at once in one process are slower than the times that the tests are
+// about.
 import { describe, itAlone as it } from "../src/base/describe.ts";
 import { requestDigest } from "../src/suspects/mod.ts";
 import { ROUTE_HOST } from "../src/standins/mod.ts";
@@ -13,10 +14,10 @@
 
 const FATAL_BODY = "ends whatever runs it";
 const ATTEMPT_COUNT = 16;
-/** Upstreams that one request may end: three, and three more while the VMs tell each other. */
+/** Maximum number of upstreams that one request may crash: three, and three more until all VMs are informed. */
 const MAX_CRASHES = 6;
 const RUNNERS_PER_REGION = 6;
-/** Callers wait for each other, so that the row of attempts takes some seconds, as callers' retries do. */
+/** Pause between two attempts, so that the series of attempts takes some seconds, as callers' retries do. */
 const PAUSE_MS = 150;
 
 const REQUEST_CASES:
@@ -28,7 +29,7 @@
   ];
 
 const REGION_CASES:
-  readonly (readonly [name: string, of: readonly string[]])[] = [
+  readonly (readonly [name: string, regions: readonly string[]])[] = [
     ["two regions", ["north", "north", "north", "south", "south", "south"]],
     ["a region with a lead", ["north", "north", "north", "north", "north"]],
   ];
@@ -37,7 +38,7 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** A VM in each of `regions`, all of which know each other. */
+/** Opens a lab with a VM in each of `regions`; all VMs know each other. */
 async function openRegions(
   t: ExecutionContext,
   regions: readonly string[],
@@ -64,7 +65,7 @@
   return lab.runners.reduce((sum, { crashCount }) => sum + crashCount, 0);
 }
 
-/** Sends a request; one that got no answer has status 0. */
+/** Sends a request; the status is 0 if there was no answer. */
 async function tryCall(
   lab: GatewayLab,
   vm: LabVm,
@@ -78,11 +79,11 @@
 }
 
 describe("gateway", () => {
-  describe("a request that ends every upstream that runs it", () => {
+  describe("a request that crashes every upstream that runs it", () => {
     for (const [regionCase, regions] of REGION_CASES) {
       for (const [requestCase, request] of REQUEST_CASES) {
-        // It comes again under new attempts, at each VM in turn.
-        it(`ends no more upstreams than allowed: ${requestCase}, ${regionCase}`, async (t) => {
+        // The request is sent again as a new attempt, to each VM in turn.
+        it(`crashes no more upstreams than allowed: ${requestCase}, ${regionCase}`, async (t) => {
           const lab = await openRegions(t, regions);
           for (const runner of lab.runners) {
             runner.isFatal = (body) => body === FATAL_BODY;
@@ -92,20 +93,20 @@
             await tryCall(lab, vm, { ...request, body: FATAL_BODY });
             await pause(PAUSE_MS);
           }
-          t.log(`${countCrashes(lab)} upstreams ended`);
+          t.log(`${countCrashes(lab)} upstreams crashed`);
           t.true(
             countCrashes(lab) <= MAX_CRASHES,
-            `${countCrashes(lab)} upstreams ended`,
+            `${countCrashes(lab)} upstreams crashed`,
           );
         });
       }
     }
   });
 
-  describe("a request that is not run again", () => {
+  describe("a request that has crashed upstreams", () => {
     const request = { path: "/once/z", method: "POST", body: FATAL_BODY };
 
-    /** A lab in which it has ended as many upstreams as it may. */
+    /** Opens a lab in which the request has crashed as many upstreams as it may. */
     async function openRejecting(t: ExecutionContext): Promise<GatewayLab> {
       const lab = await openRegions(t, ["north", "north"]);
       for (const runner of lab.runners) {
@@ -119,7 +120,7 @@
       return lab;
     }
 
-    it("tells its caller so at once, and when to come back", async (t) => {
+    it("is refused at once, and its caller is told when to retry", async (t) => {
       const lab = await openRejecting(t);
       await pause(PAUSE_MS);
       const answer = await tryCall(lab, lab.vms[1], request);
@@ -128,7 +129,7 @@
       t.true(Number(answer.headers["retry-after"]) > 60);
     });
 
-    // All VMs are asked in the same moment; each knows of three ends, and none of the others' tries.
+    // All VMs get the request at the same moment. Each knows of three crashes, and none knows of the others' attempts.
     it("is tried once more by one VM only", async (t) => {
       const lab = await openRegions(t, ["north", "north", "south", "south"]);
       for (const runner of lab.runners) {
@@ -143,7 +144,7 @@
       t.is(countCrashes(lab), 4);
     });
 
-    it("leaves other requests alone", async (t) => {
+    it("does not affect other requests", async (t) => {
       const lab = await openRejecting(t);
       const answer = await tryCall(lab, lab.vms[0], { ...request, body: "b" });
       t.is(answer.status, 200);
@@ -159,8 +160,9 @@
       t.is(countCrashes(lab), before);
     });
 
-    // The VM that takes it knows nothing yet, and the one that it hands it to rejects it.
-    it("is refused for good by the VM that it was handed to", async (t) => {
+    // The VM that receives the request knows nothing of it yet, and the VM that it hands the request over to rejects
+    // it.
+    it("is refused for good by the VM that it was handed over to", async (t) => {
       const lab = new GatewayLab();
       t.teardown(() => lab.close());
       lab.configure();
@@ -186,7 +188,7 @@
       t.true(Number(answer.headers["retry-after"]) > 60);
     });
 
-    it("is known when all VMs were started again", async (t) => {
+    it("is still known after all VMs have restarted", async (t) => {
       const lab = await openRejecting(t);
       for (const { gateway } of lab.vms) await gateway.close();
       const vm = await lab.addVm();
@@ -198,9 +200,9 @@
     });
   });
 
-  describe("an idempotent call that was given up for want of an answer", () => {
-    // Its first upstream ends under it after the VM has gone on to a second one, which answers nobody either.
-    it("has all of its ends counted", async (t) => {
+  describe("an idempotent call that was given up without an answer", () => {
+    // The first upstream crashes after the VM has moved on to a second one, which does not answer either.
+    it("has all of its crashes counted", async (t) => {
       const lab = await openRegions(t, ["north"]);
       for (const runner of lab.runners) {
         runner.isFatal = (body) => body === FATAL_BODY;
@@ -218,9 +220,10 @@
     });
   });
 
-  describe("an upstream that is back before anybody looks", () => {
-    // Its address takes connections again in the step in which it ended; only the born of its entry tells of the end.
-    it("counts against the request that ended it", async (t) => {
+  describe("an upstream that is back before its crash is noticed", () => {
+    // Its address accepts connections again in the same step in which it crashed. Only `born` in its entry shows the
+    // crash.
+    it("counts against the request that crashed it", async (t) => {
       const lab = await openRegions(t, ["north"]);
       const request = { path: "/once/u", method: "POST", body: FATAL_BODY };
       for (const runner of lab.runners) {
@@ -242,8 +245,8 @@
   });
 
   describe("a request whose connections are reset", () => {
-    // The upstream lives on, so that nothing speaks against the request.
-    it("is served however often that was", async (t) => {
+    // The upstream keeps running, so there is no evidence against the request.
+    it("is served however often they were reset", async (t) => {
       const lab = await openRegions(t, ["north"]);
       const request = { path: "/once/w", method: "POST", body: "good" };
       for (const runner of lab.runners) runner.behavior = "reset";
@@ -259,9 +262,9 @@
     });
   });
 
-  describe("a request whose upstreams ended for other causes", () => {
-    // Three upstreams in a row end while they run it, and the fourth does not.
-    it("is served after three ends", async (t) => {
+  describe("a request whose upstreams crashed for other reasons", () => {
+    // Three upstreams in a row crash while they run the request, and the fourth does not.
+    it("is served after three crashes", async (t) => {
       const lab = await openRegions(t, ["north", "north", "north"]);
       const request = { path: "/once/y", method: "POST", body: "good" };
       for (const runner of lab.runners) runner.answerDelayMs = 60;
@@ -280,8 +283,8 @@
       t.is(answer.status, 200);
     });
 
-    // The leave to run once more comes from the store; without it nobody knows who else tries.
-    it("waits for the store to be served after three ends", async (t) => {
+    // The permission for one more run comes from the store. Without the store, no VM knows which other VMs try.
+    it("is served after three crashes only when the store is reachable", async (t) => {
       const lab = await openRegions(t, ["north"]);
       const request = { path: "/once/v", method: "POST", body: "good" };
       for (const runner of lab.runners) runner.isFatal = () => true;
--- a/test/gateway_engines_test.ts
+++ b/test/gateway_engines_test.ts
@@ -4,10 +4,10 @@
 import { GatewayLab, openLab, waitUntil } from "./gateway_lab.ts";
 
 const CALL_COUNT = 40;
-/** Events of a stream that lasts long enough to move. */
+/** Number of events in a stream that lasts long enough to be moved. */
 const LONG_STREAM_EVENTS = 160;
 
-/** A lab of one route of streams that run once, whose engines are as given, and that many of them. */
+/** Opens a lab with `engineCount` engines, as `engineFields` says, and one route for streams that run once. */
 async function openEngineLab(
   t: ExecutionContext,
   engineFields: Record<string, unknown>,
@@ -30,8 +30,9 @@
 
 describe("gateway", () => {
   describe("engines", () => {
-    // An upstream came back cold. Both VMs of the region see it free and would send it all they have; it would crash.
-    it("that are cold get no more than their rate from all VMs together", async (t) => {
+    // An upstream has come back cold. Both VMs of the region see it idle and would send it all their requests; it would
+    // crash.
+    it("that are cold get no more than their rate limit from all VMs together", async (t) => {
       const lab = new GatewayLab();
       t.teardown(() => lab.close());
       lab.configure(undefined, { cold_s: 60, cold_rate_s: 4 });
@@ -59,7 +60,7 @@
       );
     });
 
-    it("read a prompt that requests share once, not once each", async (t) => {
+    it("read a prompt that requests share only once, not once per request", async (t) => {
       const lab = await openEngineLab(t, {}, { sticky: true }, 3);
       const vm = await lab.addVm();
       await lab.waitUntilReady(vm);
@@ -81,9 +82,10 @@
       t.is(readTokens, 6_000 + 12 * 100);
     });
 
-    // A stream that must run once is under way when a long prompt comes to its engine, the only one. Then another engine
-    // appears. The stream stops at the first, goes on at the second with its memory, and the caller gets each event once.
-    it("that read a long prompt lose their streams to calm ones, whole and run once", async (t) => {
+    // A stream that must run once is in progress when a long prompt arrives at the only engine. Then another engine
+    // appears. The stream stops at the first one and continues at the second with its KV cache; the caller gets each
+    // event once.
+    it("that read a long prompt hand their streams over to idle ones, complete and without a second run", async (t) => {
       const lab = await openEngineLab(
         t,
         { stride: 8, moves: true },
@@ -123,9 +125,9 @@
       t.is((await longAnswer).status, 200);
     });
 
-    // The upstream says on its answers that it leaves; its store entry comes later. A connection that it ends must not
-    // carry the next request.
-    it("that leave end their connections, and no request is lost on them", async (t) => {
+    // The upstream's answers say that it is draining; its store entry follows later. A connection that it closes must
+    // not carry the next request.
+    it("that drain close their connections, and no request is lost on them", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.runners[0].isDraining = true;
       for (let i = 0; i < 5; i++) {
@@ -137,8 +139,8 @@
       t.is(lab.runners[0].arrivals.length, 5);
     });
 
-    // A caller sends a head and then nothing: its connection may not be held for ever.
-    it("are not reached by a caller that never sends its body", async (t) => {
+    // A caller sends a head and then nothing. Its connection must not be kept open forever.
+    it("get no request from a caller that never sends its body", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const answer = await lab.call(vm, {
         path: "/once/",
--- a/test/gateway_keys_test.ts
+++ b/test/gateway_keys_test.ts
@@ -45,7 +45,7 @@
 
 describe("gateway", () => {
   describe("a caller's key", () => {
-    it("names its workspace to the upstream, which sees neither key nor a forged name", async (t) => {
+    it("makes the upstream get its workspace, but neither the key nor a forged workspace name", async (t) => {
       const { lab, vm } = await openLabWithKeys(t);
       const answer = await lab.call(vm, {
         path: "/safe/",
@@ -61,17 +61,19 @@
     const refusedHeaders: Record<string, Record<string, string | string[]>> = {
       "that is missing": {},
       "that nobody holds": { authorization: "Bearer nobody" },
-      "in odd case": { authorization: `Bearer ${KEY.toUpperCase()}` },
+      "in the wrong case": { authorization: `Bearer ${KEY.toUpperCase()}` },
       "of another scheme": { authorization: `Basic ${KEY}` },
-      "with more behind it": { authorization: `Bearer ${KEY} ${KEY}` },
+      "followed by more text": { authorization: `Bearer ${KEY} ${KEY}` },
       "sent twice": { authorization: [`Bearer ${KEY}`, `Bearer ${KEY}`] },
       "of three kilobytes": { authorization: `Bearer ${"k".repeat(3_000)}` },
-      "beyond ASCII": { authorization: `Bearer ${KEY}\u00e9` },
-      "and a name alone": { tenant: "convoys" },
-      "of another VM's relay": { "ibisgap-key-digest": secretDigest(KEY) },
+      "with a non-ASCII character": { authorization: `Bearer ${KEY}\u00e9` },
+      "replaced by a workspace name": { tenant: "convoys" },
+      "in the header of another VM's relay": {
+        "ibisgap-key-digest": secretDigest(KEY),
+      },
     };
     for (const [name, headers] of Object.entries(refusedHeaders)) {
-      it(`${name} is refused by the head alone`, async (t) => {
+      it(`${name} is refused after the head alone`, async (t) => {
         const { lab, vm } = await openLabWithKeys(t);
         const answer = await lab.call(vm, {
           path: "/once/",
@@ -87,7 +89,7 @@
       });
     }
 
-    it("is not asked for on an anonymous route", async (t) => {
+    it("is not required on an anonymous route", async (t) => {
       const { lab, vm } = await openLabWithKeys(t);
       const answer = await lab.call(vm, {
         path: "/open/",
@@ -97,7 +99,7 @@
       t.is(lab.runners[0].arrivals[0].headers.tenant, undefined);
     });
 
-    it("stays with the upstream where there are no workspaces", async (t) => {
+    it("is passed on to the upstream if there are no workspaces", async (t) => {
       const { lab, vm } = await openLabWithKeys(t);
       lab.configure(OPEN_ROUTES);
       await waitUntil(async () =>
@@ -110,8 +112,8 @@
       );
     });
 
-    // The other region's VM looks the workspace up by itself: what a stranger says on its port counts for nothing.
-    it("is told to another region by its digest, and a forged relay is refused", async (t) => {
+    // The other region's VM looks up the workspace itself and trusts nothing that a stranger sends to its port.
+    it("is sent to another region as a digest, and a forged relay is refused", async (t) => {
       const { lab, vm } = await openLabWithKeys(t, ["north", "south"]);
       const request = { path: "/south/", method: "POST", ...withKey(KEY) };
       await waitUntil(async () => (await lab.call(vm, request)).status === 200);
@@ -125,7 +127,7 @@
       t.is(south.arrivals.length, before);
     });
 
-    it("never shows in a log, a dump or what VMs tell each other", async (t) => {
+    it("never appears in a log, a dump, the metrics or what VMs send each other", async (t) => {
       const { lab, vm } = await openLabWithKeys(t);
       await lab.call(vm, { path: "/safe/", ...withKey(KEY) });
       await lab.call(vm, { path: "/safe/", ...withKey("not-a-key-of-anyone") });
@@ -158,13 +160,13 @@
     });
   });
 
-  describe("a key that is taken away", () => {
+  describe("a revoked key", () => {
     const FEWER_KEYS = [
       makeWorkspace("convoys", ["key-of-the-convoys-2"]),
       makeWorkspace("clinic", [OTHER_KEY]),
     ];
 
-    it("is refused soon, and no older version brings it back", async (t) => {
+    it("is refused soon, and an older configuration does not bring it back", async (t) => {
       const { lab, vm } = await openLabWithKeys(t);
       const request = { path: "/safe/", ...withKey(KEY) };
       t.is((await lab.call(vm, request)).status, 200);
@@ -183,8 +185,8 @@
       t.is((await lab.call(vm, otherKeyRequest)).status, 200);
     });
 
-    // The store turns one VM away just when keys are taken away, and shows no sign of it. Its neighbour tells it.
-    it("is refused by a VM that the store turns away", async (t) => {
+    // The store refuses one VM just when keys are revoked, so the VM sees no sign of it there. Another VM tells it.
+    it("is refused by a VM that the store refuses", async (t) => {
       const { lab, vm } = await openLabWithKeys(t, ["north", "north"]);
       const request = { path: "/safe/", ...withKey(KEY) };
       t.is((await lab.call(vm, request)).status, 200);
@@ -194,7 +196,7 @@
       t.is((await lab.call(lab.vms[1], request)).status, 401);
     });
 
-    it("is refused by a VM that starts in that moment", async (t) => {
+    it("is refused by a VM that starts at that moment", async (t) => {
       const { lab } = await openLabWithKeys(t);
       lab.configure(OPEN_ROUTES, {}, FEWER_KEYS);
       const newVm = await lab.addVm();
@@ -205,9 +207,9 @@
       t.is((await lab.call(newVm, request)).status, 401);
     });
 
-    // Operators would rather have callers refused. The store turns the one VM away, so it can't know any more; a VM that
-    // a served lead tells does.
-    it("may have been, where nobody can know, and operators want no risk", async (t) => {
+    // Operators prefer that callers are refused. The store refuses the only VM, which then can't know whether keys were
+    // revoked. A VM that is informed by a lead with access to the store knows it.
+    it("that the VM cannot learn of makes it refuse callers, if operators say so", async (t) => {
       const lab = new GatewayLab();
       t.teardown(() => lab.close());
       lab.configure(OPEN_ROUTES, {}, WORKSPACES);
@@ -229,7 +231,7 @@
       t.is((await lab.call(vm, request)).status, 200);
     });
 
-    it("lets a stream that it began end", async (t) => {
+    it("does not end a stream that was started with it", async (t) => {
       const { lab, vm } = await openLabWithKeys(t);
       lab.runners[0].eventGapMs = 100;
       const stream = lab.call(vm, { path: "/stream/", ...withKey(KEY) });
@@ -239,7 +241,7 @@
     });
   });
 
-  it("knows a key that is added as soon", async (t) => {
+  it("accepts a new key as soon as it refuses a revoked one", async (t) => {
     const { lab, vm } = await openLabWithKeys(t);
     const request = { path: "/safe/", ...withKey("new") };
     t.is((await lab.call(vm, request)).status, 401);
@@ -251,8 +253,8 @@
     t.is(lab.runners[0].arrivals.at(-1)?.headers.tenant, "new");
   });
 
-  // A workspace's homes and a route's bind both. Where they share no region the caller is told so at once.
-  it("serves a workspace in its homes alone", async (t) => {
+  // The home regions of the workspace and of the route both apply. If they share none, the caller is told so at once.
+  it("serves a workspace only in its home regions", async (t) => {
     const { lab, vm } = await openLabWithKeys(t, ["north", "south"]);
     lab.configure(OPEN_ROUTES, {}, [
       makeWorkspace("convoys", [KEY], { home_regions: ["south"] }),
--- a/test/gateway_lab.ts
+++ b/test/gateway_lab.ts
@@ -1,5 +1,5 @@
 /**
- * Gateways on loopback addresses of their own, with stand-ins of store and upstreams, for tests.
+ * A test lab: gateways on their own loopback addresses, with a fake store and fake upstreams.
  *
  * @module
  */
@@ -20,32 +20,32 @@
 } from "../src/standins/mod.ts";
 import { keepLog } from "./kept.ts";
 
-/** What a caller got. */
+/** The answer that a caller got. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** Whether the body ended in order. */
+  /** Whether the body ended as its framing says, not by a broken connection. */
   readonly isComplete: boolean;
 }
 
-/** A caller's request. */
+/** A request as a caller sends it. */
 export interface CallerRequest {
   readonly path: string;
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Sends the head alone. */
+  /** Whether to send only the head and leave the request open. */
   readonly isHeadOnly?: boolean;
-  /** Leaves as soon as this holds. */
+  /** Closes the caller's connection as soon as this returns true. */
   readonly abortWhen?: () => boolean;
 }
 
-/** VMs of one lab, at most; each lab has as many addresses. */
+/** Maximum number of VMs in one lab; each lab reserves as many addresses. */
 const MAX_VMS = 6;
 let labCount = 0;
 
-/** One line of the log. */
+/** One line of a VM's log. */
 export interface LogLine {
   readonly event: string;
   readonly fields: Readonly<Record<string, unknown>>;
@@ -98,14 +98,18 @@
   }),
 ];
 
-/** One VM. */
+/** One VM of a lab. */
 export interface LabVm {
   readonly gateway: Gateway;
   readonly log: MemoryLog;
   readonly settings: GatewaySettings;
 }
 
-/** See the module. Addresses are 127.x.y.z, so that all VMs have the same ports, as on the platform. */
+/**
+ * Runs VMs, upstreams and a store for one test.
+ *
+ * Addresses are 127.x.y.z, so that all VMs have the same ports, as on the platform.
+ */
 export class GatewayLab {
   readonly store = new KvServer({ readsPerS: 10_000, writesPerS: 10_000 });
   readonly runners: Runner[] = [];
@@ -114,7 +118,7 @@
   readonly #agent = new Agent({ keepAlive: true });
   #configVersion = 0;
 
-  /** Writes a newer configuration. */
+  /** Writes a configuration with a higher version to the store. */
   configure(
     routes: readonly unknown[] = ROUTES,
     extraFields: Record<string, unknown> = {},
@@ -127,7 +131,7 @@
     );
   }
 
-  /** Opens an upstream in a region and registers it. */
+  /** Opens an upstream in a region and registers it in the store, again after each restart. */
   async addRunner(
     region = "north",
     entryFields: Record<string, unknown> = {},
@@ -142,7 +146,7 @@
     return runner;
   }
 
-  /** Writes an upstream's entry. */
+  /** Writes an upstream's entry to the store. */
   register(
     runner: Runner,
     region = "north",
@@ -160,7 +164,7 @@
     bounds: Partial<GatewaySettings["bounds"]> = {},
   ): Promise<LabVm> {
     const index = this.vms.length + 1;
-    // Test files run in threads of one process; each lab of each gets addresses of its own.
+    // Test files run as threads of one process; each lab of each file gets its own addresses.
     const ip = `127.${20 + threadId % 200}.${process.pid & 255}.${
       this.#addressBlock * MAX_VMS + index
     }`;
@@ -208,7 +212,7 @@
     return vm;
   }
 
-  /** Waits until a VM says that it is ready. */
+  /** Waits until a VM reports that it is ready, and knows all upstreams of the lab. */
   async waitUntilReady(vm: LabVm): Promise<void> {
     await waitUntil(async () =>
       (await this.get(vm.settings.listen.ready, "/api/ready")).status === 200
@@ -221,12 +225,12 @@
     });
   }
 
-  /** Asks one of a VM's listeners. */
+  /** Sends a GET request to one of a VM's listeners. */
   get(address: string, path: string): Promise<CallerAnswer> {
     return this.#send(address, { path });
   }
 
-  /** Sends a caller's request. */
+  /** Sends a caller's request to a VM. */
   call(vm: LabVm, input: CallerRequest): Promise<CallerAnswer> {
     return this.#send(vm.settings.listen.callers, input);
   }
@@ -294,7 +298,7 @@
   });
 }
 
-/** Waits for a condition; a hang guard only, no verdict depends on how long it takes. */
+/** Waits for a condition. The limit only guards against a hang: no check depends on how long it takes. */
 export async function waitUntil(
   condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
@@ -302,10 +306,10 @@
     if (await condition()) return;
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  throw new Error("waited in vain");
+  throw new Error("timed out waiting for a condition");
 }
 
-/** One VM before some upstreams of its region. */
+/** Opens a lab with one VM and `runnerCount` upstreams in its region. */
 export async function openLab(
   t: ExecutionContext,
   runnerCount: number,
@@ -319,7 +323,7 @@
   return { lab, vm };
 }
 
-/** Calls until the other region has been found, and answers through it. */
+/** Sends requests bound to the other region until the VM has discovered that region and `runnerId` there answers. */
 export async function waitUntilServedBy(
   lab: GatewayLab,
   vm: LabVm,
--- a/test/gateway_leads_test.ts
+++ b/test/gateway_leads_test.ts
@@ -19,7 +19,7 @@
   return lab.vms.find(({ settings }) => settings.vm.id === first.id)!;
 }
 
-/** A region whose VMs know each other and the lead. */
+/** Opens a region whose VMs know each other and agree on the lead. */
 async function openRegion(
   t: { teardown(run: () => Promise<void>): void },
   runnerCount: number,
@@ -38,7 +38,7 @@
   return lab;
 }
 
-/** How the requests of a VM were placed, by its metrics page. */
+/** Reads from a VM's metrics how many of its requests were placed by `by`. */
 async function countPlaced(
   lab: GatewayLab,
   vm: LabVm,
@@ -53,8 +53,8 @@
 
 describe("gateway", () => {
   describe("a region of many VMs", () => {
-    // Each VM alone would send its request to the same upstream, the one that is idle for all; the lead counts what it
-    // has granted, and the four requests run side by side.
+    // Each VM alone would send its request to the same upstream, which all of them see as idle. The lead counts what it
+    // has granted, so the four requests run side by side.
     it("places what comes to different VMs together on different upstreams", async (t) => {
       const lab = await openRegion(t, 4);
       const lead = findFirstLead(lab);
@@ -70,7 +70,7 @@
       t.is(await countPlaced(lab, others[0], "lead"), 1);
     });
 
-    // The lead is gone without a word. Its VMs wait for no answer longer than a moment, and refuse nobody.
+    // The lead is lost without notice. The other VMs wait only a short time for its answers, and refuse no request.
     it("serves on when its lead is lost", async (t) => {
       const lab = await openRegion(t, 2);
       const lead = findFirstLead(lab);
@@ -94,8 +94,9 @@
       t.is(after, before + 1);
     });
 
-    // Only leads ask the store; a VM that is none must still have a new route, and stop sending to an upstream that leaves.
-    it("has the news of the store on every VM", async (t) => {
+    // Only leads query the store. A VM that is not a lead must still get a new route, and stop sending to a draining
+    // upstream.
+    it("applies changes in the store on every VM", async (t) => {
       const lab = await openRegion(t, 1);
       lab.configure([...ROUTES, { ...ROUTES[0], path_prefix: "/new/" }]);
       for (const vm of lab.vms) {
@@ -117,8 +118,8 @@
       t.pass();
     });
 
-    // The store turns all leads away and serves the operator and the other VMs.
-    it("hears of a new route from a standby when the store turns its leads away", async (t) => {
+    // The store refuses all leads, and serves the operator and the other VMs.
+    it("learns of a new route from a standby when the store refuses its leads", async (t) => {
       const lab = await openRegion(t, 1);
       const leads = dumpMembers(lab.vms[0]).order.slice(0, 3).map(({ id }) =>
         id
@@ -137,10 +138,10 @@
     });
   });
 
-  describe("an upstream that goes dark", () => {
-    // It holds a request, says nothing more and takes no connection: its power is gone. The caller of a call that may be
-    // repeated learns nothing until its deadline, though another upstream is free.
-    it("is left by what may be repeated, well before the deadline", async (t) => {
+  describe("an upstream that loses power", () => {
+    // The upstream has a request in flight, sends nothing more and accepts no connection. The caller of a call that may
+    // be retried would get no answer until its deadline, though another upstream is free.
+    it("has its retryable requests sent to another one well before their deadline", async (t) => {
       const lab = new GatewayLab();
       t.teardown(() => lab.close());
       lab.configure(
@@ -149,7 +150,7 @@
           resumable: route.kind === "streaming",
         })),
       );
-      // Takes one connection and is silent; then its listener closes, and the connection stays.
+      // The server accepts one connection and sends nothing; then its listener closes, and the connection stays open.
       const silentServer = createServer(() => {});
       await new Promise<void>((resolve) =>
         silentServer.listen(0, "127.0.0.1", resolve)
--- a/test/gateway_quota_test.ts
+++ b/test/gateway_quota_test.ts
@@ -10,9 +10,9 @@
 
 const KEYS = { convoys: "key-1", clinic: "key-2" } as const;
 type Workspace = keyof typeof KEYS;
-/** Tokens of each request. */
+/** Tokens that each request counts for. */
 const REQUEST_UNITS = 500;
-/** As the lab's settings have it. */
+/** Equal to `quotaExcess` in the lab's settings. */
 const EXCESS_RATIO = 0.1;
 const SLACK_UNITS = 1_000;
 
@@ -49,7 +49,7 @@
   readonly workspaces: Readonly<Record<string, { readonly level: number }>>;
 }
 
-/** What is left of the flooding workspace's limit, at each VM that counts it. */
+/** Reads what is left of the flooding workspace's limit at each VM that counts it. */
 function readLevels(lab: GatewayLab): number[] {
   return lab.vms.flatMap((vm) => {
     const { workspaces } = vm.gateway.dump().quotas as QuotasDump;
@@ -57,7 +57,7 @@
   });
 }
 
-/** Two VMs in the north and one in the south, whose leads count. */
+/** Opens a lab with two VMs in the north and one in the south; the two regions' leads count the usage. */
 async function openLabWithLimits(
   t: { teardown(run: () => Promise<void>): void },
   unitsPerS: number,
@@ -79,7 +79,7 @@
   return lab;
 }
 
-/** Calls from both northern VMs for some time; what passed and what was refused. */
+/** Sends calls to both northern VMs for `durationMs`; returns what passed and what was refused. */
 async function flood(lab: GatewayLab, durationMs: number) {
   const startMs = performance.now();
   const answers: CallerAnswer[] = [];
@@ -103,9 +103,9 @@
 }
 
 describe("gateway", () => {
-  describe("a workspace beyond its limit", () => {
-    // A flood comes to both VMs of a region at once. Each alone would let the whole limit pass.
-    it("is refused over all VMs together, and told when to come back", async (t) => {
+  describe("a workspace over its limit", () => {
+    // A flood of requests arrives at both VMs of a region at once. Each VM alone would let the whole limit pass.
+    it("is limited over all VMs together, and told when to retry", async (t) => {
       const unitsPerS = 5_000;
       const lab = await openLabWithLimits(t, unitsPerS);
       const { tookMs, passed, refused, answers } = await flood(lab, 2_000);
@@ -126,7 +126,7 @@
       t.is(lab.runners[0].arrivals.length, passed + 1);
     });
 
-    it("leaves the others alone", async (t) => {
+    it("does not affect other workspaces", async (t) => {
       const lab = await openLabWithLimits(t, 1_000);
       const [first] = lab.vms;
       const flooding = flood(lab, 600);
@@ -151,14 +151,15 @@
     });
   });
 
-  // The upstream refuses and runs nothing, and the caller is told so: a limit that counted it would refuse it twice.
-  it("counts nothing of a workspace's limit for what has not run", async (t) => {
+  // The upstream refuses and runs nothing, and the caller is told so. If the limit counted the request, it would refuse
+  // it again.
+  it("does not count requests that were not run against a workspace's limit", async (t) => {
     const lab = await openLabWithLimits(t, 5_000);
     const [first, second] = lab.vms;
     await waitUntil(async () => (await sendRequest(lab, first)).status === 200);
     await waitUntil(() => readLevels(lab).some((level) => level === 1));
     for (const runner of lab.runners) runner.behavior = "shed";
-    // Counted, they would use several times what the limit gives in the time that they take.
+    // If they were counted, they would use several times what the limit allows in the time that they take.
     for (let i = 0; i < 40; i++) {
       const { status } = await sendRequest(lab, i % 2 === 0 ? first : second);
       t.is(status, 503);
--- a/test/gateway_repeats_test.ts
+++ b/test/gateway_repeats_test.ts
@@ -2,17 +2,17 @@
 import { openLab, waitUntil } from "./gateway_lab.ts";
 
 describe("gateway", () => {
-  describe("the budget of repeats", () => {
-    // Many upstreams change their addresses at once. Each request that meets the wrong one and goes on to the next comes
-    // to two upstreams, and the service gets more than the budget of repeats allows.
-    it("is not spent where upstreams turn requests away and none is left", async (t) => {
+  describe("the retry budget", () => {
+    // Many upstreams change their addresses at once. Each request that reaches a wrong upstream and goes on to the next
+    // arrives at two upstreams, so that the service would get more requests than the retry budget allows.
+    it("is not exceeded when upstreams refuse misdirected requests and no retry is left", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       const { bounds } = vm.settings;
       vm.gateway.reload({
         ...vm.settings,
         bounds: { ...bounds, repeatRatio: 0, repeatSlack: 0 },
       });
-      // Both entries name addresses that other upstreams have.
+      // Each of the two entries has the address of the other upstream.
       for (const [index, runner] of lab.runners.entries()) {
         lab.store.put(`servers/${runner.id}`, {
           service: "s",
@@ -42,9 +42,9 @@
       );
     });
 
-    // An upstream takes longer for an idempotent call than is usual, and another one is free; but the repeats of this window
-    // are used up. Giving the answer up that is still on its way would leave the caller with none.
-    it("has an upstream waited for when no repeat is left", async (t) => {
+    // An upstream takes longer than usual for an idempotent call, and another one is free, but the retries of this
+    // window are used up. If the gateway gave up the answer that is still on its way, the caller would get none.
+    it("makes the gateway wait for an upstream when no retry is left", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       const { bounds } = vm.settings;
       vm.gateway.reload({
--- a/test/gateway_test.ts
+++ b/test/gateway_test.ts
@@ -8,7 +8,7 @@
 
 describe("gateway", () => {
   describe("a request", () => {
-    it("reaches its upstream as it was sent, and the answer its caller", async (t) => {
+    it("reaches its upstream as it was sent, and its caller gets the answer", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const answer = await lab.call(vm, {
         path: "/once/x?y=%20z",
@@ -37,7 +37,7 @@
       t.true(leftMs > 0 && leftMs <= 1_200, `${leftMs}`);
     });
 
-    it("with a body in chunks arrives whole", async (t) => {
+    it("with a chunked body arrives complete", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const answer = await lab.call(vm, {
         path: "/once/",
@@ -49,12 +49,12 @@
       t.is(lab.runners[0].arrivals[0].body, "in chunks");
     });
 
-    it("to an unknown path is told so", async (t) => {
+    it("to an unknown path is answered with 404", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       t.is((await lab.call(vm, { path: "/nowhere/" })).status, 404);
     });
 
-    it("too large in head or body is refused and not run", async (t) => {
+    it("with too large a head or body is refused and not run", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const largeBody = await lab.call(vm, {
         path: "/once/",
@@ -70,8 +70,8 @@
       t.is(lab.runners[0].arrivals.length, 0);
     });
 
-    // A second request hides in the body of the first, by two lengths that contradict each other.
-    it("smuggled inside another is refused", async (t) => {
+    // Request smuggling: two lengths that contradict each other hide a second request in the body of the first.
+    it("that hides another one in its body is refused", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const [host, port] = vm.settings.listen.callers.split(":");
       const socket = connect(Number(port), host);
@@ -86,8 +86,8 @@
     });
   });
 
-  describe("an upstream that fails", () => {
-    it("by refusing is replaced by another", async (t) => {
+  describe("upstream failures", () => {
+    it("retries on another upstream after a refusal", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       lab.runners[0].behavior = "shed";
       for (let i = 0; i < 6; i++) {
@@ -99,7 +99,7 @@
       t.is(lab.runners[1].arrivals.length, 6);
     });
 
-    it("by refusing alone leaves a promise that nothing was run, with a time", async (t) => {
+    it("tells the caller that nothing was run, and when to retry, if the only upstream refuses", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.runners[0].behavior = "shed";
       const answer = await lab.call(vm, { path: "/once/", method: "POST" });
@@ -107,9 +107,9 @@
       t.true(Number(answer.headers["retry-after"]) > 0);
     });
 
-    // The upstream runs the call and its answer is lost. Sent again, the convoy would depart twice; told "not run", its
-    // caller would send it again.
-    it("after it ran an at-most-once call is not replaced, and nothing is promised", async (t) => {
+    // The upstream runs the call and its answer is lost. A retry by the gateway would make the convoy depart twice, and
+    // a caller that is told "not run" would send the call again.
+    it("does not retry an at-most-once call that was run, nor tell the caller that it was not run", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       for (const runner of lab.runners) runner.behavior = "reset";
       const answer = await lab.call(vm, { path: "/once/", method: "POST" });
@@ -117,7 +117,7 @@
       t.is(lab.runners[0].arrivals.length + lab.runners[1].arrivals.length, 1);
     });
 
-    it("after it ran an idempotent call is replaced", async (t) => {
+    it("retries an idempotent call after a reset, though it was run", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       lab.runners[0].behavior = "reset";
       for (let i = 0; i < 4; i++) {
@@ -125,7 +125,7 @@
       }
     });
 
-    it("by silence is replaced for an idempotent call", async (t) => {
+    it("retries an idempotent call if the upstream does not answer", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       lab.runners[0].behavior = "silent";
       for (let i = 0; i < 3; i++) {
@@ -133,7 +133,7 @@
       }
     });
 
-    it("by silence ends an at-most-once call at its deadline, without a promise", async (t) => {
+    it("ends an at-most-once call at its deadline if the upstream does not answer, without telling the caller that it was not run", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.runners[0].behavior = "silent";
       const answer = await lab.call(vm, {
@@ -145,7 +145,7 @@
       await waitUntil(() => lab.runners[0].arrivals[0].isCut);
     });
 
-    it("with an error of its own passes it on if nobody else is there", async (t) => {
+    it("passes on the upstream's own error if there is no other upstream", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.runners[0].behavior = "error";
       const answer = await lab.call(vm, { path: "/safe/" });
@@ -153,16 +153,16 @@
       t.is(answer.headers["response-stamp"], `stamp-${lab.runners[0].id}`);
     });
 
-    // The answer has no length: it ends with its connection. A reset looks like that end, and half an answer would pass
-    // for a whole one.
-    it("in the middle of an answer without a length breaks the caller's connection", async (t) => {
+    // The answer has no length: the end of its connection ends it. A reset looks like that end, and half an answer
+    // would pass for a whole one.
+    it("breaks the caller's connection after a reset in the middle of an answer without a length", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.runners[0].behavior = "resetUnframed";
       const answer = await lab.call(vm, { path: "/once/", method: "POST" });
       t.false(answer.isComplete && answer.status === 200);
     });
 
-    it("with an answer to another attempt, or unsigned, gives its caller none of it", async (t) => {
+    it("passes on nothing of an answer that is unsigned or belongs to another attempt", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       for (const mood of ["crossed", "unsigned"] as const) {
         lab.runners[0].behavior = mood;
@@ -172,9 +172,9 @@
       }
     });
 
-    // A second answer follows the first on the kept connection; read as the answer to the next request, it would be
-    // somebody else's.
-    it("with a second answer loses its connection, and the next request gets its own", async (t) => {
+    // A second answer follows the first on the keep-alive connection. If the gateway read it as the answer to the next
+    // request, that caller would get somebody else's answer.
+    it("closes a connection with a surplus answer, and the next request gets its own answer", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.runners[0].behavior = "surplus";
       for (let i = 0; i < 4; i++) {
@@ -183,8 +183,8 @@
       }
     });
 
-    // Its address was given to another upstream, which would run what is meant for the first.
-    it("and whose address another has now is passed over", async (t) => {
+    // The address of one upstream was given to another, which would run requests that are meant for the first.
+    it("skips an upstream whose address now belongs to another one", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       const [replaced, current] = lab.runners;
       lab.store.put(`servers/${replaced.id}`, {
@@ -211,7 +211,7 @@
   });
 
   describe("a stream", () => {
-    it("is passed on whole", async (t) => {
+    it("is passed on complete", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const answer = await lab.call(vm, {
         path: "/streamonce/",
@@ -221,9 +221,9 @@
       t.true(answer.isComplete);
     });
 
-    // Its engine stops in the middle of an event. The caller sees one stream, each event once, with the first engine's
-    // head.
-    it("that can be resumed goes on elsewhere after its last whole event", async (t) => {
+    // The engine stops in the middle of an event. The caller sees one stream with each event once, and with the first
+    // engine's head.
+    it("that can be resumed continues on another engine after its last complete event", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       for (const runner of lab.runners) runner.behavior = "halfStream";
       const call = lab.call(vm, { path: "/stream/", method: "POST" });
@@ -245,7 +245,7 @@
       );
     });
 
-    it("that cannot be resumed breaks visibly", async (t) => {
+    it("that cannot be resumed breaks visibly for its caller", async (t) => {
       const { lab, vm } = await openLab(t, 2);
       for (const runner of lab.runners) runner.behavior = "halfStream";
       const answer = await lab.call(vm, {
@@ -258,8 +258,8 @@
     });
   });
 
-  describe("a caller that leaves", () => {
-    it("ends its work at the upstream", async (t) => {
+  describe("a caller that disconnects", () => {
+    it("has its request canceled at the upstream", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       lab.runners[0].behavior = "silent";
       await lab.call(vm, {
@@ -271,7 +271,7 @@
       t.pass();
     });
 
-    it("ends it through the other region too", async (t) => {
+    it("has its request canceled in another region too", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const remoteRunner = await lab.addRunner("south");
       const remoteVm = await lab.addVm("south");
@@ -290,7 +290,7 @@
   });
 
   describe("another region", () => {
-    it("serves what is bound to it, and only that region runs it", async (t) => {
+    it("serves the requests that are bound to it, and no other region runs them", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const remoteRunner = await lab.addRunner("south");
       const remoteVm = await lab.addVm("south");
@@ -299,9 +299,9 @@
       t.is(lab.runners[0].arrivals.length, 0);
     });
 
-    // The VM that hands a request over may give up waiting and send it elsewhere itself. If the other VM used the rest of
-    // the route's upstreams meanwhile, the request would run on more than it may.
-    it("sends what it was handed to one upstream only", async (t) => {
+    // The VM that hands a request over may time out and send it elsewhere itself. If the other VM meanwhile tried the
+    // rest of the route's upstreams, the request would run on more upstreams than it may.
+    it("sends a request that was handed over to it to one upstream only", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const remoteRunners = [
         await lab.addRunner("south"),
@@ -320,9 +320,9 @@
       );
     });
 
-    // One VM of the other region loses power. Its heartbeats are missed only after a second or more; until then half of
-    // the hand-overs went to it, and each one that failed gave up the whole region.
-    it("that lost one VM serves on through another", async (t) => {
+    // One VM of the other region loses power. Its missing heartbeats are noticed only after a second or more. Until
+    // then, half of the handovers went to it, and each one that failed made the sender give up the whole region.
+    it("that has lost one VM is still served through another", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const runner = await lab.addRunner("south");
       const lostVm = await lab.addVm("south");
@@ -338,7 +338,8 @@
         );
       });
       await lostVm.gateway.close();
-      // A request that crosses the close of a kept connection may have run; that is another case.
+      // A request that is sent while its keep-alive connection is being closed may have run; this test excludes that
+      // case.
       await waitUntil(() => {
         const { idleConnections } = vm.gateway.dump().relays as {
           idleConnections: Record<string, number>;
@@ -351,7 +352,7 @@
       }
     });
 
-    it("that is gone leaves a bound request refused, not run", async (t) => {
+    it("that is unreachable has its requests refused and not run", async (t) => {
       const { lab, vm } = await openLab(t, 1);
       const answer = await lab.call(vm, { path: "/south/", method: "POST" });
       t.is(answer.status, 503);
@@ -359,8 +360,8 @@
     });
   });
 
-  // Whoever reads the log stalls: a pipe that nobody empties would stop a process that writes to it synchronously.
-  it("a reader of the log that stalls costs lines and no service", async (t) => {
+  // The reader of the log stalls. A pipe that nobody reads would block a process that writes to it synchronously.
+  it("drops log lines and keeps running when the reader of its log stalls", async (t) => {
     const script = fileURLToPath(new URL("./log_flood.js", import.meta.url));
     const child = spawn(process.execPath, [script], {
       stdio: ["ignore", "pipe", "pipe"],
