--- a/test/claims_region.ts
+++ b/test/claims_region.ts
@@ -1,5 +1,6 @@
 /**
- * Claim services of several VMs in one process: links, members and a store that tests can cut, on a manual clock.
+ * Claim services of several VMs and regions in one process, on a manual clock. Tests can cut the links between the VMs,
+ * which also hides the VMs from each other, and the store.
  *
  * @module
  */
@@ -24,6 +25,7 @@
 import { PlatformFaults } from "../src/standins/platform_faults.ts";
 import { PlatformStore } from "../src/standins/platform_store.ts";
 
+/** Calls the other VMs of a {@link ClaimsRegions} directly. Params and answers go through JSON as on a real link. */
 class TestTransport extends Transport {
   readonly #handlers = new Map<string, Handler>();
   readonly #regions: ClaimsRegions;
@@ -70,7 +72,7 @@
   async close(): Promise<void> {}
 }
 
-/** One VM of the test. */
+/** A VM of a {@link ClaimsRegions}. */
 export interface TestVm {
   readonly info: VmInfo;
   readonly claims: ClaimsService;
@@ -78,18 +80,18 @@
   readonly store: MemoryKeyValue;
 }
 
-/** Names a call in a test. */
+/** Returns the claim key of a call to service `ledger`. */
 export const makeClaimKey = (key: string, workspace = "w") => ({
   service: "ledger",
   workspace,
   key,
 });
 
-/** See the module's comment. VM ids are `REGION-N`. */
+/** Regions of VMs that run claim services. VM ids are `REGION-N`. */
 export class ClaimsRegions {
   readonly clock = new ManualClock();
   readonly faults = new PlatformFaults();
-  /** Homes of workspaces; others are at home wherever they arrive. */
+  /** Home regions of workspaces. The home of any other workspace is the region where its call arrives. */
   readonly homeByWorkspace = new Map<string, string>();
   readonly platform = new PlatformStore(() => this.clock.monoMs());
   readonly #limits: Partial<ShardLimits>;
@@ -101,7 +103,7 @@
     this.#limits = limits;
   }
 
-  /** Starts a VM; a VM that has crashed comes back in a new incarnation. */
+  /** Starts a VM. A VM that has crashed restarts with a new incarnation. */
   async start(id: string): Promise<TestVm> {
     const region = id.split("-")[0];
     const info: VmInfo = {
@@ -136,13 +138,13 @@
     return vm;
   }
 
-  /** The VM is gone: nothing it does is seen any more. */
+  /** Crashes a VM: it is removed, and its calls reach neither the store nor other VMs. */
   crash(id: string): void {
     this.#vms.delete(id);
     this.faults.set([{ vm: `^${id}$`, outage: "cut" }]);
   }
 
-  /** Cuts the link between two VMs, or mends it. */
+  /** Cuts the link between two VMs, or restores it. */
   setLinkCut(a: string, b: string, cut: boolean): void {
     const link = [a, b].sort().join("|");
     if (cut) this.#cutLinks.add(link);
@@ -154,7 +156,7 @@
     return isCut || !this.#vms.has(from) ? undefined : this.#vms.get(address);
   }
 
-  /** Claims a key at a VM and lets time pass until the verdict is there, at most `withinMs`. */
+  /** Claims a key at a VM and advances the clock until the verdict arrives, by `withinMs` at most. */
   async claim(vm: TestVm, key: string, withinMs = 1000) {
     const verdict = vm.claims.ask("claim", {
       ...makeClaimKey(key),
@@ -164,7 +166,7 @@
     return await this.advanceUntilSettled(verdict, withinMs);
   }
 
-  /** Lets time pass until a promise settles; fails if it takes longer than `withinMs`. */
+  /** Advances the clock until a promise settles. Throws if that takes longer than `withinMs`. */
   async advanceUntilSettled<T>(
     promise: Promise<T>,
     withinMs: number,
@@ -178,7 +180,7 @@
     return settled.value;
   }
 
-  /** The VM that owns the shard, as the VMs see it. */
+  /** Returns the VM of a region that considers itself the shard's owner. */
   findOwner(region: string): TestVm {
     for (const vm of this.#vms.values()) {
       const [shard] = (vm.claims.dump() as { shards: { role: string }[] })
--- a/test/claims_vms_test.ts
+++ b/test/claims_vms_test.ts
@@ -18,10 +18,10 @@
 
 const REGION = "agadir";
 const KEY = keyOf(REGION);
-/** Longer than a failover after the owner was lost, or after the store was. */
+/** Must be longer than a failover, after the loss of the owner as well as after the loss of the store. */
 const SETTLE_TIMEOUT_MS = 25_000;
 
-/** Daemons of one region before a ledger, each in a process of its own. */
+/** Daemons of one region and a ledger upstream, each in a process of its own. */
 class ClaimsCluster {
   readonly cluster = new Cluster();
   ledger!: StandIn;
@@ -54,7 +54,7 @@
     return [...this.cluster.vms.values()];
   }
 
-  /** One departure; sends no more often than once. */
+  /** Sends a departure to the ledger, without retries. */
   sendDeparture(vm: Vm, key: string): Promise<Response<string>> {
     return callVm(vm, KEY, "/services/ledger/departures", {
       body: { truck: key },
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Repeats a departure until it is settled, as a caller does that is told when to come back. */
+  /** Retries a departure while the answer is 503, as a caller does that gets a Retry-After header. */
   async sendUntilSettled(vm: Vm, key: string): Promise<Response<string>> {
     const deadlineMs = Date.now() + SETTLE_TIMEOUT_MS;
     for (;;) {
@@ -72,7 +72,7 @@
     }
   }
 
-  /** How often a departure ran, by the ledger's own record. */
+  /** Returns how often a departure ran, according to the ledger's records. */
   async countRuns(key: string): Promise<number> {
     const records = await got(`${this.ledger.controlUrl}/records`)
       .json<RunRecord[]>();
@@ -93,7 +93,7 @@
     throw new Error("no owner");
   }
 
-  /** The first VM that is not `vm`. */
+  /** Returns the first VM other than `vm`. */
   findOther(vm: Vm): Vm {
     return this.vms.find((other) => other !== vm)!;
   }
@@ -102,9 +102,9 @@
 const STORE_DOWN = [{ outage: "cut" }];
 
 describe("claims of real daemons", () => {
-  // The owner is killed after a departure ran. The caller, who lost its answer, repeats it at the other VM: it must get
-  // the first answer, and the ledger must have one run.
-  it("give the first answer after the owner was killed", async (t) => {
+  // The owner is killed after a departure ran. The caller lost the answer and retries at the other VM: it must get the
+  // first answer, and the ledger must have one run.
+  it("return the first answer to a retry after the owner was killed", async (t) => {
     const claims = await ClaimsCluster.open(t, 2);
     const owner = await claims.waitForOwner();
     const first = await claims.sendDeparture(owner, "d1");
@@ -121,8 +121,8 @@
     ]);
   });
 
-  // The store goes away for long. Clerks are served after some seconds, through either VM. Then the owner is killed and
-  // the store comes back: what ran in the outage must not run again.
+  // The store has a long outage. After some seconds departures are served again, through either VM. Then the owner is
+  // killed and the store comes back: departures that ran during the outage must not run again.
   it("serve clerks in an outage of the store, and forget nothing", async (t) => {
     const claims = await ClaimsCluster.open(t, 2);
     const owner = await claims.waitForOwner();
@@ -142,9 +142,9 @@
     }
   });
 
-  // The store is away and the owner's only witness is frozen: nobody promises not to replace the owner. The caller must
-  // be told that its call was not run, and the ledger must have no run.
-  it("refuse truthfully when no promise can be had", async (t) => {
+  // The store is unreachable and the owner's only witness is frozen, so no VM promises not to take over the shard. The
+  // caller must be told that its call was not run, and the ledger must have no run.
+  it("are refused as not run when no witness promises", async (t) => {
     const claims = await ClaimsCluster.open(t, 2);
     const owner = await claims.waitForOwner();
     await claims.cluster.setPlatformFaults(STORE_DOWN);
@@ -156,9 +156,9 @@
     t.is(await claims.countRuns("d1"), 0);
   });
 
-  // The owner is frozen beyond every lease and replaced; a departure runs at the new owner. The old one wakes and is asked
-  // for the same departure at once: its write must fail, and nothing may run a second time.
-  it("are fenced when a frozen owner wakes", async (t) => {
+  // The owner is frozen for longer than any lease and replaced, and a departure runs through the new owner. The old
+  // owner resumes and receives the same departure at once: its write must fail, and nothing may run a second time.
+  it("are fenced when a frozen owner resumes", async (t) => {
     const claims = await ClaimsCluster.open(t, 3);
     const owner = await claims.waitForOwner();
     owner.proc.signal("SIGSTOP");
@@ -171,8 +171,8 @@
     t.is(await claims.countRuns("d1"), 1);
   });
 
-  // The answers of the next writes are lost although they took effect; the departure still runs once, and so does its
-  // repeat's answer come from the record.
+  // The answers to the next writes are lost although the writes take effect. The departure still runs once, and its
+  // retry is answered from the claim's record.
   it("are settled when the store's answers are lost", async (t) => {
     const claims = await ClaimsCluster.open(t, 2);
     const owner = await claims.waitForOwner();
@@ -186,9 +186,9 @@
     t.is(await claims.countRuns("d1"), 1);
   });
 
-  // The VM that dispatched a departure is killed while the ledger works on it. The repeat at another VM must not run: it is
-  // told "running" until the VM is missed, then "unknown", and `GET /v1/requests/KEY` says so too.
-  it("answer unknown when the VM that dispatched was killed", async (t) => {
+  // The VM that dispatched a departure is killed while the ledger runs it. The retry at another VM must not run: the
+  // answer is "running" until the VM counts as gone, then "unknown", also from `GET /v1/requests/KEY`.
+  it("are unknown after the VM that dispatched was killed", async (t) => {
     const claims = await ClaimsCluster.open(t, 2);
     const owner = await claims.waitForOwner();
     const other = claims.findOther(owner);
--- a/test/cluster.ts
+++ b/test/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * Real processes for failure tests: a stand-in platform, stand-in upstreams and daemons, each its own process, on
- * loopback. Processes are ended by their id at the end of the test.
+ * Processes for failure tests: a stand-in platform, stand-in upstreams and daemons, each in a process of its own, on
+ * loopback. Each process is killed by its id at the end of the test.
  *
  * @module
  */
@@ -19,21 +19,21 @@
 const DIST = fileURLToPath(new URL("..", import.meta.url));
 const WAIT_TIMEOUT_MS = 30_000;
 
-/** The operators' token of every daemon here. */
+/** The operator token of every daemon of a {@link Cluster}. */
 export const OPERATOR_TOKEN = "test-operator-token";
-/** The VMs' credential. */
+/** The credential that the VMs show to each other. */
 const PEER_CREDENTIAL = "test-vm-credential";
 
-/** A child process that said that it is ready. */
+/** A child process whose output is recorded. */
 export class TestProcess {
   readonly child: ChildProcess;
   readonly name: string;
-  /** Its log: standard output and error. */
+  /** All that it wrote to standard output and standard error. */
   output = "";
   exitCode: number | null | undefined;
   readonly exited: Promise<number | null>;
 
-  /** `nodeOptions` go before the script; `env` adds to the environment. */
+  /** `nodeOptions` are passed to Node.js before the script. `env` is added to this process's environment. */
   constructor(
     name: string,
     script: string,
@@ -63,7 +63,7 @@
     );
   }
 
-  /** The first match of `pattern` in its output, once it is there. */
+  /** Waits until its output matches `pattern`, and returns the first match. */
   async waitForOutput(pattern: RegExp): Promise<RegExpExecArray> {
     const deadlineMs = Date.now() + WAIT_TIMEOUT_MS;
     for (;;) {
@@ -71,7 +71,7 @@
       if (match) return match;
       if (this.exitCode !== undefined || Date.now() > deadlineMs) {
         throw new Error(
-          `${this.name} did not say ${pattern}:\n${this.output.slice(-2000)}`,
+          `${this.name} printed no ${pattern}:\n${this.output.slice(-2000)}`,
         );
       }
       await sleep(20);
@@ -82,6 +82,7 @@
     this.child.kill(signal);
   }
 
+  /** Kills the process and waits for its end. SIGCONT comes first, for a process that a test has stopped. */
   async kill(): Promise<void> {
     if (this.exitCode !== undefined) return;
     this.child.kill("SIGCONT");
@@ -90,7 +91,7 @@
   }
 }
 
-/** A daemon's process. */
+/** A daemon that runs as a {@link TestProcess}. */
 export interface Vm {
   readonly id: string;
   readonly region: string;
@@ -99,20 +100,20 @@
   readonly peerAddress: string;
 }
 
-/** A stand-in upstream of the upstreams' process. */
+/** A stand-in upstream; all of a {@link Cluster.startUpstreams} call run in one process. */
 export interface StandIn {
   readonly url: string;
   readonly controlUrl: string;
 }
 
-/** One run's processes. */
+/** All processes of one test. */
 export class Cluster {
   readonly #dir = mkdtempSync(join(tmpdir(), "ibisgap-test-"));
   readonly #procs: TestProcess[] = [];
   readonly vms = new Map<string, Vm>();
   storeUrl = "";
 
-  /** Starts a process and remembers to end it. */
+  /** Starts a process, which {@link Cluster.close} kills. */
   startProcess(
     name: string,
     script: string,
@@ -135,7 +136,7 @@
     this.storeUrl = (await proc.waitForOutput(/(http:\/\/[\d.]+:\d+)/))[1];
   }
 
-  /** Starts stand-ins; the engines first, then the plain services. */
+  /** Starts stand-in upstreams. Returns the engines first, then the plain services. */
   async startUpstreams(
     engineCount: number,
     plainCount: number,
@@ -160,7 +161,7 @@
     return lines.trim().split("\n").map((line) => JSON.parse(line) as StandIn);
   }
 
-  /** Starts a daemon; `seeds` are the peers' addresses it asks first. */
+  /** Starts a daemon. `seeds` are the addresses of the peers that it contacts first. */
   async startVm(
     id: string,
     region: string,
@@ -187,7 +188,7 @@
     return vm;
   }
 
-  /** Starts `perRegion` daemons in each region; ids are `REGION-N`. */
+  /** Starts `perRegion` daemons in each region. Their ids are `REGION-N`. */
   async startRegions(
     regions: readonly string[],
     perRegion: number,
@@ -214,22 +215,22 @@
     await Promise.all(starting);
   }
 
-  /** Puts `rows` in force in the store before any daemon runs. */
+  /** Writes a table of `rows` to the store. Call it before any daemon runs. */
   async seedTable(rows: readonly object[]): Promise<void> {
     await seedTable(this.storeUrl, rows.map((row) => tableRow.parse(row)));
   }
 
-  /** Cuts, slows or mends a VM's links; `{}` mends all. */
+  /** Replaces a VM's link faults, which cut or slow its links. `{}` ends all of them. */
   async setLinkFaults(vm: Vm, faults: object): Promise<void> {
     await callAdmin(vm, "PUT", "/admin/links", faults);
   }
 
-  /** Sets the platform's faults. */
+  /** Replaces the platform's faults. */
   async setPlatformFaults(faults: readonly object[]): Promise<void> {
     await got.post(`${this.storeUrl}/faults`, { json: { faults } });
   }
 
-  /** Waits until `vm` says of itself what `test` wants. */
+  /** Waits until the status of `vm` matches, and returns it. */
   async waitFor(
     vm: Vm,
     matches: (status: VmStatus) => boolean,
@@ -241,7 +242,9 @@
       ) as VmStatus;
       if (matches(status)) return status;
       if (Date.now() > deadlineMs) {
-        throw new Error(`${vm.id} stayed at ${JSON.stringify(status)}`);
+        throw new Error(
+          `${vm.id} timed out with status ${JSON.stringify(status)}`,
+        );
       }
       await sleep(50);
     }
@@ -253,21 +256,21 @@
   }
 }
 
-/** A VM's view of the first shard of its region's claims. */
+/** What a VM's dump says of the first claim shard of its region. */
 export interface ShardState {
   readonly role: string;
   readonly witnesses: readonly unknown[];
 }
 
-/** See {@link ShardState}. */
+/** Reads a VM's {@link ShardState} from its dump. */
 export async function readShardState(vm: Vm): Promise<ShardState> {
   const answer = await callAdmin(vm, "GET", "/admin/dump");
   return JSON.parse(answer.body).claims.shards[0];
 }
 
 /**
- * Waits until an owner of the region's claims lists all other VMs, two at most, as witnesses. An outage of the store
- * that begins before is answered with `claimUnavailable`, as docs/design/claims.md says.
+ * Waits until the owner of the region's claims lists all other VMs, two at most, as witnesses. If a store outage begins
+ * earlier, claims are answered with `claimUnavailable`, as docs/design/claims.md says.
  */
 export async function waitForWitnesses(vms: readonly Vm[]): Promise<void> {
   const witnessCount = Math.min(2, vms.length - 1);
@@ -282,7 +285,7 @@
   throw new Error("no owner lists its witnesses");
 }
 
-/** What `GET /admin/status` answers, as far as tests look at it. */
+/** The fields of the answer to `GET /admin/status` that tests read. */
 export interface VmStatus {
   readonly tableVersion: number | null;
   readonly region: readonly {
@@ -292,7 +295,7 @@
   }[];
 }
 
-/** Calls an operators' path of a VM. */
+/** Calls a VM's operator API. */
 export async function callAdmin(
   vm: Vm,
   method: "GET" | "PUT" | "POST",
@@ -308,7 +311,7 @@
   });
 }
 
-/** Calls a VM as a caller with this key. */
+/** Sends a VM a caller's request, with this workspace key. */
 export async function callVm(
   vm: Vm,
   key: string,
@@ -332,7 +335,7 @@
   });
 }
 
-/** An error's numbered code and what it says of the run, in an answer. */
+/** Returns the error in an answer's body, with its code and whether the request ran. Returns `{}` if there is none. */
 export function readError(
   response: Response<string>,
 ): { code?: number; ran?: string; goTo?: string[] } {
@@ -341,7 +344,7 @@
   }).error ?? {};
 }
 
-/** Rows of services `plan` (model) and `ledger` (at most once), regions, and a bound workspace for each region. */
+/** Returns rows for model service `plan`, at-most-once service `ledger`, the regions and a bound workspace of each. */
 export function standardRows(
   regions: readonly string[],
   upstreams: readonly object[],
@@ -360,12 +363,12 @@
   ];
 }
 
-/** The key of a region's workspace in {@link standardRows}. */
+/** Returns the key of a region's workspace in {@link standardRows}. */
 export function keyOf(region: string): string {
   return `key-of-${region}`;
 }
 
-/** A row of an upstream for {@link standardRows}. */
+/** Returns an upstream's row, for {@link standardRows}. */
 export function upstreamRow(
   id: string,
   service: string,
--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -1,5 +1,5 @@
 /**
- * Small fakes at the services' interfaces, for tests of one service.
+ * Fakes of the services that the edge uses, and an edge over them.
  *
  * @module
  */
@@ -47,7 +47,7 @@
   }
 }
 
-/** A table that a test sets. */
+/** A table service whose table the test sets. */
 export class FakeTable extends FakeTask<TableMessages> {
   readonly name = "table";
   table: Table | undefined;
@@ -57,7 +57,7 @@
   };
 }
 
-/** Members that a test sets. */
+/** A members service whose members the test sets. */
 export class FakeMembers extends FakeTask<MembersMessages> {
   readonly name = "members";
   vms: VmInfo[] = [];
@@ -69,13 +69,13 @@
   } as never;
 }
 
-/** A lead that grants at once, in turn, and records what it is told. */
+/** A slots service that grants every request at once, in turn over the upstreams, and records what it receives. */
 export class FakeSlots extends FakeTask<SlotsMessages> {
   readonly name = "slots";
   readonly requests: SlotRequest[] = [];
-  /** How attempts ended. */
+  /** Reports of the ends of attempts. */
   readonly reports: SlotReport[] = [];
-  /** Attempts whose first token was told. */
+  /** Ids of attempts whose first token was reported. */
   readonly startedAttempts: string[] = [];
   readonly canceledAttempts: string[] = [];
   #nextIndex = 0;
@@ -118,7 +118,7 @@
   }
 }
 
-/** Claims in this process's memory. */
+/** A claims service that keeps claims in this process's memory. */
 export class FakeClaims extends FakeTask<ClaimsMessages> {
   readonly name = "claims";
   readonly states = new Map<
@@ -126,7 +126,7 @@
     "running" | "unknown" | { answer: ClaimAnswer }
   >();
   shouldRefuse = false;
-  /** How long a granted claim allows the dispatch. */
+  /** How long after the grant a claim may be dispatched. */
   dispatchMs = 5000;
   protected readonly handlers = {
     claim: (claim: ClaimKey): ClaimVerdict => {
@@ -151,7 +151,7 @@
   } as never;
 }
 
-/** A directory that names no VM. */
+/** A directory without VMs. */
 class FakeDirectory extends FakeTask<DirectoryMessages> {
   readonly name = "directory";
   protected readonly handlers = {
@@ -159,7 +159,7 @@
   };
 }
 
-/** Links of a VM that has no others. */
+/** A transport without other VMs. */
 class NoTransport extends Transport {
   handle(): void {}
   call(): Promise<never> {
@@ -174,7 +174,7 @@
   }
 }
 
-/** Limits short enough for tests; see {@link EdgeLimits}. */
+/** Edge limits that are short enough for tests. */
 export const TEST_LIMITS: EdgeLimits = {
   bodyBytes: 1 << 20,
   headerBytes: 16 << 10,
@@ -186,14 +186,14 @@
   drainMs: 5000,
 };
 
-/** The key of workspace `drivers`, whose home is Agadir, where the edge of {@link openEdge} stands. */
+/** The key of workspace `drivers`. Its home is Agadir, the region of {@link openEdge}'s edge. */
 export const DRIVERS_KEY = "drivers-key";
-/** The key of workspace `muscat`, bound to another region. */
+/** The key of workspace `muscat`, which is bound to another region. */
 export const REMOTE_KEY = "far-key";
-/** The operator's token. */
+/** The operator token of {@link openEdge}'s edge. */
 export const OPERATOR_TOKEN = "operator-token";
 
-/** An edge over fakes. */
+/** An edge over fakes, as {@link openEdge} returns it. */
 export interface TestEdge {
   readonly url: string;
   readonly kernel: Kernel;
@@ -204,7 +204,7 @@
   close(): Promise<void>;
 }
 
-/** Rows of one engine or plain service for {@link openEdge}. */
+/** Returns the row of an engine or plain upstream, for {@link openEdge}. */
 export function upstreamRow(
   id: string,
   service: string,
@@ -259,7 +259,7 @@
   ];
 }
 
-/** Opens an edge in region Agadir over fakes and these upstreams. */
+/** Opens an edge in region Agadir over fakes and the upstreams in `rows`. */
 export async function openEdge(
   rows: readonly TableRow[],
   limits: Partial<EdgeLimits> = {},
--- a/test/fuzz_claims.ts
+++ b/test/fuzz_claims.ts
@@ -1,6 +1,6 @@
 /**
- * Property tests of the claim machines: random schedules of faults, checked for calls that ran twice, wrong answers,
- * denials of what ran, and for standing still after all faults have ended.
+ * Property tests of the claim state machines. Random schedules of calls and faults are checked for calls that ran
+ * twice, wrong answers, calls that ran but are reported as absent, and lack of progress after all faults have ended.
  *
  * @module
  */
@@ -9,16 +9,16 @@
 import type { Variant } from "./fuzz_claims_vms.ts";
 import { ClaimsSimulation, type Step } from "./fuzz_claims_world.ts";
 
-/** How long schedules are, and how many. */
+/** Number, seed and length of the schedules. */
 export interface FuzzOptions {
   readonly runs: number;
   readonly seed: number;
   readonly maxSteps?: number;
-  /** Leaves the failing schedule as it was found, which saves the time of shortening it. */
+  /** Returns a failing schedule as it was found, which saves the time to shrink it. */
   readonly skipShrinking?: boolean;
 }
 
-/** What a run found: nothing, or the shortest schedule that breaks a rule. */
+/** The result of a run: no violation, or a schedule that breaks a rule, shrunk unless `skipShrinking` is set. */
 export type FuzzResult =
   | { readonly type: "held"; readonly runs: number }
   | {
@@ -28,7 +28,10 @@
     readonly trace: readonly string[];
   };
 
-/** How often each step comes; those that make and deliver claims outweigh the faults. */
+/**
+ * Steps of a schedule (see {@link ClaimsSimulation.runStep}), each as often as it should be drawn: those that make and
+ * deliver claims outweigh the faults.
+ */
 const STEP_OPS = [
   ...[0, 0, 0, 1, 1, 1, 2],
   ...[3, 3, 3, 4, 4, 4, 5, 5, 6, 6],
@@ -42,7 +45,7 @@
   fc.nat(63),
 );
 
-/** Replays one schedule. */
+/** Replays one schedule. Stops at the first violation. */
 export function replay(schedule: readonly Step[], variant?: Variant) {
   const simulation = new ClaimsSimulation(variant);
   simulation.advance(1000);
@@ -54,7 +57,7 @@
   return simulation;
 }
 
-/** Runs random schedules over the machines, or over a broken variant of them. */
+/** Runs random schedules over the state machines, or over a broken variant of them. */
 export function fuzzClaims(
   options: FuzzOptions,
   variant?: Variant,
--- a/test/fuzz_claims_links.ts
+++ b/test/fuzz_claims_links.ts
@@ -1,5 +1,6 @@
 /**
- * The links between the VMs of a claims world: cut in both directions, or held back in one.
+ * The links between the VMs of a claims simulation. A link can be cut in both directions or held in one, which delays
+ * its packets.
  *
  * @module
  */
@@ -10,26 +11,26 @@
   readonly run: () => void;
 }
 
-/** Rounds of one delivery: what is delivered may send more. */
+/** Rounds of one delivery. A delivered packet may send more, which the next round delivers. */
 const DELIVERY_ROUNDS = 4;
 
 function linkKey(a: number, b: number): string {
   return a < b ? `${a}-${b}` : `${b}-${a}`;
 }
 
-/** Puts a value into a set, or takes it out. */
+/** Adds a value to a set, or removes it if it is there. */
 export function toggle<T>(set: Set<T>, value: T): void {
   if (!set.delete(value)) set.add(value);
 }
 
-/** See the module. */
+/** Queues packets between VMs, which are named by their index. */
 export class FuzzLinks {
   readonly #cutLinks = new Set<string>();
   readonly #heldLinks = new Set<string>();
   #packets: Packet[] = [];
   #heldPackets: Packet[] = [];
 
-  /** The links that are cut, for the trace. */
+  /** The links that are cut, for the trace of a schedule. */
   get cutLinks(): readonly string[] {
     return [...this.#cutLinks];
   }
@@ -50,13 +51,13 @@
     toggle(this.#heldLinks, `${from}>${to}`);
   }
 
-  /** Ends all faults but leaves what is held until {@link FuzzLinks.release}. */
+  /** Ends all faults. Held packets stay held until {@link FuzzLinks.release}. */
   endFaults(): void {
     this.#cutLinks.clear();
     this.#heldLinks.clear();
   }
 
-  /** Sends to another VM; `lost` is told if the link is cut. */
+  /** Sends a packet to another VM. If the link is cut, calls `onLost` instead. */
   send(from: number, to: number, run: () => void, onLost?: () => void): void {
     if (this.isCut(from, to)) return onLost?.();
     const packet = { from, to, run };
@@ -64,12 +65,12 @@
     else this.#packets.push(packet);
   }
 
-  /** Brings a VM the answer of its own call. */
+  /** Queues the answer to a VM's own call of the store. */
   sendAnswer(vm: number, run: () => void): void {
     this.#packets.push({ from: vm, to: vm, run });
   }
 
-  /** Sends on what no link holds back any more. */
+  /** Queues the packets of links that are no longer held. */
   release(): void {
     const released = this.#heldPackets.filter((p) =>
       !this.#heldLinks.has(`${p.from}>${p.to}`)
@@ -78,7 +79,7 @@
     this.#packets.push(...released);
   }
 
-  /** Delivers in order; what is for a paused VM waits. */
+  /** Delivers packets in order. Those for a paused VM stay queued. */
   deliver(isPaused: (vm: number) => boolean): void {
     for (let round = 0; round < DELIVERY_ROUNDS; round++) {
       const packets = this.#packets;
--- a/test/fuzz_claims_store.ts
+++ b/test/fuzz_claims_store.ts
@@ -1,5 +1,6 @@
 /**
- * The store of a claims world: compares and writes, may be down or cut off, delays writes and loses answers.
+ * The store of a claims simulation, with compare-and-swap writes. It can be down or unreachable for some VMs, delay
+ * writes and lose answers.
  *
  * @module
  */
@@ -17,14 +18,14 @@
   return { kind, message: kind };
 }
 
-/** See the module. */
+/** A simulated store with faults. */
 export class FuzzStore {
   isDown = false;
-  /** VMs that cannot reach it. */
+  /** Indices of the VMs that cannot reach it. */
   readonly cutOffVms = new Set<number>();
-  /** How many of the next writes take effect while their answers are lost. */
+  /** Number of next writes that take effect although their answers are lost. */
   answersToLose = 0;
-  /** How many of the next writes land later, if at all. */
+  /** Number of next writes that are applied later, if at all. */
   writesToDelay = 0;
   readonly #keys: ShardKeys;
   readonly #ignoresRev: boolean;
@@ -37,7 +38,7 @@
     this.#ignoresRev = ignoresRev;
   }
 
-  /** Ends all its faults. */
+  /** Ends all faults. */
   endFaults(): void {
     this.isDown = false;
     this.cutOffVms.clear();
@@ -45,7 +46,7 @@
     this.writesToDelay = 0;
   }
 
-  /** A VM's call, unless the store is away from it. */
+  /** Runs a VM's call, or fails it if the VM cannot reach the store. */
   call<T>(vm: number, operation: () => Result<T, StoreError>) {
     const isUnavailable = this.isDown || this.cutOffVms.has(vm);
     return isUnavailable ? err(storeError("unavailable")) : operation();
@@ -78,7 +79,7 @@
     return err(storeError("lost"));
   }
 
-  /** A delayed write lands; returns whether it took effect, `undefined` if there is none. */
+  /** Applies the oldest delayed write. Returns whether it took effect, `undefined` if there is none. */
   applyDelayedWrite(): boolean | undefined {
     const writes = this.#delayedWrites.shift();
     return writes && this.#transact(writes).isOk();
--- a/test/fuzz_claims_variants.ts
+++ b/test/fuzz_claims_variants.ts
@@ -1,5 +1,6 @@
 /**
- * Broken variants of the claim machines, one for each safeguard: a checker that misses one of them proves nothing.
+ * Broken variants of the claim state machines, one for each safeguard. A checker that misses one of them proves nothing
+ * about its safeguard.
  *
  * @module
  */
@@ -93,7 +94,7 @@
   }
 }
 
-/** An owner whose group commit is of this class. */
+/** Returns a factory of owners that commit with this class. */
 function makeOwnerWith(
   Committer: typeof TreatsLostAsWritten | typeof TreatsLostAsNotWritten,
 ): NonNullable<Variant["makeOwner"]> {
@@ -112,37 +113,37 @@
   };
 }
 
-/** The variants by name. */
+/** The variants, by the fault that each has. */
 export const BROKEN_VARIANTS: Readonly<Record<string, Variant>> = {
   "dispatch before the claim is committed": {
     makeOwner: (...args) => new GrantsBeforeCommit(...args),
   },
-  "a lost answer taken for written": {
+  "a lost answer treated as a completed write": {
     makeOwner: makeOwnerWith(TreatsLostAsWritten),
   },
-  "a lost answer taken for not written": {
+  "a lost answer treated as a failed write": {
     makeOwner: makeOwnerWith(TreatsLostAsNotWritten),
   },
-  "grants from memory without the promise": {
+  "grants from memory without valid promises": {
     makeOwner: (...args) => new GrantsWithoutPromise(...args),
   },
-  "grants from memory that no witness holds": {
+  "grants from memory that the witnesses do not hold": {
     makeOwner: (...args) => new GrantsWithoutReplica(...args),
   },
-  "a denial without a write": {
+  "a lookup answered as absent without a write": {
     makeOwner: (...args) => new DeniesWithoutWrite(...args),
   },
-  "take-over without waiting out the promise": {
+  "a takeover that does not wait for the end of the promise": {
     makeWitness: () => new BreaksPromise(),
   },
-  "take-over that forgets the grants from memory": {
+  "a takeover that drops the grants from memory": {
     makeWitness: () => new ForgetsGrants(),
   },
-  "a promise while a take-over is under way": {
+  "a promise during a takeover": {
     makeWitness: () => new PromisesDuringTakeover(),
   },
-  "a promise that is answered but not kept": {
+  "a promise that is confirmed but not kept": {
     makeWitness: () => new PromisesForPredecessor(),
   },
-  "a store that does not compare": { ignoresRev: true },
+  "a store that does not compare revisions": { ignoresRev: true },
 };
--- a/test/fuzz_claims_vms.ts
+++ b/test/fuzz_claims_vms.ts
@@ -1,5 +1,5 @@
 /**
- * The VMs of a claims world: machines with clocks that differ, a store and links with faults.
+ * The VMs of a claims simulation: state machines with clocks that differ, and a store and links with faults.
  *
  * @module
  */
@@ -23,17 +23,17 @@
 import { FuzzLinks } from "./fuzz_claims_links.ts";
 import { FuzzStore } from "./fuzz_claims_store.ts";
 
-/** A fault put into the machines on purpose, which the checker must find. */
+/** A deliberate fault of the state machines or the store, which the checker must find. */
 export interface Variant {
   readonly makeOwner?: (
     ...args: ConstructorParameters<typeof ClaimOwner>
   ) => ClaimOwner;
   readonly makeWitness?: () => ClaimWitness;
-  /** The store writes without comparing. */
+  /** Whether the store writes without comparing revisions. */
   readonly ignoresRev?: boolean;
 }
 
-/** Limits of the shard, shorter than by default. */
+/** Limits of the shard, shorter than the defaults. */
 export const LIMITS: ShardLimits = {
   ...DEFAULT_SHARD_LIMITS,
   touchMs: 500,
@@ -49,12 +49,12 @@
   backoff: { firstMs: 50, maxMs: 400 },
 };
 const KEYS = shardKeys("r", 0);
-/** Time from one tick of the machines to the next. */
+/** Interval between two ticks of the state machines. */
 export const TICK_MS = 100;
-/** Ids of the VMs. */
+/** Ids of the VMs, by index. */
 export const VM_IDS = ["a", "b", "c"];
 
-/** A VM that runs. */
+/** A VM that has been started. */
 export interface Vm {
   readonly index: number;
   readonly ref: VmRef;
@@ -65,9 +65,9 @@
   hasEnded: boolean;
 }
 
-/** See the module. */
+/** Runs the state machines of three VMs: performs their effects on a store and links with faults. */
 export abstract class FuzzVms {
-  /** What happened, one line each, for a person who reads a failing schedule. */
+  /** The events of the run, one line each, to read a failing schedule. */
   readonly trace: string[] = [];
   protected timeMs = 0;
   protected readonly vms: (Vm | undefined)[] = [
@@ -193,7 +193,7 @@
   protected applyDelayedWrite(): void {
     const tookEffect = this.store.applyDelayedWrite();
     if (tookEffect !== undefined) {
-      this.addTrace(`a late write lands: ${tookEffect}`);
+      this.addTrace(`a delayed write is applied: ${tookEffect}`);
     }
   }
 
@@ -212,7 +212,7 @@
     }, () => onAnswer(false));
   }
 
-  /** What is for a paused VM waits, what is for a VM that is gone is lost. */
+  /** Delivers packets. Those for a paused VM wait, and those for a VM that has ended are lost. */
   protected deliver(): void {
     this.links.deliver((index) => this.vms[index]?.isPaused ?? false);
   }
--- a/test/fuzz_claims_world.ts
+++ b/test/fuzz_claims_world.ts
@@ -1,6 +1,7 @@
 /**
- * A small world for the claim machines: VMs with clocks that differ, a store and links with faults, and entry VMs that
- * dispatch what they are granted. It is driven by a schedule of numbers, so a failure is replayed by its schedule.
+ * A simulation of a region for the claim state machines: VMs with clocks that differ, a store and links with faults,
+ * and entry VMs that dispatch granted claims. A schedule of numbers drives it, so a failure is replayed from its
+ * schedule.
  *
  * @module
  */
@@ -20,9 +21,10 @@
   VM_IDS,
 } from "./fuzz_claims_vms.ts";
 
-/** One step of a schedule: what happens, and two numbers that say to whom. */
+/** One step of a schedule: the operation, and two numbers that select the VMs, keys or durations. */
 export type Step = readonly [op: number, a: number, b: number];
 
+/** An entry VM's attempt to run a call. */
 interface Attempt {
   readonly request: ClaimRequest;
   readonly sender: Vm;
@@ -30,7 +32,7 @@
   state: "asked" | "granted" | "dispatched" | "over";
 }
 
-/** See the module's comment. */
+/** Runs a schedule and collects violations of the rules. */
 export class ClaimsSimulation extends FuzzVms {
   readonly violations: string[] = [];
   #attempts: Attempt[] = [];
@@ -105,7 +107,7 @@
     }
   }
 
-  /** Lets time pass: everything that may move is delivered, all running VMs tick. */
+  /** Advances the time tick by tick. Each tick delivers packets and ticks all running VMs. */
   advance(ms: number): void {
     for (let passed = 0; passed < ms; passed += TICK_MS) {
       this.timeMs += TICK_MS;
@@ -125,14 +127,14 @@
     for (const vm of this.vms) if (vm) vm.isPaused = false;
     this.vms.forEach((vm, index) => vm || this.start(index));
     this.links.release();
-    this.addTrace("all healed");
+    this.addTrace("all faults end");
   }
 
-  /** Whether, with all faults ended, a new key is settled within a minute. */
+  /** Ends all faults and checks that a claim on a new key is then settled within a minute. */
   checkProgress(): void {
     this.endFaults();
     this.advance(10_000);
-    // Starts those that were still leaving.
+    // Starts the VMs that were still stopping at the first call.
     this.endFaults();
     this.advance(30_000);
     let reply: ShardReply | undefined;
@@ -149,10 +151,10 @@
     }
     this.advance(3000);
     const settled = reply?.type === "granted" || reply?.type === "unknown";
-    if (!settled) this.violations.push(`stuck: ${JSON.stringify(reply)}`);
+    if (!settled) this.violations.push(`no progress: ${JSON.stringify(reply)}`);
   }
 
-  /** The owner loses the store long enough to go on from memory, and sometimes a witness with it. */
+  /** Cuts the owner off from the store, long enough that it grants from memory, and sometimes from a witness too. */
   #cutOffOwner(a: number): void {
     const [owner] = this.owners();
     if (!owner) return;
@@ -163,17 +165,17 @@
     if (a % 4 === 0) this.links.cut(owner.index, otherIndex);
   }
 
-  /** The owner is frozen while others go on, and wakes. */
+  /** Pauses the owner while the others continue, then resumes it. */
   #pauseOwner(a: number, b: number): void {
     const [owner] = this.owners();
     if (!owner || owner.isPaused) return;
     owner.isPaused = true;
-    this.addTrace(`${owner.ref.id} is frozen`);
+    this.addTrace(`${owner.ref.id} is paused`);
     this.advance(3000 + TICK_MS * (a % 16));
     this.#startClaim((owner.index + 1) % VM_IDS.length, b);
     this.advance(3 * TICK_MS);
     owner.isPaused = false;
-    this.addTrace(`${owner.ref.id} wakes`);
+    this.addTrace(`${owner.ref.id} resumes`);
   }
 
   #makeRequest(sender: Vm, key: string): ClaimRequest {
@@ -202,7 +204,7 @@
     this.#sendClaim(attempt, this.#pickTarget(b));
   }
 
-  /** Most of the time a VM that takes itself for the owner, of which there may be two; any VM otherwise. */
+  /** Picks, most of the time, a VM that considers itself the owner, of which there may be two; any VM otherwise. */
   #pickTarget(b: number): number {
     const owners = this.owners();
     return owners.length > 0 && b % 5 !== 0
@@ -243,7 +245,7 @@
     });
   }
 
-  /** The entry VM's part: it dispatches once, in time, or gives the claim up. */
+  /** Handles a reply as the entry VM does: dispatches once, in time, or releases the claim. */
   #onReply(attempt: Attempt, reply: ShardReply, validForMs: number): void {
     const { sender, request } = attempt;
     if (sender.hasEnded || attempt.state !== "asked") return;
@@ -251,7 +253,7 @@
       const dispatched = this.#dispatched.get(request.key);
       if (dispatched !== reply.answer.bodyBase64) {
         this.violations.push(
-          `wrong answer for ${request.key}: ran ${dispatched}`,
+          `wrong answer for ${request.key}: it ran as ${dispatched}`,
         );
       }
     }
@@ -322,7 +324,7 @@
       (r) => {
         if (r.type === "none" && dispatchedBefore !== undefined) {
           this.violations.push(
-            `${key} was denied, but ran as ${dispatchedBefore}`,
+            `${key} was reported as absent, but ran as ${dispatchedBefore}`,
           );
         }
       },
--- a/test/fuzz_table.ts
+++ b/test/fuzz_table.ts
@@ -1,5 +1,5 @@
 /**
- * Property tests of the table's machines: random schedules of racing edits and faults.
+ * Property tests of the table's state machines: random schedules of concurrent edits and faults.
  *
  * @module
  */
@@ -8,12 +8,12 @@
 import { type Move, MOVE_TYPES } from "./fuzz_table_model.ts";
 import { type Machines, replay } from "./fuzz_table_world.ts";
 
-/** Moves without a restore of the store. */
+/** All moves except a backup and a restore of the store. */
 export const MOVES_WITHOUT_RESTORE = MOVE_TYPES.filter((type) =>
   type !== "save" && type !== "restore"
 );
 
-/** Moves that bring about two histories: a late answer after a restore, then edits and images from both sides. */
+/** Moves that lead to two histories: a late answer after a restore, then edits and images of both histories. */
 export const FORKING_MOVES: readonly Move["type"][] = [
   "propose",
   "work",
@@ -24,14 +24,17 @@
   "restore",
 ];
 
-/** Which schedules are tried, and how many. */
+/** Which moves the schedules have, their seed and their number. */
 export interface TableFuzzOptions {
   readonly types: readonly Move["type"][];
   readonly seed: number;
   readonly runs: number;
 }
 
-/** Runs schedules until one violates a rule; answers with its report, which replays by `replay(whole, [...])`. */
+/**
+ * Runs schedules until one violates a rule, and returns a report of it, `undefined` if none does. The report's moves
+ * are replayed by {@link replay}.
+ */
 export function fuzzTable(
   machines: Machines,
   { types, seed, runs }: TableFuzzOptions,
--- a/test/fuzz_table_model.ts
+++ b/test/fuzz_table_model.ts
@@ -1,5 +1,5 @@
 /**
- * The moves of a schedule and the model of the store that `fuzz_table_world.ts` works with.
+ * The moves of a schedule and the model of the store for `fuzz_table_world.ts`.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   TableImage,
 } from "../src/agreement/mod.ts";
 
-/** One step of a schedule; `a`, `b` and `c` choose among what is possible. */
+/** One step of a schedule. `a`, `b` and `c` select the VMs, writes, rows or edits that it concerns. */
 export interface Move {
   readonly type: typeof MOVE_TYPES[number];
   readonly a: number;
@@ -19,7 +19,7 @@
   readonly c: number;
 }
 
-/** All moves; those that come twice come twice as often. */
+/** All moves. Those listed twice are drawn twice as often. */
 export const MOVE_TYPES = [
   "propose",
   "read",
@@ -39,7 +39,7 @@
   "resubmit",
 ] as const;
 
-/** The store. */
+/** The store's state: the table's head, log and snapshot. */
 export interface StoreState {
   rev: number;
   head: TableHead | undefined;
@@ -48,7 +48,7 @@
   snapshot: TableImage | undefined;
 }
 
-/** A store without a table. */
+/** Returns a store without a table. */
 export function makeEmptyStore(): StoreState {
   return {
     rev: 0,
@@ -59,12 +59,12 @@
   };
 }
 
-/** A copy that later writes leave alone. */
+/** Returns a copy that later writes do not change. */
 export function copyStore(store: StoreState): StoreState {
   return { ...store, log: new Map(store.log) };
 }
 
-/** All that a table says, as text. */
+/** Returns a table's version and rows as text, to compare tables. */
 export function formatTable(table: Table): string {
   const rows = [...table.rows()].map((it) => JSON.stringify(it)).sort();
   return `${table.version} ${rows.join()}`;
--- a/test/fuzz_table_world.ts
+++ b/test/fuzz_table_world.ts
@@ -1,6 +1,6 @@
 /**
- * A few VMs with the table's machines, a store and what is between them, moved step by step by a schedule. Each move
- * checks the rules of the table.
+ * A simulation of a few VMs with the table's state machines, a store and the calls between them. A schedule drives it
+ * move by move, and each move checks the rules of the table.
  *
  * @module
  */
@@ -23,13 +23,13 @@
   type StoreState,
 } from "./fuzz_table_model.ts";
 
-/** The machines under test; a broken variant replaces one of them. */
+/** Factories of the state machines under test. A broken variant replaces one of them. */
 export interface Machines {
   makeLog(): TableLog;
   makeAttempt(...input: ConstructorParameters<typeof EditAttempt>): EditAttempt;
 }
 
-/** The machines as they are. */
+/** The state machines without a deliberate fault. */
 export const INTACT_MACHINES: Machines = {
   makeLog: () => new TableLog(),
   makeAttempt: (proposal) => new EditAttempt(proposal),
@@ -38,16 +38,17 @@
 interface Vm {
   log: TableLog;
   attempts: EditAttempt[];
-  /** The step that waits for a write's answer. */
+  /** The write whose answer it waits for. */
   pendingWrite: TableWrite | undefined;
-  /** A reading of the head whose answer is on its way. */
+  /** A read of the head whose answer has not been used yet. */
   pendingRead: SeenHead | undefined;
-  /** The highest version seen, for the rule that it never goes down. */
+  /** The highest version so far, for the rule that the version never decreases. */
   maxVersion: number;
-  /** The last edit seen in force, for the rule that an edit in force stays so. */
+  /** The last edit found in force, for the rule that an edit in force stays in force. */
   lastId: string;
 }
 
+/** A write on its way: `flying` until the store applies or refuses it, `cut` if a restore broke its connection. */
 interface TableWrite {
   readonly vm: Vm;
   readonly attempt: EditAttempt;
@@ -69,13 +70,13 @@
   };
 }
 
-/** A few VMs, a store and what is between them; each move checks the rules and throws if one is violated. */
+/** Runs moves. Each move checks the rules and throws if one is violated. */
 class TableSimulation {
   readonly #machines: Machines;
   readonly #vms: Vm[];
   readonly #tables = new Map<string, Table>([["", Table.empty]]);
   readonly #edits = new Map<string, LoggedEdit>();
-  /** Edits that stand in the store's log or are in force at a VM. */
+  /** Edits that are in the store's log or in force at a VM. */
   #accepted = new Map<string, LoggedEdit>();
   readonly #refused = new Set<string>();
   readonly #unanswered: ConstructorParameters<typeof EditAttempt>[0][] = [];
@@ -127,7 +128,7 @@
     }
   }
 
-  /** Ends all that is under way and checks that every VM comes to the newest version. */
+  /** Completes all writes and attempts, and checks that every VM reaches the newest version. */
   settle(): void {
     for (let i = 0; i < 200 && this.#isBusy(); i++) {
       for (const write of [...this.#writes]) {
@@ -140,11 +141,11 @@
       check(!this.#accepted.has(id), `refused edit ${id} is in the log`);
     }
     if (this.#isRestored) return;
-    check(!this.#isBusy(), "an edit never came to an end");
+    check(!this.#isBusy(), "an edit never ended");
     for (const vm of this.#vms) {
       this.#catchUp(vm, this.#read(vm));
       const { version } = vm.log.table;
-      check(version === (this.#store.head?.version ?? 0), "a VM stays behind");
+      check(version === (this.#store.head?.version ?? 0), "a VM misses edits");
     }
   }
 
@@ -204,15 +205,15 @@
     vm.attempts = vm.attempts.filter((it) => it !== attempt);
     if (step.type === "accepted") {
       this.#recomputeAccepted();
-      check(this.#accepted.has(id), `${id} was told accepted but is not`);
+      check(this.#accepted.has(id), `${id} is reported as accepted but is not`);
     }
-    // On its second way, at another VM, a refusal that never read the log says nothing of the first.
+    // After a resubmission at another VM, a refusal made without reading the log says nothing about the first attempt.
     const wasRefused = step.type === "conflict" || step.type === "invalid" ||
       (step.type === "regressed" && !step.maybeAccepted &&
         !this.#resubmitted.has(id));
     if (wasRefused && !this.#accepted.has(id)) this.#refused.add(id);
     if (wasRefused && this.#accepted.has(id)) {
-      throw new Error(`${id} is in the log but was told ${step.type}`);
+      throw new Error(`${id} is in the log but is reported as ${step.type}`);
     }
   }
 
@@ -225,7 +226,7 @@
     const { log, snapshot } = this.#store;
     const relation = vm.log.compareHead(head, readAtVersion);
     if (relation === "older") {
-      check(vm.log.regression !== undefined, "an older store without an alarm");
+      check(vm.log.regression !== undefined, "an older store is not reported");
     }
     if (relation === "ahead") {
       const next = vm.log.table.version + 1;
@@ -297,12 +298,12 @@
   #crash(index: number): void {
     const [vm] = this.#vms.splice(index, 1, this.#makeVm());
     vm.pendingWrite = undefined;
-    // The operator's tool has no answer and sends the same proposal to another VM.
+    // The operator's tool gets no answer and sends the same proposal to another VM.
     this.#unanswered.push(...vm.attempts.map((attempt) => attempt.proposal));
     this.#recomputeAccepted();
   }
 
-  /** Puts the old copy in place. That breaks the store's connections, so no write on its way lands afterwards. */
+  /** Restores the backup. That breaks the store's connections, so no write in flight is applied afterwards. */
   #restore(): void {
     if (!this.#backup) return;
     this.#isRestored = true;
@@ -313,7 +314,7 @@
     this.#recomputeAccepted();
   }
 
-  /** A restore, or a crash after one, may take away an edit that nobody has in force: nothing holds for it any more. */
+  /** A restore, or a crash after one, may lose an edit that no VM has in force. The edit is then no longer required. */
   #recomputeAccepted(): void {
     const accepted = new Map<string, LoggedEdit>();
     const lastIds = this.#vms.map((vm) => vm.log.lastId);
@@ -341,12 +342,12 @@
 
   #checkVm(vm: Vm): void {
     const { table, lastId } = vm.log;
-    check(table.version >= vm.maxVersion, "a VM's version went down");
+    check(table.version >= vm.maxVersion, "a VM's version decreased");
     vm.maxVersion = table.version;
-    check(this.#isRestored || !vm.log.regression, "an alarm without a cause");
+    check(this.#isRestored || !vm.log.regression, "a false regression");
     check(
       this.#historyContains(lastId, vm.lastId),
-      "an edit in force was taken back",
+      "an edit in force was reverted",
     );
     vm.lastId = lastId;
     const expected = this.#tables.get(lastId);
@@ -357,7 +358,7 @@
     );
   }
 
-  /** Whether the history that ends in `id` holds `earlier`. */
+  /** Whether the history that ends with edit `id` contains edit `earlier`. */
   #historyContains(id: string, earlier: string): boolean {
     let edit = this.#edits.get(id);
     while (edit && edit.id !== earlier) edit = this.#edits.get(edit.prevId);
@@ -388,7 +389,7 @@
     : "";
 }
 
-/** Replays one schedule; throws if a rule is violated. */
+/** Replays one schedule. Throws if a rule is violated. */
 export function replay(machines: Machines, moves: readonly Move[]): void {
   const simulation = new TableSimulation(machines, 3);
   for (const move of moves) simulation.runMove(move);
--- a/test/house_test.ts
+++ b/test/house_test.ts
@@ -7,7 +7,7 @@
 
 const ROOT = fileURLToPath(new URL("../..", import.meta.url));
 const MAX_LINES = 400;
-/** Folders whose modules decide and do no I/O. */
+/** Folders whose modules compute decisions and do no I/O. */
 const PURE_FOLDERS = [
   "src/decisions/",
   "src/agreement/",
@@ -17,7 +17,7 @@
   "src/quota/",
   "src/suspects/",
 ];
-/** What pure modules may import from outside: parsers, data structures, hashing. */
+/** Packages that pure modules may import: parsers, data structures, hashing. */
 const PURE_PACKAGES = new Set([
   "neverthrow",
   "node:crypto",
@@ -26,13 +26,13 @@
   "xxhash-wasm",
   "zod",
 ]);
-/** Reading a clock, timers and unseeded random numbers would make a decision differ from run to run. */
+/** Clock reads, timers, unseeded random numbers and network calls, which would make a decision differ between runs. */
 const IMPURE_CALLS =
   /\b(Date\.now|performance\.now|Math\.random|setTimeout|setInterval|setImmediate|fetch)\b/;
-/** The one module of `base` that reads the clocks, which decisions get as arguments. */
+/** The only module of `base` that reads the clocks. Decisions get the time as an argument. */
 const CLOCK_MODULE = "src/base/clock.ts";
 
-/** Names that the users' platform gives to its calls, headers, keys and fields. */
+/** Names of the users' platform for its calls, headers, keys and fields. */
 const WIRE_NAMES =
   /Response-Stamp|Attempt-Id|Expect-Instance|Not-Executed|Deadline-Ms|Prompt-Prefix|Token-Counts|Kv-(?:From|Fetch|Backup)|Pin-Ms|kv-(?:key|range|watch|txn|lease|keep)|op\/config|op\/evacuate|"servers\/|cold_left_ms|path_prefix|home_regions|max_attempts|\/api\/(?:lookup|ready|report)/i;
 
@@ -58,7 +58,7 @@
   path.startsWith("src/") && !path.endsWith("_test.ts")
 );
 
-/** Files and packages that a module imports or re-exports. */
+/** Returns the files and packages that a module imports or re-exports. */
 function parseImports({ path, text }: Source, withTypes: boolean): string[] {
   const pattern =
     /^(?:import|export)\b(?<type> type \{)?[^;]*?\bfrom\s+"([^"]+)"|^import\s+"([^"]+)"/gm;
@@ -78,8 +78,8 @@
 }
 
 /**
- * All that a module imports when it runs, over any number of steps, with what it comes through for the message. Imports
- * of types alone are erased.
+ * Returns all that a module imports at run time, directly or indirectly, each with the module that imports it, for the
+ * failure message. Type-only imports are erased.
  */
 function findReachableImports(start: Source): Map<string, string> {
   const importedBy = new Map<string, string>();
@@ -95,7 +95,7 @@
   return importedBy;
 }
 
-/** A cycle in a graph, as the nodes on it; empty if there is none. */
+/** Returns the nodes of a cycle in a graph, or an empty list if there is none. */
 function findCycle(edges: ReadonlyMap<string, ReadonlySet<string>>): string[] {
   const done = new Set<string>();
   const visit = (node: string, path: readonly string[]): string[] => {
@@ -115,8 +115,8 @@
   return [];
 }
 
-describe("house", () => {
-  it("no module imports itself around a circle, types included", (t) => {
+describe("source rules", () => {
+  it("modules have no circular imports, including imports of types", (t) => {
     const edges = new Map(modules.map((source) => [
       source.path,
       new Set(parseImports(source, true).filter((name) => byPath.has(name))),
@@ -124,7 +124,7 @@
     t.deepEqual(findCycle(edges), []);
   });
 
-  it("decisions and agreement reach nothing that does I/O", (t) => {
+  it("pure folders import nothing that does I/O, directly or indirectly", (t) => {
     const pureModules = modules.filter(({ path }) =>
       PURE_FOLDERS.some((folder) => path.startsWith(folder))
     );
@@ -150,7 +150,7 @@
     t.deepEqual(clockModules.map(({ path }) => path), [CLOCK_MODULE]);
   });
 
-  it("folders do not import each other in a circle", (t) => {
+  it("folders have no circular imports", (t) => {
     const edges = new Map<string, Set<string>>();
     for (const source of modules) {
       const from = folderOf(source.path);
@@ -170,7 +170,7 @@
     t.deepEqual(tooLong.map(({ path }) => path), []);
   });
 
-  it("the platform's names stand in the adapter and the stand-ins alone", (t) => {
+  it("only the adapter and the stand-ins contain the platform's names", (t) => {
     const otherModules = modules.filter(({ path }) =>
       !path.startsWith("src/platform/") && !path.startsWith("src/standins/")
     );
@@ -200,14 +200,14 @@
   });
 });
 
-describe("pages", () => {
+describe("documentation", () => {
   const pages = [
     "README.md",
     ...(readdirSync(join(ROOT, "docs"), { recursive: true }) as string[])
       .filter((name) => name.endsWith(".md")).map((name) => `docs/${name}`),
   ].map((path) => ({ path, text: readFileSync(join(ROOT, path), "utf8") }));
 
-  it("RESULT_CODES.md has each code with its number, status, run and retry", (t) => {
+  it("RESULT_CODES.md lists each code with its number, status, run and retry", (t) => {
     const page = pages.find(({ path }) => path === "docs/RESULT_CODES.md")!;
     const rows = page.text.split("\n").filter((line) => /^\| \d/.test(line))
       .map((line) => line.split("|").slice(1, 6).map((cell) => cell.trim()));
@@ -234,7 +234,7 @@
     }
   });
 
-  it("name no command that does not exist", (t) => {
+  it("names only commands that exist", (t) => {
     const { scripts } = JSON.parse(
       readFileSync(join(ROOT, "package.json"), "utf8"),
     ) as { scripts: Record<string, string> };
--- a/test/kept.ts
+++ b/test/kept.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps what processes and VMs of a test log, for the case that it fails: a reason that was not kept can't be traced.
+ * Writes the logs of a test's processes and VMs to files, so that the cause of a failure can be traced afterwards.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import { createWriteStream, type WriteStream } from "node:fs";
 import { join } from "node:path";
 
-/** Folder of kept logs; nothing is kept if it is not set. */
+/** Folder of the log files. Without it nothing is written. */
 const LOG_FOLDER = process.env.IBISGAP_TEST_LOGS;
-/** The test file, as `describe` sets it. */
+/** Environment variable with the test file's name, which `src/base/describe.ts` sets. */
 const TEST_FILE_VARIABLE = "IBISGAP_TEST_FILE";
 
 let fileCount = 0;
 
-/** Opens a kept log; `name` tells it from others of the same test file. */
+/** Returns a function that appends to a log file. `name` distinguishes it from others of the same test file. */
 export function openLogFile(name: string): (text: string) => void {
   if (!LOG_FOLDER) return () => {};
   const file = process.env[TEST_FILE_VARIABLE] ?? "other";
--- a/test/log_flood.ts
+++ b/test/log_flood.ts
@@ -1,5 +1,6 @@
 /**
- * Writes 20,000 log lines at once to a standard output that nobody reads, then says on standard error that it is done.
+ * Writes 20,000 log lines at once to a standard output that nobody reads, then reports on standard error that it is
+ * done.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import { LineLog, openStandardOutput } from "../src/gateway/mod.ts";
 
 const LINE_COUNT = 20_000;
-/** Lines of one made-up second: below what a second may write, so that only the reader limits them. */
+/** Lines for each simulated second. This is below the log's rate limit, so that only the missing reader limits them. */
 const LINES_PER_S = 200;
 
 const sink = openStandardOutput();
--- a/test/path_test.ts
+++ b/test/path_test.ts
@@ -14,7 +14,7 @@
 const REGION = "agadir";
 const KEY = keyOf(REGION);
 
-/** Two VMs of one region, an engine and a ledger, each in a process of its own where it matters. */
+/** Opens a region of two VMs, each in a process of its own, with an engine and a ledger in one further process. */
 async function openTestRegion(
   t: ExecutionContext,
 ): Promise<{ cluster: Cluster; vms: Vm[] }> {
@@ -37,8 +37,8 @@
   return { cluster, vms };
 }
 
-describe("path, each part a process", () => {
-  it("serves models and the ledger through either VM, each call once", async (t) => {
+describe("request path of real daemons", () => {
+  it("serves model calls and runs each ledger call once, through either VM", async (t) => {
     const { vms } = await openTestRegion(t);
     for (const vm of vms) {
       const body = {
@@ -76,9 +76,9 @@
     ]);
   });
 
-  // A VM gets SIGTERM while a caller reads a stream from it. The stream must end whole, new requests are told where to
-  // go and that nothing ran, and the process ends by itself with code 0.
-  it("stops a VM in good order", async (t) => {
+  // A VM gets SIGTERM while a caller reads a stream from it. The stream must complete, new requests are refused as not
+  // run and directed to the other VM, and the process exits by itself with code 0.
+  it("drains a VM on SIGTERM", async (t) => {
     const { vms: [stoppingVm, otherVm] } = await openTestRegion(t);
     const body = {
       model: "plan",
@@ -121,13 +121,13 @@
   });
 });
 
-/** The answer's text; throws unless the stream ends with its end mark. */
+/** Returns the text of a streamed answer. Throws unless the stream ends with `[DONE]`. */
 function parseStreamedText(events: string): string {
   const data = events.trim().split("\n\n").map((event) =>
     event.slice("data: ".length)
   );
   if (data.pop() !== "[DONE]") {
-    throw new Error(`no end mark in ${events.slice(-300)}`);
+    throw new Error(`no [DONE] at the end of ${events.slice(-300)}`);
   }
   return data.map((text) => JSON.parse(text).choices[0]?.delta?.content ?? "")
     .join("");
--- a/test/promises_test.ts
+++ b/test/promises_test.ts
@@ -1,6 +1,5 @@
 /**
- * Promises of the brief under single and double faults, against real daemons of two regions. Each case is told as the
- * caller sees it.
+ * Guarantees to callers and operators under single and double faults, tested with real daemons of two regions.
  */
 import type { ExecutionContext } from "ava";
 import got from "got";
@@ -34,7 +33,7 @@
   vm(name: string): Vm;
 }
 
-/** Two regions with `perRegion` VMs, one engine and one ledger each; either may send to the other. */
+/** Opens two regions with `perRegion` VMs, one engine and one ledger each. Either may send requests to the other. */
 async function openRegions(
   t: ExecutionContext,
   perRegion: number,
@@ -104,7 +103,7 @@
   return { answer, text };
 }
 
-/** A departure, repeated as the answers advise until it is settled. */
+/** Sends a departure and retries while the answer is 503. */
 async function sendDeparture(vm: Vm, key: string, id: string) {
   const deadlineMs = Date.now() + SETTLE_TIMEOUT_MS;
   for (;;) {
@@ -127,7 +126,7 @@
   ).length;
 }
 
-/** Reads a stream to its end; `undefined` if it does not end with its end mark. */
+/** Reads a stream to its end and returns its text, `undefined` if it does not end with `[DONE]`. */
 async function readStream(
   vm: Vm,
   key: string,
@@ -162,10 +161,10 @@
   return JSON.parse(answer.body).version;
 }
 
-describe("promises, each part a process", () => {
-  // Double fault: the link between the regions is cut and the store is out of the home's reach. Drivers and clerks of the
-  // home see nothing of it: plans are answered, and each departure runs once, also when it is sent to both VMs.
-  it("an isolated region serves its own, without the store", async (t) => {
+describe("guarantees of real daemons", () => {
+  // Double fault: the link between the regions is cut and the home region cannot reach the store. Its callers must not
+  // notice: model calls are answered, and each departure runs once, even if it is sent to both VMs.
+  it("an isolated region serves its workspaces without the store", async (t) => {
     const { cluster, ledgers, vm } = await openRegions(t, 2);
     await waitForWitnesses([vm(`${HOME}-1`), vm(`${HOME}-2`)]);
     await sendDeparture(vm(`${HOME}-1`), keyOf(HOME), "before");
@@ -195,9 +194,9 @@
     t.is(await countRuns(ledgers, "cut-off"), 1);
   });
 
-  // Double fault: the store goes away while the other VM of the region is frozen. Until it wakes, the clerk is told that
-  // the call was not run; afterwards departures are served through the outage, each once.
-  it("a region of two goes on in an outage that began with one of them frozen", async (t) => {
+  // Double fault: a store outage begins and the region's other VM freezes at once. Until it resumes, a departure is
+  // refused as not run; afterwards departures are served during the outage, each once.
+  it("a region of two VMs serves claims in a store outage once its frozen VM resumes", async (t) => {
     const { cluster, ledgers, vm } = await openRegions(t, 2);
     const vms = [vm(`${HOME}-1`), vm(`${HOME}-2`)];
     await waitForWitnesses(vms);
@@ -228,9 +227,9 @@
     }
   });
 
-  // Both regions are full, and each may send to the other. A request moves once at most, whatever it meets: no attempt
-  // may come back, and no engine may see one caller's request twice.
-  it("no request goes round between regions", async (t) => {
+  // Both regions are full, and each may send requests to the other. A request moves at most once: no attempt may come
+  // back to its first region, and no engine may get a request twice.
+  it("no request circulates between regions", async (t) => {
     const { engines, vm } = await openRegions(t, 1, 1);
     const requests = Array.from(
       { length: 24 },
@@ -262,10 +261,10 @@
     t.true(answers.some(({ answer }) => answer.statusCode === 200));
   });
 
-  // Double fault: the VM that leads the pool is frozen while requests wait, and wakes later believing that it still
-  // leads. Callers of the other VM see a pause, not an error, and each gets its own whole answer. Callers of the woken VM
-  // must not wait behind the requests that it finds in its sockets: they were served elsewhere.
-  it("a frozen lead costs its callers a pause", async (t) => {
+  // Double fault: the pool's lead is frozen while requests wait, and resumes later in the belief that it still leads.
+  // Callers of the other VM must get a delay but no error, and each its own complete answer. Callers of the resumed VM
+  // must not wait behind the stale requests in its sockets, which were served elsewhere.
+  it("a frozen lead delays callers but fails no request", async (t) => {
     const { vm } = await openRegions(t, 2, 2);
     const isLead = async (name: string) =>
       `plan/${HOME}/0` in
@@ -298,9 +297,9 @@
     }));
   });
 
-  // An operator sets an engine's row to leaving while streams run on it. The streams end whole; after a few seconds
-  // nothing new arrives there, and callers are served elsewhere.
-  it("a leaving upstream gets nothing new and cuts nothing off", async (t) => {
+  // An operator sets an engine's row to leaving while streams run on it. The streams must complete. After a few seconds
+  // the engine gets no new requests, and callers are served by the other engine.
+  it("a leaving upstream gets no new requests and completes its streams", async (t) => {
     const { cluster, engines, vm } = await openRegions(t, 1);
     const [spare] = await cluster.startUpstreams(1, 0);
     await putRow(
@@ -337,9 +336,9 @@
     }
   });
 
-  // Double fault: an edit's answer is lost in the store, and the VM that made it is killed at once. The edit is either
-  // in force in both regions or in none, and it stays so when the store comes back with an older copy of itself.
-  it("an accepted edit holds in every region and never reverts", async (t) => {
+  // Double fault: the VM that made an edit is killed right after its answer, and the store is restored from an older
+  // backup. The edit must be in force in both regions and stay so.
+  it("an accepted edit comes into force in every region and is never reverted", async (t) => {
     const { cluster, vm } = await openRegions(t, 2);
     await got.post(`${cluster.storeUrl}/save/old`);
     const row = { kind: "region", id: HOME, weight: 7 };
@@ -366,9 +365,9 @@
     }
   });
 
-  // A VM is killed in the middle of its streams: those end in a broken connection, never in a clean end. The other VM's
-  // streams go on, and the killed VM's slots come back, so that the engine serves as many as before.
-  it("a killed VM takes only its own streams with it", async (t) => {
+  // A VM is killed during its streams: these must end with a broken connection, never with a clean end. The other VM's
+  // streams continue, and the killed VM's slots are freed, so that the engine serves as many requests as before.
+  it("a killed VM breaks only its own streams", async (t) => {
     const { vm } = await openRegions(t, 2, 4);
     const broken = Array.from(
       { length: 2 },
--- a/test/shift_test.ts
+++ b/test/shift_test.ts
@@ -23,7 +23,7 @@
   readonly remote: Vm;
 }
 
-/** Two regions of one VM and one engine each; the home's engine runs one request at a time. */
+/** Opens two regions of one VM and one engine each. The home region's engine runs one request at a time. */
 async function openRegions(t: ExecutionContext): Promise<TestRegions> {
   const cluster = new Cluster();
   t.teardown(() => cluster.close());
@@ -83,7 +83,7 @@
   };
 }
 
-/** Sends `count` requests side by side, enough to keep the home's one slot busy for seconds. */
+/** Sends `count` requests concurrently. 8 of them keep the home region's only slot busy for seconds. */
 function sendBurst(vm: Vm, key: string, count: number): Promise<Reply[]> {
   return Promise.all(
     Array.from(
@@ -93,11 +93,11 @@
   );
 }
 
-describe("shift, each part a process", () => {
-  // The home has one slot and a burst to serve. The far region's digest says that it is idle, so part of the burst moves
-  // there, once its digest is known; each caller gets its own whole answer, marked with the region that gave it. What
-  // the table binds stays at home in the same burst.
-  it("moves what may move, and nothing else", async (t) => {
+describe("placement in other regions, with real daemons", () => {
+  // The home region has one slot and gets a burst. The remote region's load digest says that it is idle, so the home
+  // region sends part of the burst there once it has the digest. Each caller gets its own complete answer, marked with
+  // the region that gave it. Requests of a bound workspace stay in the home region during an equal burst.
+  it("moves requests of unbound workspaces only", async (t) => {
     const { home } = await openRegions(t);
     const replies: Reply[] = [];
     for (
@@ -118,9 +118,9 @@
     ]);
   });
 
-  // The far region is cut off. Its digest ages, nothing is sent there, and the home serves its own as well as it can:
-  // callers see waiting, not errors. When the link is back, requests move again.
-  it("stays at home while the link is cut", async (t) => {
+  // The link to the remote region is cut. Its load digest becomes stale, nothing is sent there, and the home region
+  // serves its requests alone: callers wait longer but get no errors. Requests move again when the link is back.
+  it("keeps requests in the home region while the link is cut", async (t) => {
     const { cluster, home, remote } = await openRegions(t);
     await cluster.setLinkFaults(home, { cut: { peer: {}, cut: true } });
     await sleep(4000);
--- a/test/table_process_test.ts
+++ b/test/table_process_test.ts
@@ -14,7 +14,7 @@
 
 const REGIONS = ["agadir", "marrakech"];
 
-/** Two regions of three daemons, with version 1 in force. */
+/** Opens two regions of three daemons each, with table version 1 in force. */
 async function openCluster(t: ExecutionContext): Promise<Cluster> {
   const cluster = new Cluster();
   t.teardown(() => cluster.close());
@@ -61,7 +61,7 @@
     .rows[0].row.weight;
 }
 
-/** Looks at a VM's version until stopped; the list is what an observer saw, in order. */
+/** Polls a VM's table version. Returns a function that stops this and returns the versions in order. */
 function observeVersions(vm: Vm) {
   const versions: number[] = [];
   let isObserving = true;
@@ -85,10 +85,10 @@
   return { vm, all: [...cluster.vms.values()] };
 };
 
-describe("table, each part a process", () => {
-  // A VM is killed and another frozen while an operator edits. The edit is in force on all the others; the frozen one,
-  // when it goes on, serves at most a moment on its old version and then on the new one, never the other way round.
-  it("has edits in force past a killed and a frozen VM", async (t) => {
+describe("table of real daemons", () => {
+  // A VM is killed and another frozen while an operator edits. The edits must come into force at all other VMs. The
+  // frozen VM resumes with its old version for a moment, then has the new one, and must never go back.
+  it("brings edits into force despite a killed and a frozen VM", async (t) => {
     const cluster = await openCluster(t);
     const { vm, all } = listVms(cluster);
     const [killed, frozen] = [vm("agadir-2"), vm("marrakech-2")];
@@ -109,9 +109,10 @@
     t.is(await readWeight(frozen), 4);
   });
 
-  // The store goes away, and in the outage a VM is killed and one starts. Callers see no change. The operator is told
-  // that nothing was changed. After the return an edit is in force everywhere, on the new VM too.
-  it("serves through an outage in which VMs are replaced", async (t) => {
+  // During a store outage a VM is killed and a new one starts. The new VM must have the table, so that callers notice
+  // nothing, and an operator's edit is refused as not made. After the outage an edit must come into force at every VM,
+  // the new one included.
+  it("stays in force during a store outage in which VMs are replaced", async (t) => {
     const cluster = await openCluster(t);
     const { vm } = listVms(cluster);
     await cluster.setPlatformFaults([{ outage: "refuse" }]);
@@ -133,9 +134,10 @@
     }
   });
 
-  // The store is restored from an old copy while a VM is frozen that has the newest version in force. No VM goes back;
-  // edits are refused with the alarm's code; after the operator publishes the table in force, edits go on.
-  it("does not go back with a store restored from an old copy", async (t) => {
+  // The store is restored from an old backup while a VM with the newest version in force is frozen. No VM may go back
+  // to an older version, and edits are refused with the code for a regressed store. After the operator republishes the
+  // table in force, edits are accepted again.
+  it("keeps its version when the store is restored from an old backup", async (t) => {
     const cluster = await openCluster(t);
     const { vm, all } = listVms(cluster);
     await got.post(`${cluster.storeUrl}/save/old`);
--- a/test/table_vms.ts
+++ b/test/table_vms.ts
@@ -1,5 +1,6 @@
 /**
- * VMs with membership and table in one process, over loopback and one stand-in platform, for tests and benchmarks.
+ * Several VMs in one process, each with membership and table, connected over loopback and to one stand-in platform. For
+ * tests and benchmarks.
  *
  * @module
  */
@@ -21,7 +22,7 @@
   TableService,
 } from "../src/services/mod.ts";
 
-/** How a {@link TableVm} is started. */
+/** Options of a {@link TableVm}. */
 export interface TableVmOptions {
   readonly id: string;
   readonly region: string;
@@ -30,7 +31,7 @@
   readonly periods?: Partial<TablePeriods>;
 }
 
-/** One VM. */
+/** A VM inside the test's process, with membership and table only. */
 export class TableVm {
   readonly id: string;
   readonly region: string;
@@ -98,7 +99,7 @@
     return !this.#isOpen;
   }
 
-  /** The version in force here; 0 for none. */
+  /** The table version in force at this VM, 0 if there is none. */
   get version(): number {
     return this.table.table?.version ?? 0;
   }
@@ -109,17 +110,17 @@
     return this.editor.submit(proposal, Date.now() + waitMs);
   }
 
-  /** Puts rows, without looking at what stands there. */
+  /** Puts rows, without a condition on their current versions. */
   put(...rows: readonly unknown[]) {
     return this.edit(rows.map((it) => ({ type: "put", row: parseRow(it) })));
   }
 
-  /** The table's state as `ibisgap dump` shows it. */
+  /** Returns the table's state as `ibisgap dump` shows it. */
   dump(): Record<string, unknown> {
     return this.table.dump() as Record<string, unknown>;
   }
 
-  /** Ends as a crash does: connections break, nobody is told. */
+  /** Ends as in a crash: connections break, and no other VM is notified. */
   async crash(): Promise<void> {
     if (!this.#isOpen) return;
     this.#isOpen = false;
@@ -129,22 +130,22 @@
   }
 }
 
-/** A row with defaults filled in. */
+/** Parses a row and fills in defaults. */
 export function parseRow(row: unknown): TableRow {
   return tableRow.parse(row);
 }
 
-/** The key of a row with defaults filled in. */
+/** Parses a row and returns its key. */
 export function parseRowKey(row: unknown): string {
   return rowKey(parseRow(row));
 }
 
-/** A region's row; its weight tells one edit from another. */
+/** Returns a region's row. Tests tell edits apart by its weight. */
 export function makeRegionRow(id: string, weight = 1) {
   return { kind: "region", id, weight };
 }
 
-/** Opens `count` VMs in each region, each seeded with up to three before it. */
+/** Opens `vmsPerRegion` VMs in each region. Each is seeded with the first three opened before it. */
 export async function openTableVms(
   platformUrl: string,
   regions: readonly string[],
--- a/test/vms.ts
+++ b/test/vms.ts
@@ -1,5 +1,6 @@
 /**
- * Several VMs in one process: kernel, transport, membership and slots of each over loopback, for tests and benchmarks.
+ * Several VMs in one process, each with a kernel, transport, membership and slots, connected over loopback. For tests
+ * and benchmarks.
  *
  * @module
  */
@@ -24,7 +25,7 @@
   type VmInfo,
 } from "../src/services/mod.ts";
 
-/** A table service whose table is set by hand. */
+/** A table service that returns the table it is given. */
 export class FixedTable extends Task<TableMessages> {
   readonly name = "table";
   table: Table | undefined;
@@ -44,13 +45,13 @@
   }
 }
 
-/** A table of these rows, with defaults filled in. */
+/** Returns a table of these rows, with defaults filled in. */
 export function makeTable(version: number, rows: readonly unknown[]): Table {
   const parsed: TableRow[] = rows.map((row) => tableRow.parse(row));
   return Table.of(version, parsed.map((row) => ({ row, version })));
 }
 
-/** One service `plan` with this many upstreams of `slots` slots in each region. */
+/** Returns a table with one service, `plan`, and its upstreams in each region. */
 export function makePlanTable(
   version: number,
   regions: readonly string[],
@@ -75,7 +76,7 @@
   return makeTable(version, rows);
 }
 
-/** A request for a slot of `plan`. */
+/** Returns a request for a slot of `plan`. */
 export function makePlanRequest(
   attemptId: string,
   overrides: Partial<SlotRequest> = {},
@@ -97,26 +98,26 @@
   };
 }
 
-/** What a dump says of a led pool. */
+/** What a VM's dump says of a pool that it leads. */
 export interface LedPool {
   readonly collecting: boolean;
   readonly waiting: number;
   readonly granted: number;
 }
 
-/** How a {@link Vm} is started. */
+/** Options of a {@link Vm}. */
 export interface VmOptions {
   readonly id: string;
   readonly region: string;
   readonly table: Table;
   readonly seeds: readonly string[];
-  /** 0 or absent: any free port. */
+  /** If 0 or absent, any free port is used. */
   readonly port?: number;
   readonly times?: MembershipTimes;
   readonly loadSource?: LoadSource;
 }
 
-/** One VM. */
+/** A VM inside the test's process. */
 export class Vm {
   readonly id: string;
   readonly region: string;
@@ -176,18 +177,18 @@
     return this.kernel.get<SlotsMessages>("slots");
   }
 
-  /** The VMs of its region as it sees them, by id. */
+  /** Returns the VMs of its region as it sees them, by id. */
   async readRegion(): Promise<Map<string, VmInfo>> {
     const region = await this.members.ask("region", undefined);
     return new Map(region.map((info) => [info.id, info]));
   }
 
-  /** The pools that it leads, by key. */
+  /** Returns the keys of the pools that it leads. */
   ledPoolKeys(): string[] {
     return Object.keys(this.#dumpLedPools());
   }
 
-  /** A pool that it leads. */
+  /** Returns a pool that it leads, `undefined` if it does not lead it. */
   ledPool(pool: string): LedPool | undefined {
     return this.#dumpLedPools()[pool];
   }
@@ -199,20 +200,20 @@
     return slots?.leads.pools ?? {};
   }
 
-  /** Ends as a crash does: connections break, nobody is told. */
+  /** Ends as in a crash: connections break, and no other VM is notified. */
   async crash(): Promise<void> {
     await this.transport.terminate();
     await this.kernel.close(Date.now());
   }
 
-  /** A planned stop. */
+  /** Stops in an orderly way. */
   async stop(): Promise<void> {
     await this.kernel.close(Date.now() + 5000);
     await this.transport.close();
   }
 }
 
-/** Opens `count` VMs of a region, `REGION-0` first; each is seeded with those before it, three at most. */
+/** Opens `count` VMs of a region, `REGION-0` first. Each is seeded with the first three opened before it. */
 export async function openRegion(
   region: string,
   count: number,
@@ -231,7 +232,7 @@
   return vms;
 }
 
-/** Waits until `holds`; fails after 30 s, which only guards against a hang. */
+/** Waits until `isTrue`. Fails after 30 s, which only guards against a hang. */
 export async function waitUntil(
   description: string,
   isTrue: () => boolean | Promise<boolean>,
@@ -239,13 +240,13 @@
   const deadlineMs = Date.now() + 30_000;
   while (!await isTrue()) {
     if (Date.now() > deadlineMs) {
-      throw new Error(`never came true: ${description}`);
+      throw new Error(`timed out waiting for: ${description}`);
     }
     await systemClock.sleep(20);
   }
 }
 
-/** Waits until every VM sees exactly these VMs, all of them live. */
+/** Waits until every VM sees exactly these VMs as live. */
 export async function waitUntilAgreed(vms: readonly Vm[]): Promise<void> {
   const ids = vms.map((vm) => vm.id).sort().join();
   await waitUntil(`all see ${ids}`, async () => {
@@ -258,7 +259,7 @@
   });
 }
 
-/** The one VM that leads this pool; waits until there is exactly one. */
+/** Waits until exactly one VM leads this pool, and returns it. */
 export async function waitForLead(
   vms: readonly Vm[],
   pool: string,
