--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -110,7 +110,7 @@
       else {
         this.#body = body.value;
         this.#suspicion.body = body.value;
-        if (this.#mayBeStale) await this.#context.turns.waitTurn();
+        if (this.#mayBeStale) await this.#context.startQueue.waitTurn();
         this.#context.retryBudget(this.#service.name).countRequest(
           clock.monoMs(),
         );
--- a/src/gateway/call_placement.ts
+++ b/src/gateway/call_placement.ts
@@ -100,7 +100,7 @@
   /** Decides the next step of the request. Its first send is charged to its workspace's quota. */
   async place(): Promise<PlacedStep> {
     this.#request = { ...this.#request, isSuspect: this.isSuspect };
-    const placed = await this.#context.placing.place(this.#request);
+    const placed = await this.#context.placer.place(this.#request);
     const { quota: use } = this.#request;
     if (placed.countedBy && use) {
       this.#record.noteQuota(use, placed.countedBy);
@@ -120,7 +120,7 @@
 
   /** Returns the next step by what this VM knows itself, without charging or executing it. */
   nextLocally(): Step<LinkedCandidate> {
-    return this.#context.placing.placeLocally(this.#request);
+    return this.#context.placer.placeLocally(this.#request);
   }
 
   #placeTerms(): PlacementCriteria {
--- a/src/gateway/call_suspicion.ts
+++ b/src/gateway/call_suspicion.ts
@@ -117,7 +117,7 @@
   }
 
   get #tracker(): SuspectTracker {
-    return this.#context.suspects.keeper;
+    return this.#context.suspects.tracker;
   }
 
   get #status(): SuspectStatus {
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -34,14 +34,14 @@
   readonly members: Members;
   readonly upstreams: Upstreams;
   readonly relays: Relays;
-  readonly placing: Placer;
+  readonly placer: Placer;
   readonly quotas: Quotas;
   readonly metrics: GatewayMetrics;
   readonly losses: LossProber;
   readonly suspects: Suspects;
   readonly random = new Random(process.pid ^ Date.now());
   readonly bodies: BodyMemory;
-  readonly turns: StartQueue;
+  readonly startQueue: StartQueue;
   /** Whether this VM is being stopped. */
   isDraining = false;
   /** When the stop signal arrived, on the monotonic clock. */
@@ -62,7 +62,7 @@
       | "members"
       | "upstreams"
       | "relays"
-      | "placing"
+      | "placer"
       | "quotas"
       | "metrics"
       | "losses"
@@ -76,12 +76,12 @@
     this.members = parts.members;
     this.upstreams = parts.upstreams;
     this.relays = parts.relays;
-    this.placing = parts.placing;
+    this.placer = parts.placer;
     this.quotas = parts.quotas;
     this.metrics = parts.metrics;
     this.losses = parts.losses;
     this.suspects = parts.suspects;
-    this.turns = new StartQueue(parts.clock);
+    this.startQueue = new StartQueue(parts.clock);
     this.bodies = new BodyMemory(
       parts.settings.vm.memoryMb * BYTES_PER_MB * BODY_MEMORY_SHARE,
     );
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -100,7 +100,7 @@
           ? {}
           : { configAgeMs: Math.round(storeView.configAgeMs) }),
       }),
-      load: () => ({ load: upstreams.load(), asked: placing.settledQueryId }),
+      load: () => ({ load: upstreams.load(), asked: placer.settledQueryId }),
       held: (ms) => upstreams.partsReadWithin(ms),
       regionHeld: (ms) => upstreams.regionPartsReadWithin(ms),
       room: () =>
@@ -145,11 +145,11 @@
       members,
       storeView,
     });
-    const placing = new Placer({
+    const placer = new Placer({
       self: vm,
       datagrams,
       members,
-      beliefs: storeView,
+      storeView,
       upstreams,
       relays,
       metrics,
@@ -163,7 +163,7 @@
       members,
       upstreams,
       relays,
-      placing,
+      placer,
       quotas,
       metrics,
       losses,
@@ -179,7 +179,7 @@
       upstreams,
       quotas,
       suspects,
-      placing,
+      placer,
       members,
       peerRpc,
       listeners,
--- a/src/gateway/http_listeners.ts
+++ b/src/gateway/http_listeners.ts
@@ -166,7 +166,7 @@
     const maxOpen = (settings.vm.mostDescriptors - RESERVED_DESCRIPTORS) /
       DESCRIPTORS_PER_REQUEST;
     const isFull = this.#context.openRequests >= maxOpen ||
-      this.#context.turns.waitMs > MAX_START_WAIT_MS;
+      this.#context.startQueue.waitMs > MAX_START_WAIT_MS;
     if (isFull) {
       return this.#refuse(
         head,
--- a/src/gateway/members.ts
+++ b/src/gateway/members.ts
@@ -83,7 +83,7 @@
 export class Members extends Task {
   readonly name = "members";
   /** Load of the region's other VMs, as far as they report to this one. */
-  readonly book = new LoadTracker();
+  readonly loads = new LoadTracker();
   readonly #options: MemberOptions;
   readonly #nextNote = new PendingLoadNote();
   protected readonly handlers: Handlers<Messages> = {};
@@ -94,7 +94,7 @@
   #timer: Timer | undefined;
   #timerMs = Infinity;
   #lagMs = 0;
-  #saidLoad: Load = {};
+  #announcedLoad: Load = {};
   /** Who leads, as of the last message or tick; cached because every request asks for it. */
   #leadState: LeadState = {
     order: [],
@@ -219,8 +219,8 @@
   }
 
   /** This VM's own load as it last reported it. */
-  get saidLoad(): Load {
-    return this.#saidLoad;
+  get announcedLoad(): Load {
+    return this.#announcedLoad;
   }
 
   /** Number of VMs in all regions, this one included; silent ones count until they are forgotten. */
@@ -295,7 +295,7 @@
   #updateLeads(): void {
     if (this.#view.isLead) {
       const alive = new Set(this.reporters().map(({ id }) => id));
-      this.book.retain((id) => alive.has(id));
+      this.loads.retain((id) => alive.has(id));
     }
     const { leads, order, hearsAll, isLead } = this.#view;
     const previousIds = joinIds(this.#leadState.leads);
@@ -334,7 +334,7 @@
     const { self, state, load, held } = this.#options;
     const everyMs = this.#view.reportEveryMs;
     const own = load();
-    this.#saidLoad = own.load;
+    this.#announcedLoad = own.load;
     return { ...self, everyMs, ...state(), ...own, held: held(everyMs) };
   }
 
@@ -344,7 +344,7 @@
     const [first] = this.#view.leads;
     if (!first || first.id === self.id) return;
     const own = load();
-    this.#saidLoad = own.load;
+    this.#announcedLoad = own.load;
     const note: LoadNote = { id: self.id, ...own, seen, held: held(sinceMs) };
     datagrams.send("load", note, [first.ip]);
   }
@@ -354,7 +354,7 @@
     // When all VMs receive each other's reports, each one sums them itself.
     if (this.#view.hearsAll) return {};
     const sums = new Map<string, [number, number]>();
-    for (const load of [this.book.load, this.#options.load().load]) {
+    for (const load of [this.loads.load, this.#options.load().load]) {
       for (const [key, [running, waitingTokens]] of Object.entries(load)) {
         const sum = sums.get(key) ?? [0, 0];
         sums.set(key, [sum[0] + running, sum[1] + waitingTokens]);
@@ -371,7 +371,7 @@
     const replies = this.#view.onReport(report, nowMs);
     for (const due of replies) this.#send(due);
     if (report.region === this.#options.self.region) {
-      this.book.update(report.id, report, nowMs);
+      this.loads.update(report.id, report, nowMs);
       this.#options.onHeld(report.held, true);
     }
     this.#tickAt(this.#view.nextDueMs);
@@ -381,7 +381,7 @@
     if (!note || this.#closing) return;
     // A VM that doesn't report here takes this VM for a lead by mistake, and will learn who leads.
     if (!this.#view.isLead) return;
-    this.book.update(note.id, note, this.#clock.monoMs());
+    this.loads.update(note.id, note, this.#clock.monoMs());
     this.#options.onOutcomes(note.id, note.seen);
     this.#options.onHeld(note.held, true);
   }
--- a/src/gateway/other_loads.ts
+++ b/src/gateway/other_loads.ts
@@ -18,8 +18,8 @@
   readonly hearsAll: boolean;
   readonly isLead: boolean;
   readonly leads: readonly LeadRecord[];
-  readonly book: LoadTracker;
-  readonly saidLoad: Load;
+  readonly loads: LoadTracker;
+  readonly announcedLoad: Load;
   reporters(): readonly Report[];
   roster(): Roster | undefined;
 }
@@ -44,9 +44,9 @@
   /** Returns the load of the other VMs at an upstream. */
   loadAt(upstreamKey: string, nowMs: number): UpstreamLoad {
     this.#refresh(nowMs);
-    if (!this.#rosterLoad) return this.#region.book.at(upstreamKey);
+    if (!this.#rosterLoad) return this.#region.loads.at(upstreamKey);
     const [running, waitingTokens] = this.#rosterLoad[upstreamKey] ?? NO_LOAD;
-    const [own, ownTokens] = this.#region.saidLoad[upstreamKey] ?? NO_LOAD;
+    const [own, ownTokens] = this.#region.announcedLoad[upstreamKey] ?? NO_LOAD;
     return [Math.max(0, running - own), Math.max(0, waitingTokens - ownTokens)];
   }
 
--- a/src/gateway/placer.ts
+++ b/src/gateway/placer.ts
@@ -88,7 +88,7 @@
   readonly self: { readonly id: string; readonly region: string };
   readonly datagrams: Datagrams;
   readonly members: Members;
-  readonly beliefs: StoreView;
+  readonly storeView: StoreView;
   readonly upstreams: Upstreams;
   readonly relays: Relays;
   readonly metrics: GatewayMetrics;
@@ -339,9 +339,9 @@
 
   /** Decides as the lead, and counts what it grants. */
   #decideAsLead(query: PlacementQuery): PlacementVerdict {
-    const { beliefs, upstreams, members, quotas } = this.#options;
+    const { storeView, upstreams, members, quotas } = this.#options;
     const nowMs = this.#clock.monoMs();
-    const request = toPlacementRequest(query, beliefs.config, nowMs);
+    const request = toPlacementRequest(query, storeView.config, nowMs);
     if (!request) return { type: "unknown" };
     const { service, prompt, quota } = request;
     const countsQuota = quota !== undefined && quotas.isAuthority;
@@ -364,7 +364,7 @@
       if (!upstreams.tryAdmit(candidate, service, prompt)) continue;
       const { key, running, waitingTokens } = candidate;
       const unreadTokens = service.engine ? candidate.unreadTokens : 0;
-      members.book.grant(query.from, query.question, key, unreadTokens, nowMs);
+      members.loads.grant(query.from, query.question, key, unreadTokens, nowMs);
       const fetchFrom = upstreams.pickFetchSource(
         candidate,
         service,
--- a/src/gateway/suspects.ts
+++ b/src/gateway/suspects.ts
@@ -113,7 +113,7 @@
   }
 
   /** Holds the known suspects and decides who may run them. */
-  get keeper(): SuspectTracker {
+  get tracker(): SuspectTracker {
     return this.#tracker;
   }
 
