--- a/src/gateway/call.ts
+++ b/src/gateway/call.ts
@@ -33,10 +33,10 @@
  * before it sends a request, so that no upstream works for a caller that has left.
  */
 const HIGH_LAG_MS = 50;
-/** Maximum sends of one request, failed connects included. Each costs up to a quarter of a second. */
+/** Maximum sends of one request, failed connects included. A failed connect to an upstream costs up to 250 ms. */
 const MAX_TRIES = 4;
 
-/** Final failures: what another VM knows against a request holds here too, even if this VM was not told yet. */
+/** Final failures: another VM has recorded crashes under the request, even if this VM has not received them yet. */
 const FINAL_CODES: ReadonlySet<CodeName> = new Set<CodeName>([
   "endsUpstreams",
   "onTrialElsewhere",
@@ -277,7 +277,7 @@
     );
   };
 
-  /** Discards a failed answer if another send is allowed and likely to be served. Returns whether it does. */
+  /** Discards a failed answer if another send is allowed and likely to be served. Returns whether it did. */
   #retryFailedAnswer({ answer, decoded }: Answered): boolean {
     if (!this.#placement.hasRoomHere() || !this.#takeRetry(true)) return false;
     answer.resume();
@@ -287,7 +287,7 @@
   }
 
   #handleUnanswered(send: Send, head: Unanswered): void {
-    // A VM that can't be reached says nothing about its region: another VM there may take the request.
+    // One unreachable VM doesn't make its region unreachable: another VM there may take the request.
     if (send instanceof RelaySend && !head.wasSent) {
       this.#placement.forgetTriedRegion(send.region);
     }
@@ -333,7 +333,8 @@
       mostUpstreams: this.#input.mostUpstreams,
     });
     if (!isAllowed) return false;
-    // Until an upstream has received it, another send is the first to arrive and takes nothing from the retry budget.
+    // Until an upstream has received the request, another send is the first to arrive and takes nothing from the retry
+    // budget.
     return this.#record.arrivals === 0 ||
       this.#context.retryBudget(this.#service.name).tryTake(
         clock.monoMs(),
--- a/src/gateway/call_placement.ts
+++ b/src/gateway/call_placement.ts
@@ -118,12 +118,12 @@
     this.#countedUse = undefined;
   }
 
-  /** Returns the next step by what this VM knows itself, without charging or executing it. */
+  /** Returns the next step, decided from this VM's own state, without charging or executing it. */
   nextLocally(): Step<LinkedCandidate> {
     return this.#context.placer.placeLocally(this.#request);
   }
 
-  #placeTerms(): PlacementCriteria {
+  #placementCriteria(): PlacementCriteria {
     return {
       ...this.#request,
       pace: this.#context.upstreams.paceOf(this.#service),
@@ -153,7 +153,7 @@
   hasRoomHere(): boolean {
     const step = this.nextLocally();
     return step.type === "send" &&
-      hasRoom(step.candidate, this.#placeTerms());
+      hasRoom(step.candidate, this.#placementCriteria());
   }
 
   /** Returns the other upstreams of this region, for a stream that runs at one. */
--- a/src/gateway/call_record.ts
+++ b/src/gateway/call_record.ts
@@ -160,7 +160,7 @@
       comeBackMs,
       totalMs: Math.round(totalMs),
     });
-    // The log has a warning of a retried request already, so its end must not be lost to sampling.
+    // The log already has a warning about a retried request, so its end must not be lost to sampling.
     if (outcome === "ok" && this.tries <= 1) log.info("request", fields);
     else log.warn("request", fields);
   }
--- a/src/gateway/call_sends.ts
+++ b/src/gateway/call_sends.ts
@@ -92,7 +92,7 @@
       service,
       this.#prompt,
     );
-    // The lead would choose the upstream again if it has not heard yet that the upstream is draining.
+    // The lead would choose the upstream again if the news that the upstream is draining has not reached it yet.
     if (isAdmitted || candidate.grant) placement.noteTried(candidate);
     if (!isAdmitted) return false;
     record.place = candidate.key;
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -92,12 +92,12 @@
     let budget = this.#retryBudgets.get(service);
     if (!budget) {
       const { repeatRatio, repeatSlack, repeatWindowMs } = this.settings.bounds;
-      const bounds: RetryBudgetLimits = {
+      const limits: RetryBudgetLimits = {
         ratio: repeatRatio,
         slack: repeatSlack,
         windowMs: repeatWindowMs,
       };
-      budget = new RetryBudget(bounds);
+      budget = new RetryBudget(limits);
       this.#retryBudgets.set(service, budget);
     }
     return budget;
--- a/src/gateway/crash_notifier.ts
+++ b/src/gateway/crash_notifier.ts
@@ -9,7 +9,7 @@
 import type { Datagrams } from "./datagrams.ts";
 import type { Members } from "./members.ts";
 
-/** A crashed upstream breaks all of its connections within this time; what was seen of it is sent together. */
+/** A crashed upstream breaks all of its connections within this time; the rows about it are sent together. */
 const BATCH_MS = 15;
 
 /**
--- a/src/gateway/directory.ts
+++ b/src/gateway/directory.ts
@@ -1,5 +1,5 @@
 /**
- * Tells callers which VMs to use, and the platform whether this one is ready; serves the metrics page.
+ * Answers callers' lookups of VMs and the platform's readiness checks, and serves the metrics page.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 
 /**
  * How long callers may cache an answer. Some cache it three times as long; with 1 s, all have left a VM 3 s after it
- * began to drain, and half of the drain time remains for what they sent.
+ * began to drain, and half of the drain time remains for the requests that they sent.
  */
 const ANSWER_TTL_S = 1;
 /** Most addresses that callers take from an answer. */
--- a/src/gateway/drain.ts
+++ b/src/gateway/drain.ts
@@ -1,5 +1,5 @@
 /**
- * The planned stop of a VM: it leaves the directory at once, and serves until callers have gone or time is up.
+ * The planned stop of a VM: it leaves the directory at once, and serves until no caller is left or its time is over.
  *
  * @module
  */
--- a/src/gateway/follower.ts
+++ b/src/gateway/follower.ts
@@ -116,7 +116,7 @@
     return this.#replica.announcedRev;
   }
 
-  /** Returns what a VM lacks that has all news up to revision `sinceNewsRev`. */
+  /** Returns what is new to a VM that has all news up to revision `sinceNewsRev`. */
   newsSince(sinceNewsRev: number): News {
     const recoveredAgoMs = this.#options.clock.monoMs() -
       this.#recoveredMonoMs;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -31,8 +31,8 @@
 const CLOSE_TIMEOUT_MS = 200;
 
 /**
- * Share of the time within which revoked keys must be refused that a poll of the store without changes may wait; the
- * rest is for passing the change on.
+ * A poll of the store that finds no change waits for this share of `strictRevokeMs`, the time within which revoked keys
+ * must be refused. The rest of that time is for passing the change on.
  */
 const STRICT_REVOKE_WAIT_SHARE = 0.4;
 
--- a/src/gateway/line_log.ts
+++ b/src/gateway/line_log.ts
@@ -53,20 +53,20 @@
 const SECOND_MS = 1_000;
 
 /**
- * Lines of a kind share one budget: `outcome` are successful requests, `belief` other ordinary lines, `problem`
+ * Lines of a kind share one budget: `outcome` are successful requests, `state` other ordinary lines, `problem`
  * warnings and errors.
  */
-type LineKind = "outcome" | "belief" | "problem";
+type LineKind = "outcome" | "state" | "problem";
 
 const BUDGETS: Readonly<Record<LineKind, number>> = {
   outcome: MAX_OUTCOMES_PER_S,
-  belief: MAX_STATE_LINES_PER_S,
+  state: MAX_STATE_LINES_PER_S,
   problem: MAX_PROBLEMS_PER_S,
 };
 
 function kindOf(level: string, fields: Record<string, unknown>): LineKind {
   if (level !== "info") return "problem";
-  return fields.attempt === undefined ? "belief" : "outcome";
+  return fields.attempt === undefined ? "state" : "outcome";
 }
 
 /**
@@ -79,8 +79,8 @@
   readonly #prefix: string;
   readonly #nowMs: () => number;
   #secondStartMs = -Infinity;
-  #seen: Record<LineKind, number> = { outcome: 0, belief: 0, problem: 0 };
-  #written: Record<LineKind, number> = { outcome: 0, belief: 0, problem: 0 };
+  #seen: Record<LineKind, number> = { outcome: 0, state: 0, problem: 0 };
+  #written: Record<LineKind, number> = { outcome: 0, state: 0, problem: 0 };
   /** Share of successful requests that is kept, computed from the second before. */
   #keptShare = 1;
   #droppedLines = 0;
@@ -153,7 +153,7 @@
       1,
       TARGET_SHARE * MAX_OUTCOMES_PER_S / Math.max(1, this.#seen.outcome),
     );
-    this.#seen = { outcome: 0, belief: 0, problem: 0 };
-    this.#written = { outcome: 0, belief: 0, problem: 0 };
+    this.#seen = { outcome: 0, state: 0, problem: 0 };
+    this.#written = { outcome: 0, state: 0, problem: 0 };
   }
 }
--- a/src/gateway/local_placement.ts
+++ b/src/gateway/local_placement.ts
@@ -1,6 +1,6 @@
 /**
- * Decides where a request goes next by what this VM knows: for its own requests or, as the region's lead, for another
- * VM's.
+ * Decides from this VM's own state where a request goes next: for its own requests or, as the region's lead, for
+ * another VM's.
  *
  * @module
  */
@@ -61,13 +61,13 @@
   return homeRegions.length === 0 || homeRegions.includes(region);
 }
 
-/** Returns the next step of a request by what this VM knows. */
+/** Returns the next step of a request, decided from this VM's own state. */
 export function placeLocally(
   { region, clock, random, upstreams, relays }: PlacementContext,
   request: PlacementRequest,
 ): Step<LinkedCandidate> {
   const { service, prompt, tried, triedRegions, config } = request;
-  const isUnbound = request.homeRegions.length === 0;
+  const mayRunAnywhere = request.homeRegions.length === 0;
   return nextStep({
     nowMs: clock.monoMs(),
     arrivedMs: request.arrivedMs,
@@ -85,7 +85,7 @@
     regions: request.isRelayed ? [] : relays.reachableRegions(
       service.name,
       (name) => isHomeRegion(request, name) && !triedRegions.has(name),
-      (name) => isUnbound && config.isHomeOf(service.name, name),
+      (name) => mayRunAnywhere && config.isHomeOf(service.name, name),
     ),
     affinity: affinityOf(prompt.parts),
     isSuspect: request.isSuspect,
--- a/src/gateway/members.ts
+++ b/src/gateway/members.ts
@@ -1,5 +1,5 @@
 /**
- * Membership: sends and receives the messages by which VMs learn of each other; `region` decides who is sent what.
+ * Membership: sends and receives the messages by which VMs learn of each other; `region` decides what goes to whom.
  *
  * @module
  */
@@ -148,7 +148,7 @@
     return Promise.resolve();
   }
 
-  /** Removes the VM's store entry and stops. VMs that were told of the drain don't have to wait for a timeout. */
+  /** Removes this VM's store entry and stops. VMs that received its drain report don't have to wait for a timeout. */
   async close(_deadlineMs: number): Promise<void> {
     this.#closing = true;
     this.#timer?.close();
@@ -228,7 +228,7 @@
     return this.#view.vmCount;
   }
 
-  /** Time since a lead knew for certain that no configuration is newer than revision `rev`. */
+  /** Time since a lead could rule out that there is a configuration newer than revision `rev`. */
   configAgeMs(rev: number): number {
     return this.#view.known.configAgeMs(rev, this.#clock.monoMs());
   }
@@ -249,7 +249,7 @@
     this.#tick();
   }
 
-  /** Records that a prompt waiting at an upstream was prefilled; the first lead is told soon. */
+  /** Records that a prompt waiting at an upstream was read; the first lead receives a note of it soon. */
   notePromptRead(): void {
     this.#tickAt(this.#nextNote.noteRead(this.#canSkip, this.#clock.monoMs()));
   }
@@ -260,7 +260,7 @@
     this.#tickAt(this.#nextNote.noteSendEnd(this.#canSkip, nowMs, seen));
   }
 
-  /** Whether no other VM has to know this VM's load sooner than by its reports. */
+  /** Whether this VM's regular reports suffice, so that no load note has to be sent. */
   get #canSkip(): boolean {
     const { hearsAll, leads } = this.#leadState;
     return hearsAll || leads[0]?.id === this.#options.self.id;
@@ -379,7 +379,7 @@
 
   #onLoadNote(note: LoadNote | undefined): void {
     if (!note || this.#closing) return;
-    // A VM that doesn't report here takes this VM for a lead by mistake, and will learn who leads.
+    // The sender takes this VM for a lead by mistake, and will receive the actual leads.
     if (!this.#view.isLead) return;
     this.loads.update(note.id, note, this.#clock.monoMs());
     this.#options.onOutcomes(note.id, note.seen);
--- a/src/gateway/metrics.ts
+++ b/src/gateway/metrics.ts
@@ -30,8 +30,8 @@
   }
 
   /** Records a time. */
-  recordTime(what: TimedMetric, labels: string, ms: number): void {
-    const key = `${what}|${labels}`;
+  recordTime(name: TimedMetric, labels: string, ms: number): void {
+    const key = `${name}|${labels}`;
     let histogram = this.#histograms.get(key);
     if (!histogram) {
       histogram = build({
@@ -48,15 +48,15 @@
   renderPage(): string {
     const lines = [...this.#counters].map(([key, value]) => `${key} ${value}`);
     for (const [key, histogram] of this.#histograms) {
-      const [what, labels] = key.split("|");
+      const [name, labels] = key.split("|");
       for (const quantile of QUANTILES) {
         lines.push(
-          `ibisgap_${what}_ms{${labels},quantile="${quantile}"} ${
+          `ibisgap_${name}_ms{${labels},quantile="${quantile}"} ${
             histogram.getValueAtPercentile(quantile * 100)
           }`,
         );
       }
-      lines.push(`ibisgap_${what}_ms_count{${labels}} ${histogram.totalCount}`);
+      lines.push(`ibisgap_${name}_ms_count{${labels}} ${histogram.totalCount}`);
     }
     return lines.sort().join("\n") + "\n";
   }
--- a/src/gateway/other_loads.ts
+++ b/src/gateway/other_loads.ts
@@ -28,7 +28,7 @@
 const REFRESH_MS = 25;
 const NO_LOAD: UpstreamLoad = [0, 0];
 
-/** The load of the other VMs. A lead adds up what VMs report to it; other VMs have what a lead told them last. */
+/** The load of the other VMs. A lead adds up the reports that it receives; other VMs use the latest roster. */
 export class OtherLoads {
   readonly #region: RegionLoads;
   readonly #selfId: string;
--- a/src/gateway/pending_load_note.ts
+++ b/src/gateway/pending_load_note.ts
@@ -7,8 +7,8 @@
 import type { SeenOutcome } from "../region/mod.ts";
 
 /**
- * How long a change of load waits, so that several go into one note. That a prompt has been read must be known soon, as
- * prompts wait some hundred ms at an engine; that an answer is over changes less.
+ * How long a change of load waits, so that several go into one note. The end of a prompt's reading is reported
+ * sooner, as prompts wait some hundred ms at an engine; the end of an answer changes less.
  */
 const READ_DELAY_MS = 40;
 const END_DELAY_MS = 120;
@@ -25,7 +25,7 @@
     return this.#dueMs;
   }
 
-  /** Notes that a prompt has been read. `needsNoNote` if no other VM has to be told. */
+  /** Notes that a prompt has been read. `needsNoNote` if the VM's regular reports suffice. */
   noteRead(needsNoNote: boolean, nowMs: number): number {
     return this.#schedule(needsNoNote, nowMs, READ_DELAY_MS);
   }
--- a/src/gateway/pipe.ts
+++ b/src/gateway/pipe.ts
@@ -19,9 +19,9 @@
 
 /**
  * Calls `onReset` if a connection is reset and not closed in order. Node reports a reset that follows the last bytes
- * closely as an ordinary end, so that an answer without a length would pass for complete. The kernel no longer knows
- * the peer of a reset connection, and still knows that of a closed one; `remoteAddress` asks the kernel the first time
- * it is read.
+ * closely as an ordinary end, so that an answer without a length would pass for complete. The kernel no longer has
+ * the peer's address of a reset connection, but still has that of a closed one; the first read of `remoteAddress` asks
+ * the kernel.
  */
 function watchReset(socket: Socket, onReset: () => void): void {
   socket.once("error", onReset);
--- a/src/gateway/placement_wire.ts
+++ b/src/gateway/placement_wire.ts
@@ -11,7 +11,7 @@
 import type { PlacementRequest } from "./local_placement.ts";
 import type { Grant } from "./upstream_link.ts";
 
-/** A query of a VM; see {@link PlacementRequest} for the fields that it shares with it. */
+/** A query of a VM; see {@link PlacementRequest} for the fields that both have. */
 export interface PlacementQuery {
   /** The query's number at the asking VM. */
   readonly question: number;
@@ -36,7 +36,7 @@
   readonly quota?: QuotaUse;
 }
 
-/** What a lead decided. `unknown` if it does not know the service, as its configuration may be older. */
+/** What a lead decided. `unknown` if its configuration, which may be older, lacks the service. */
 export type PlacementVerdict =
   | { readonly type: "unknown" }
   | {
@@ -63,7 +63,7 @@
   readonly verdict: PlacementVerdict;
 }
 
-/** What a query says besides the request. */
+/** What a query contains besides the request. */
 export interface QueryContext {
   readonly question: number;
   readonly from: string;
--- a/src/gateway/placer.ts
+++ b/src/gateway/placer.ts
@@ -2,10 +2,10 @@
  * Asks the region's lead where to send a request, and answers such queries when this VM is the lead.
  *
  * A VM that chooses alone uses load counts that are some hundred ms old. The other VMs do the same, so all of them send
- * to the same upstream that looked free. The lead counts each grant in the step that makes it, knows which engine has
+ * to the same upstream that looked free. The lead counts each grant in the step that makes it, tracks which engine has
  * read which prompt, applies the cold-start rate limits for the whole region, and avoids a failing upstream after one
- * failure. A query that is not answered delays its request by {@link ANSWER_TIMEOUT_MS}; the VM then places it by what
- * it knows itself.
+ * failure. A query that is not answered delays its request by {@link ANSWER_TIMEOUT_MS}; the VM then places it from its
+ * own state.
  *
  * @module
  */
@@ -161,7 +161,7 @@
     };
   }
 
-  /** All queries up to this number are part of this VM's load, or came to nothing. */
+  /** All queries up to this number are part of this VM's load, or had no effect. */
   get settledQueryId(): number {
     let settledId = this.#lastQueryId;
     for (const queryId of this.#unsettled) {
@@ -170,7 +170,7 @@
     return settledId;
   }
 
-  /** Returns the next step of a request by what this VM knows itself. */
+  /** Returns the next step of a request, decided from this VM's own state. */
   placeLocally(request: PlacementRequest): Step<LinkedCandidate> {
     return placeLocally(this.#context, request);
   }
@@ -197,7 +197,7 @@
       const counted: CountedStep = isCounted
         ? { step, countedBy: "lead" }
         : this.#charge(step, request);
-      return { ...this.#record("lead", counted.step), ...counted, settle };
+      return { ...this.#countPlaced("lead", counted.step), ...counted, settle };
     }
     settle();
     return this.#placeWithoutLead(verdict ? "behind" : "mute", request);
@@ -206,7 +206,7 @@
   #placeWithoutLead(by: string, request: PlacementRequest): PlacedStep {
     const counted = this.#checkQuota(request) ??
       this.#charge(this.placeLocally(request), request);
-    return { ...this.#record(by, counted.step), ...counted };
+    return { ...this.#countPlaced(by, counted.step), ...counted };
   }
 
   /** Charges a request that is sent to its workspace's quota; refuses it if the quota does not suffice. */
@@ -225,14 +225,14 @@
     if (waitMs <= 0) return undefined;
     const countedBy = this.#options.quotas.countedBy;
     this.#options.metrics.count("over_quota", `by="${countedBy}"`);
-    const spread = 1 + RETRY_JITTER_SHARE * this.#random.next();
+    const jitterFactor = 1 + RETRY_JITTER_SHARE * this.#random.next();
     return {
       countedBy,
       step: {
         type: "refuse",
         reason: "overQuota",
         comeBackMs: Math.ceil(
-          Math.min(Math.max(waitMs, MIN_RETRY_MS), MAX_RETRY_MS) * spread,
+          Math.min(Math.max(waitMs, MIN_RETRY_MS), MAX_RETRY_MS) * jitterFactor,
         ),
         here: 0,
         elsewhere: [],
@@ -240,7 +240,7 @@
     };
   }
 
-  #record(by: string, step: Step<LinkedCandidate>): PlacedStep {
+  #countPlaced(by: string, step: Step<LinkedCandidate>): PlacedStep {
     this.#options.metrics.count("placed", `by="${by}"`);
     return { step, settle: () => {} };
   }
@@ -250,7 +250,7 @@
     { quota }: PlacementRequest,
   ): { readonly id: string; readonly ip: string } | undefined {
     const { members, self } = this.#options;
-    // Where all VMs hear each other, each places its own requests, but a quota is counted in one place.
+    // Where all VMs receive each other's reports, each places its own requests, but a quota is counted in one place.
     if (members.hearsAll && !quota) return undefined;
     const nowMs = this.#clock.monoMs();
     const lead = members.leads.find(({ id }) =>
@@ -300,7 +300,7 @@
     this.#leads.set(leadId, health);
   }
 
-  /** Converts a verdict; `undefined` if the lead does not know the service, or this VM does not know the upstream. */
+  /** Converts a verdict; `undefined` if the lead lacks the service, or this VM lacks the upstream. */
   #toStep(
     verdict: PlacementVerdict,
     { service }: PlacementRequest,
@@ -324,7 +324,7 @@
     }
   }
 
-  /** Returns the next step without the upstreams that the asking VM has lost, unless there is nothing else. */
+  /** Returns the next step without the upstreams that the asking VM has lost, unless there are no others. */
   #placeAvoiding(
     lost: readonly string[],
     request: PlacementRequest,
--- a/src/gateway/quotas.ts
+++ b/src/gateway/quotas.ts
@@ -175,7 +175,7 @@
     return "region";
   }
 
-  /** Returns the use of a counted request that has not run and never will. */
+  /** Refunds the use of a counted request that has not run and never will. */
   refund(use: QuotaUse, by: CountedBy): void {
     if (by === "own") this.#localQuota.refund(use);
     else if (by === "region") this.#regionQuota.refund(use);
--- a/src/gateway/relay_send.ts
+++ b/src/gateway/relay_send.ts
@@ -20,7 +20,7 @@
 /** Time for a connection to another region, which is 80 ms away each way. */
 const RELAY_CONNECT_TIMEOUT_MS = 500;
 
-/** What the VM of the other region is told besides the request. */
+/** What is sent to the VM of the other region besides the request. */
 export interface RelaySendOptions {
   readonly configVersion: number;
   readonly mostUpstreams: number;
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -84,7 +84,10 @@
     return this.#rev;
   }
 
-  /** Revision of the last change of content that is known for certain; a VM that announces a higher one knows more. */
+  /**
+   * Revision of the last change of content that is known for certain; a VM that announces a higher one has newer
+   * changes.
+   */
   get newsRev(): number {
     return Math.min(this.#newsRev, this.#rev);
   }
@@ -96,7 +99,7 @@
       : Math.min(1, this.newsRev);
   }
 
-  /** Returns what a VM lacks that has all news up to revision `sinceNewsRev`. */
+  /** Returns what is new to a VM that has all news up to revision `sinceNewsRev`. */
   newsSince(sinceNewsRev: number): News {
     const held = [...this.#entries.values()];
     const isForgotten = sinceNewsRev < this.#forgottenRev;
--- a/src/gateway/reply.ts
+++ b/src/gateway/reply.ts
@@ -61,11 +61,11 @@
     headers: readonly string[],
     bodyBytes: number | undefined,
   ): void {
-    const all = bodyBytes === undefined
+    const allHeaders = bodyBytes === undefined
       ? [...headers]
       : [...headers, "Content-Length", String(bodyBytes)];
-    if (this.closesConnection) all.push("Connection", "close");
-    this.response.writeHead(status, all);
+    if (this.closesConnection) allHeaders.push("Connection", "close");
+    this.response.writeHead(status, allHeaders);
   }
 
   /** Sends bytes; `false` means that the other side reads too slowly: wait for {@link Reply.onDrain}. */
@@ -98,7 +98,7 @@
   protected abstract readonly closesConnection: boolean;
 }
 
-/** What the VM that relayed the request is told besides the failure. */
+/** What is sent to the VM that relayed the request besides the failure. */
 export interface FailureDetails {
   /** How many upstreams received the request. */
   readonly arrivals: number;
@@ -204,7 +204,7 @@
   if (typeof code !== "string") return undefined;
   const codeName = code in codes ? code as CodeName : "internal";
   const ran = headers[RELAY_HEADERS.ran];
-  const ended = headers[RELAY_HEADERS.endedUpstream];
+  const crashed = headers[RELAY_HEADERS.endedUpstream];
   return {
     failure: {
       code: codeName,
@@ -213,6 +213,6 @@
     },
     comeBackMs: Number(headers[RELAY_HEADERS.comeBackMs]) || 0,
     arrivals: Number(headers[RELAY_HEADERS.arrivals]) || 0,
-    crashedUpstream: typeof ended === "string" ? ended : undefined,
+    crashedUpstream: typeof crashed === "string" ? crashed : undefined,
   };
 }
--- a/src/gateway/restart_watch.ts
+++ b/src/gateway/restart_watch.ts
@@ -1,6 +1,6 @@
 /**
  * Detects restarts of upstreams behind lost connections: an upstream may have crashed and be back before a VM tries a
- * connection, and only its entry tells later that it has started again.
+ * connection, and only its store entry shows later that it has started again.
  *
  * @module
  */
@@ -42,7 +42,7 @@
     this.#onRestart = onRestart;
   }
 
-  /** Watches a loss until its upstream has started again, or its time is over. */
+  /** Watches a loss until its upstream has started again, or {@link WATCH_MS} have passed. */
   watch(digest: string, loss: Loss, lostMs: number): void {
     if (this.#watched.length >= MAX_WATCHED_LOSSES) return;
     this.#watched.push({ digest, loss, lostMs });
--- a/src/gateway/room.ts
+++ b/src/gateway/room.ts
@@ -1,5 +1,5 @@
 /**
- * The free places that a region offers to others.
+ * The free capacity that a region offers to other regions.
  *
  * @module
  */
@@ -15,10 +15,10 @@
 } from "../routing/mod.ts";
 import type { Room } from "../region/mod.ts";
 
-/** Events of a long answer, which must still end in time at a place that is offered; longer answers are rare. */
+/** Events of a long answer, which must still end in time where capacity is offered; longer answers are rare. */
 const LONG_ANSWER_EVENTS = 150;
 
-/** Computes the places that this region offers to others, by service. */
+/** Computes the capacity that this region offers to other regions, by service. */
 export function computeRoom(
   config: GatewayConfig | undefined,
   candidates: (service: ServiceConfig) => readonly StepCandidate[],
@@ -29,7 +29,7 @@
     const { objectiveMs, eventGapMs, timeoutMs } = config!.boundsOf(
       service.name,
     );
-    const places = computeOfferedCapacity(candidates(service), {
+    const capacity = computeOfferedCapacity(candidates(service), {
       pace: pace(service),
       objectiveMs,
       eventGapMs,
@@ -37,7 +37,7 @@
         ? computeEndGapMs(timeoutMs, LONG_ANSWER_EVENTS)
         : Infinity,
     });
-    if (places.queue > 0) room[service.name] = places;
+    if (capacity.queue > 0) room[service.name] = capacity;
   }
   return room;
 }
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -34,7 +34,7 @@
     directory: address,
     /** HTTP between VMs: relayed requests and JSON-RPC calls. */
     peers: address,
-    /** UDP between VMs: membership, and where requests are placed. */
+    /** UDP between VMs: membership, placement, quotas and crashes. */
     beats: port,
     metrics: port,
   }),
--- a/src/gateway/start_queue.ts
+++ b/src/gateway/start_queue.ts
@@ -10,10 +10,10 @@
 const NEWEST_TURN_WEIGHT = 0.2;
 
 /**
- * Starts one request in each turn of the event loop. A process that starts all requests that it has read before it
- * polls its sockets again does not poll them for seconds when there are many: it sends requests that their callers have
- * given up meanwhile, and answers none in time. One start per turn keeps turns short; requests in progress go first,
- * and those that can't start soon are refused at once.
+ * Starts one request in each turn of the event loop. If a process starts all the requests that it has read before it
+ * polls its sockets again, and there are many, it does not poll for seconds. It then sends requests that their callers
+ * have given up meanwhile, and answers none in time. One start per turn keeps turns short; requests in progress go
+ * first, and those that can't start soon are refused at once.
  */
 export class StartQueue {
   readonly #clock: Clock;
--- a/src/gateway/store_view.ts
+++ b/src/gateway/store_view.ts
@@ -28,7 +28,7 @@
 
 /** Messages of the service; its name is `beliefs`. */
 export type StoreViewMessages = {
-  /** Returns what a VM lacks that has all news of the topic up to revision `since`. */
+  /** Returns what is new to a VM that has all news of the topic up to revision `since`. */
   news: {
     in: { readonly matter: NewsTopic; readonly since: number };
     out: News;
@@ -63,7 +63,7 @@
 /** The same for upstreams. Each writes about every second, so an answer comes at once. */
 const UPSTREAM_POLL_WAIT_MS = 1_000;
 /**
- * Other VMs take a reader for cut off from the store if its last answer is older than this. Usually 1.2 s of pause and
+ * Other VMs regard a reader as cut off from the store if its last answer is older than this. Usually 1.2 s of pause and
  * some tens of ms pass between answers; the reader's own call times out only after 3 s.
  */
 const MAX_ANSWER_AGE_MS = 2_500;
@@ -126,7 +126,7 @@
     };
   }
 
-  /** Time since the store itself told this VM the newest configuration. */
+  /** Time since the store itself last answered this VM's calls for the configuration. */
   get configAgeMs(): number {
     return this.#clock.monoMs() - this.#followers.operators.answeredMonoMs;
   }
@@ -304,7 +304,7 @@
     const id = decodeUpstreamId(key);
     const sinceRecoveryMs = this.#clock.monoMs() -
       this.#followers.upstreams.recoveredMonoMs;
-    // A draining upstream whose entry is gone has left; only a ready one may have lapsed.
+    // A draining upstream whose entry is gone has stopped; only a ready one may have lapsed.
     if (
       sinceRecoveryMs < LAPSED_GRACE_MS && this.fleet.get(id)?.state === "ready"
     ) {
--- a/src/gateway/stream_move.ts
+++ b/src/gateway/stream_move.ts
@@ -1,5 +1,5 @@
 /**
- * Moves a running stream from one engine to another, together with its memory; see `moveTarget` for when.
+ * Moves a running stream from one engine to another, together with its memory; see {@link shouldMove} for when.
  *
  * @module
  */
--- a/src/gateway/suspects.ts
+++ b/src/gateway/suspects.ts
@@ -112,13 +112,13 @@
     return this.#tracker.dump();
   }
 
-  /** Holds the known suspects and decides who may run them. */
+  /** Tracks the known suspects, and decides whether they may run. */
   get tracker(): SuspectTracker {
     return this.#tracker;
   }
 
   /**
-   * Checks whether an upstream crashed under a request that had just begun there, and tells the other VMs if so.
+   * Checks whether an upstream crashed under a request that had just begun there, and notifies the other VMs if so.
    * Resolves to the key of that upstream, or to `undefined`.
    */
   async noteLoss(digest: string, loss: Loss): Promise<string | undefined> {
--- a/src/gateway/upstream_link.ts
+++ b/src/gateway/upstream_link.ts
@@ -22,8 +22,8 @@
 const SILENCE_TIMEOUT_MS = 600;
 
 /**
- * Two VMs that lose an upstream within this time have seen one failure of it; at its usual request rate a tenth of this
- * time is enough for both.
+ * Two VMs that lose an upstream within this time have seen the same failure of it; at its usual request rate a tenth of
+ * this time is enough for both.
  */
 const SAME_LOSS_WINDOW_MS = 1_000;
 
@@ -119,11 +119,11 @@
   readonly pace: EnginePace;
   /** Prompt tokens that it would have to read. */
   readonly unreadTokens: number;
-  /** Set if a lead chose it: the lead has checked its cold-start rate, and knows which engine has read the prompt. */
+  /** Set if a lead chose it: the lead has checked its cold-start rate, and tracks which engine has read the prompt. */
   readonly grant?: Grant;
 }
 
-/** What a lead says of an upstream that it chose. */
+/** What a lead reports about an upstream that it chose. */
 export interface Grant {
   readonly running: number;
   readonly waitingTokens: number;
--- a/src/gateway/upstream_send.ts
+++ b/src/gateway/upstream_send.ts
@@ -50,7 +50,7 @@
     const nowMs = context.clock.monoMs();
     this.#sentMonoMs = nowMs;
     link.noteSend(upstream, nowMs, this.#waitingTokens);
-    if (outbound.mayRepeat) link.darkListeners.add(this.#cancelWhenDark);
+    if (outbound.mayRepeat) link.darkListeners.add(this.#cancelWhenUnreachable);
     if (outbound.isSuspect) link.suspectCount++;
     // A lead has counted what it granted already; other sends have to be reported to it soon.
     if (!candidate.grant) context.members.notePromptRead();
@@ -105,8 +105,8 @@
     }
     const shared = this.outbound.parts.slice(0, -1);
     this.context.upstreams.holders.noteRead(shared, upstream.key, nowMs);
-    // The first event of a prompt behind at least as many other tokens depends on reading those, and they are known
-    // late.
+    // If at least as many tokens of other prompts waited there, the first event depends on reading those too, and
+    // this VM's count of them is late.
     if (this.#waitingTokens > waitingTokens) {
       pace.noteFirstEvent(
         this.#waitingTokens + waitingTokens,
@@ -148,10 +148,10 @@
   }
 
   /**
-   * Cancels a send that may be repeated when its upstream can't be reached any more, if there is another place and a
-   * retry left.
+   * Cancels a send that may be repeated when its upstream has become unreachable, if there is another place and a retry
+   * left.
    */
-  readonly #cancelWhenDark = (): void => {
+  readonly #cancelWhenUnreachable = (): void => {
     if (this.outbound.hasAlternative()) this.cancel("upstream unreachable");
   };
 
@@ -159,7 +159,7 @@
     if (!this.#isOpen) return;
     this.#isOpen = false;
     this.#link.streamChecks.delete(this.outbound.onStreamCheck);
-    this.#link.darkListeners.delete(this.#cancelWhenDark);
+    this.#link.darkListeners.delete(this.#cancelWhenUnreachable);
     this.#notePromptRead();
     this.#link.running--;
     if (this.outbound.isSuspect) this.#link.suspectCount--;
--- a/src/gateway/upstreams.ts
+++ b/src/gateway/upstreams.ts
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Records which engines have cached which prompt parts, as told by another VM; anything else than pairs of texts is
-   * ignored.
+   * Records which engines have cached which prompt parts, as reported by another VM; anything that is not an array
+   * is ignored.
    */
   noteHeldParts(
     held: readonly HeldPart[] | undefined,
@@ -270,8 +270,8 @@
   }
 
   /**
-   * Checks again, in the step that sends, whether the upstream may be used, and counts a send against the rate of a
-   * cold one.
+   * Checks again, when a request is sent or granted, whether the upstream may be used, and counts a send against
+   * the rate of a cold one.
    */
   tryAdmit(
     { upstream, link, grant }: LinkedCandidate,
@@ -348,8 +348,8 @@
 
   /**
    * Probes a silent upstream, and cancels sends to it if it can't be reached. An engine that reads a long prompt is
-   * silent too, so silence alone cancels no request. One that accepts no connection either has lost its power or its
-   * link, and requests there would get no answer before their deadline.
+   * silent too, so silence alone cancels no request. An upstream that also accepts no connection has lost its power
+   * or its link, and requests there would get no answer before their deadline.
    */
   async #probeSilent(
     log: Log,
