--- a/src/agreement/claim_batch.ts
+++ b/src/agreement/claim_batch.ts
@@ -131,7 +131,7 @@
   return bytes;
 }
 
-/** Splits events into runs of at most `mostBytes`. */
+/** Splits events into runs of at most `maxBytes`. */
 export function splitEvents(
   events: readonly ClaimEvent[],
   maxBytes: number,
--- a/src/agreement/claim_head.ts
+++ b/src/agreement/claim_head.ts
@@ -32,7 +32,7 @@
 const shardHead = z.object({
   format: z.literal(1),
   /**
-   * Number of shards in the region when this one was created. A VM configured with another number must not serve it.
+   * Number of shards in the region when this shard was created. A VM configured with another number must not serve it.
    */
   shardCount: z.number().int().positive(),
   /** Incremented with each new owner. */
@@ -76,7 +76,7 @@
   }
 }
 
-/** What a VM knows when it decides whether to take over a shard. */
+/** The state on which a VM's decision to take over a shard is based. */
 export interface TakeoverView {
   readonly me: VmRef;
   readonly live: readonly VmRef[];
--- a/src/agreement/claim_machine.ts
+++ b/src/agreement/claim_machine.ts
@@ -68,7 +68,7 @@
   backoff: { firstMs: 50, maxMs: 2000 },
 };
 
-/** What the driver of the state machine knows of the region. */
+/** The region as the driver of the state machine sees it. */
 export interface ShardView {
   readonly region: string;
   /** The other VMs of the region that are alive. */
--- a/src/agreement/claim_owner.ts
+++ b/src/agreement/claim_owner.ts
@@ -237,9 +237,9 @@
       request,
       (event) => this.#isClaimerGone(now, event, live),
     );
-    // This includes a released key: a grant that is not on record may have followed the release.
-    const doubted = now.nowMs < this.#committer.storedHead.head.doubtUntilMs;
-    if (status.type === "free" && doubted) return { type: "unknown" };
+    // This includes a released key: a grant that was lost may have followed the release.
+    const isInDoubt = now.nowMs < this.#committer.storedHead.head.doubtUntilMs;
+    if (status.type === "free" && isInDoubt) return { type: "unknown" };
     return status;
   }
 
@@ -322,7 +322,7 @@
     if (!head.owner) this.#endOwnership();
   }
 
-  /** Sends waiting callers to the next owner with the same claim id: a claim that is in the store already is theirs. */
+  /** Refers waiting callers to the next owner, which recognizes a claim already in the store by its claim id. */
   #endOwnership(): void {
     this.#hasEnded = true;
     const reply: ShardReply = { type: "notOwner" };
--- a/src/agreement/claim_record.ts
+++ b/src/agreement/claim_record.ts
@@ -14,7 +14,7 @@
   readonly incarnation: number;
 }
 
-/** The VM that a claim was granted to. The owner sees only VMs of the shard's own region fail. */
+/** The VM that a claim was granted to. The owner detects failures only of VMs in the shard's own region. */
 export interface Claimer extends VmRef {
   readonly region: string;
 }
@@ -137,9 +137,9 @@
   }
 
   /**
-   * Returns the status of a key. If the claimer is gone, the outcome of its call is unknown: it may have ended before
-   * or after the dispatch. A released claim id stays spent, because a late duplicate of its request would claim the key
-   * with no caller waiting.
+   * Returns the status of a key. If the claimer is gone, the outcome of its call is unknown: the claimer may have ended
+   * before or after the dispatch. A released claim id stays spent, because a late duplicate of its request would claim
+   * the key with no caller waiting.
    */
   keyStatus(
     request: Pick<ClaimRequest, "key" | "body" | "claimId">,
--- a/src/agreement/claim_shard.ts
+++ b/src/agreement/claim_shard.ts
@@ -81,7 +81,7 @@
   get isOwner(): boolean {
     return this.#owner !== undefined && !this.#owner.isStopping;
   }
-  /** The owner as far as this VM knows. */
+  /** The last known owner. */
   get owner(): VmRef | undefined {
     return this.#owner
       ? this.#options.me
@@ -133,7 +133,7 @@
     return this.#advance(now);
   }
 
-  /** Rereads the head soon, because the VM that this one took for the owner said that it is not. */
+  /** Rereads the head soon, because the VM last known as the owner answered that it is not. */
   recheck(): void {
     this.#takeover.recheck();
   }
--- a/src/agreement/claim_step.ts
+++ b/src/agreement/claim_step.ts
@@ -24,16 +24,16 @@
   nowMs: number,
   n: number,
 ): ClaimEvent | undefined {
-  const step = { state, answer, atMs: nowMs };
+  const newState = { state, answer, atMs: nowMs };
   if (known?.claimId === claimId && known.state === "claimed") {
-    return { ...known, ...step, n };
+    return { ...known, ...newState, n };
   }
   // This release arrived before its claim. The claim, when it arrives, must not hold the key with no caller waiting.
   if (state !== "released" || (known && known.state !== "released")) {
     return undefined;
   }
   const claimer = { id: "", incarnation: 0, region: "" };
-  return { ...step, n, key, body: "", claimId, claimer };
+  return { ...newState, n, key, body: "", claimId, claimer };
 }
 
 /** Converts a key status that does not let the call run into the reply to the caller. */
--- a/src/agreement/claim_takeover.ts
+++ b/src/agreement/claim_takeover.ts
@@ -99,7 +99,7 @@
     this.#updateHead(stored, now);
   }
 
-  /** Rereads the head soon, because the VM that it names said that it is not the owner. */
+  /** Rereads the head soon, because the VM that it names answered that it is not the owner. */
   recheck(): void {
     this.#isHeadKnown = false;
   }
@@ -328,7 +328,7 @@
   #sendTakeover(now: Now): void {
     if (!this.#takeoverHead) return;
     const rev = this.#storedHead?.rev ?? 0;
-    // In the same step as the check of the promise: from now on this VM gives no promise for this head.
+    // Called in the same step as the check of the promise, so that this VM gives no promise for this head from now on.
     this.#witness.startTakeover(rev);
     this.#busySinceMonoMs = now.monoMs;
     this.#outbox.push({ type: "write", writes: this.#takeoverWrites });
--- a/src/agreement/claim_witness.ts
+++ b/src/agreement/claim_witness.ts
@@ -22,7 +22,7 @@
   readonly accepted: boolean;
 }
 
-/** What a witness holds for one shard. */
+/** A witness's state for one shard: its promise and the grants that it holds. */
 export class ClaimWitness {
   #epoch = 0;
   #promisedUntilMonoMs = -Infinity;
--- a/src/agreement/fence.ts
+++ b/src/agreement/fence.ts
@@ -71,7 +71,7 @@
   | { readonly type: "wait"; readonly untilMonoMs: number };
 
 /**
- * Returns the next step of a VM that wants to send an order. An engine that checks needs no lease: the new number
+ * Returns the next step of a VM that has an order to send. An engine that checks needs no lease: the new number
  * itself stops the old holder. For other engines the old holder's lease has to expire first, even if the holder is
  * known to have ended, because its last order may still be on the network.
  */
--- a/src/agreement/grant_index.ts
+++ b/src/agreement/grant_index.ts
@@ -28,8 +28,8 @@
   readonly #vmOf = new Map<string, string>();
 
   /**
-   * Records that `vmId` holds this attempt. `settledAtMs` is when that VM knows of it at the latest: now if it reported
-   * the attempt itself, else {@link GRANT_SETTLE_MS} from now.
+   * Records that `vmId` holds this attempt. `settledAtMs` is the latest time at which the grant reaches that VM: now if
+   * the VM reported the attempt itself, else {@link GRANT_SETTLE_MS} from now.
    */
   add(vmId: string, attemptId: string, settledAtMs: number): void {
     this.remove(attemptId);
@@ -64,8 +64,8 @@
 
   /** Whether `vmId` holds exactly the attempts in the index, by its digest. */
   matches(vmId: string, digest: AttemptsDigest): boolean {
-    const own = digestAttempts(this.#byVm.get(vmId)?.keys() ?? []);
-    return own.count === digest.count && own.xor === digest.xor;
+    const granted = digestAttempts(this.#byVm.get(vmId)?.keys() ?? []);
+    return granted.count === digest.count && granted.xor === digest.xor;
   }
 
   /** Replaces the attempts of `vmId` by those that it reports, except for grants that may still be in transit to it. */
@@ -75,11 +75,11 @@
     nowMs: number,
   ): Reconciliation {
     const held = new Set(heldIds);
-    const own = this.#byVm.get(vmId) ?? new Map<string, number>();
-    const renew = heldIds.filter((id) => own.has(id));
-    const adopt = heldIds.filter((id) => !own.has(id));
+    const granted = this.#byVm.get(vmId) ?? new Map<string, number>();
+    const renew = heldIds.filter((id) => granted.has(id));
+    const adopt = heldIds.filter((id) => !granted.has(id));
     const free: string[] = [];
-    for (const [id, settledAtMs] of own) {
+    for (const [id, settledAtMs] of granted) {
       if (!held.has(id) && nowMs >= settledAtMs) free.push(id);
     }
     for (const id of free) this.remove(id);
--- a/src/agreement/lead.ts
+++ b/src/agreement/lead.ts
@@ -1,6 +1,6 @@
 /**
  * Which VM leads which pool. Every VM derives this for itself from the table and the live VMs, without an agreement
- * between VMs. Two VMs that disagree for a short time both lead; that costs load, never safety (see
+ * between VMs. Two VMs that disagree for a short time both lead, which adds load but is safe (see
  * `docs/design/leads.md`).
  *
  * @module
--- a/src/agreement/member_list.ts
+++ b/src/agreement/member_list.ts
@@ -35,13 +35,13 @@
 /** Maximum number of VMs in the list; it bounds the memory that invalid records can take. */
 const MAX_MEMBERS = 1024;
 
-/** How long a VM's table version is passed on. By then all VMs know it, so an unchanged table costs nothing. */
+/** How long a VM's table version is passed on. By then all VMs have it, so an unchanged table costs nothing. */
 const VERSION_GOSSIP_MS = 10_000;
 
 /** One known VM. */
 export interface MemberEntry {
   record: MemberRecord;
-  /** A suspect VM is dead from then on; a dead one is forgotten then. */
+  /** When a suspect VM is declared dead, or a dead one is removed from the list. */
   deadlineMs: number;
   tableVersion: number;
   /** When this VM first learned of that version. */
--- a/src/agreement/member_record.ts
+++ b/src/agreement/member_record.ts
@@ -1,13 +1,13 @@
 /**
- * The records by which VMs tell each other about a VM, and which of two such records is newer.
+ * The records that VMs exchange about a VM, and which of two such records is newer.
  *
  * @module
  */
 
-/** Whether a VM answers. A `suspect` VM did not, but still has time to; a `dead` one has used up that time. */
+/** Whether a VM answers. A `suspect` VM did not, but can still answer in time; a `dead` one did not answer in time. */
 export type MemberStatus = "live" | "suspect" | "dead";
 
-/** What one VM says about another or about itself. */
+/** One VM's statement about another or about itself. */
 export interface MemberRecord {
   readonly id: string;
   /** Increases each time a VM is started under this id. */
--- a/src/agreement/members.ts
+++ b/src/agreement/members.ts
@@ -33,7 +33,7 @@
 /** The table version in force at a VM. */
 export type TableVersion = readonly [vmId: string, version: number];
 
-/** What the task must do after a step. */
+/** An action for the driver of the state machine to perform. */
 export type MembershipOutput =
   | { readonly type: "ping"; readonly target: MemberRecord }
   | {
@@ -46,7 +46,7 @@
   /** Send the news to these VMs at once, without waiting for the next pings. */
   | { readonly type: "tell"; readonly targets: readonly MemberRecord[] };
 
-/** Number of VMs that are told at once when news is urgent. */
+/** Number of VMs to which urgent news is sent at once. */
 const URGENT_FANOUT = 8;
 const PING_HELPERS = 2;
 const VERSIONS_PER_MESSAGE = 3;
--- a/src/agreement/members_sim_test.ts
+++ b/src/agreement/members_sim_test.ts
@@ -194,7 +194,7 @@
     this.#check(machine);
   }
 
-  /** What one VM knows of another never goes back: neither to an older process nor from draining to not draining. */
+  /** One VM's record of another never goes back: neither to an older process nor from draining to not draining. */
   #check(machine: Membership): void {
     for (const record of machine.all()) {
       const key = `${machine.self.id}/${machine.self.incarnation}/${record.id}`;
@@ -275,10 +275,12 @@
 ): void {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 14 }), (steps) => {
-      const fleet = new SimRegion(make);
-      fleet.run(steps);
-      fleet.settle();
-      const found = fleet.violations.filter((text) => rule?.test(text) ?? true);
+      const region = new SimRegion(make);
+      region.run(steps);
+      region.settle();
+      const found = region.violations.filter((text) =>
+        rule?.test(text) ?? true
+      );
       if (found.length > 0) throw new Error(found.slice(0, 3).join("; "));
     }),
     {
@@ -304,7 +306,7 @@
 
 describe("membership > schedules", () => {
   // Schedules mix link cuts (also one-way), crashes, restarts, pauses, planned stops and old messages that arrive
-  // again. Meanwhile no VM's knowledge goes back; afterwards all running VMs agree on which VMs run.
+  // again. Meanwhile no VM's records go back; afterwards all running VMs agree on which VMs run.
   it("never goes back, and all VMs agree once the faults end", (t) => {
     t.notThrows(() =>
       search((self) => new Membership(self), {
--- a/src/agreement/table.ts
+++ b/src/agreement/table.ts
@@ -155,7 +155,7 @@
   }
 }
 
-/** Lookups of requests by something other than a row's key. */
+/** Maps for lookups by something other than a row's key. */
 interface TableIndex {
   /** Upstreams by `SERVICE/REGION`, sorted by id. */
   readonly upstreams: ReadonlyMap<string, readonly UpstreamRow[]>;
@@ -207,16 +207,16 @@
 function groupUpstreams(
   rows: readonly TableRow[],
 ): ReadonlyMap<string, readonly UpstreamRow[]> {
-  const pools = new Map<string, UpstreamRow[]>();
+  const groups = new Map<string, UpstreamRow[]>();
   for (const row of rows) {
     if (row.kind !== "upstream") continue;
     const key = `${row.service}/${row.region}`;
-    const pool = pools.get(key);
-    if (pool) pool.push(row);
-    else pools.set(key, [row]);
+    const group = groups.get(key);
+    if (group) group.push(row);
+    else groups.set(key, [row]);
   }
-  for (const pool of pools.values()) {
-    pool.sort((a, b) => (a.id < b.id ? -1 : 1));
+  for (const group of groups.values()) {
+    group.sort((a, b) => (a.id < b.id ? -1 : 1));
   }
-  return pools;
+  return groups;
 }
--- a/src/agreement/table_editor.ts
+++ b/src/agreement/table_editor.ts
@@ -1,6 +1,6 @@
 /**
- * One operator's edit on its way into the log, as a state machine: what to write, what an answer or a lost answer
- * means, and when the edit is accepted, refused or of unknown outcome.
+ * Adds one operator's edit to the log, as a state machine: what to write, what an answer or a lost answer means, and
+ * when the edit is accepted, refused or of unknown outcome.
  *
  * @module
  */
@@ -73,7 +73,7 @@
 /** How the store answered a write. */
 export type WriteAnswer = "done" | "conflict" | "lost" | "refused";
 
-/** Brings one {@link Proposal} into the log. */
+/** Adds one {@link Proposal} to the log. */
 export class EditAttempt {
   readonly proposal: Proposal;
   #edit: LoggedEdit | undefined;
@@ -121,9 +121,9 @@
   }
 
   /**
-   * Handles the answer to the last `write`. An accepted edit is put in force here before anyone is told, so that it
-   * survives the loss of the store's copy. If that fails, the store was restored while the answer was in transit, and
-   * another edit has the version: an operator who is told "accepted" would not find the edit.
+   * Handles the answer to the last `write`. An accepted edit is put in force here before the outcome is reported, so
+   * that it survives the loss of the store's copy. If that fails, the store was restored while the answer was in
+   * transit, and another edit has the version: an operator who is told "accepted" would not find the edit.
    */
   onAnswer(answer: WriteAnswer, log: TableLog): EditStep {
     if (answer === "done") {
@@ -201,7 +201,8 @@
   }
 
   /**
-   * Returns the rows that changed since the operator read them, with their current content for the loser of the race.
+   * Returns the rows that changed since the operator read them, with their current content, which the operator is
+   * shown.
    */
   protected findConflicts(table: Table): RowConflict[] {
     const conflicts: RowConflict[] = [];
--- a/src/agreement/table_log.ts
+++ b/src/agreement/table_log.ts
@@ -41,7 +41,7 @@
 
 /**
  * How the store's head compares with what is in force here. `stale`: the head was read before the newest edits came
- * into force here, so it says nothing and must be read again.
+ * into force here, so the comparison is inconclusive and the head must be read again.
  */
 export type HeadRelation = "same" | "ahead" | "older" | "forked" | "stale";
 
@@ -151,7 +151,7 @@
     return this.#recentRefs.findLast((edit) => edit.id === editId)?.version;
   }
 
-  /** Whether {@link TableLog.versionOf} knows which edit made this version. */
+  /** Whether {@link TableLog.versionOf} covers this version. */
   knows(version: number): boolean {
     const first = this.#recentRefs[0]?.version ?? Infinity;
     return version >= first && version <= this.#table.version;
@@ -174,7 +174,8 @@
 
   /**
    * Whether an image contains the edit last applied here. An image made after a restore of the store may be newer and
-   * yet lack accepted edits; loading it would take them back. This can be told only within the image's recent edits.
+   * yet lack accepted edits; loading it would take them back. This can be checked only if the image's recent edits
+   * reach back that far.
    */
   protected continues(image: TableImage): boolean {
     const { version } = this.#table;
--- a/src/agreement/table_log_property_test.ts
+++ b/src/agreement/table_log_property_test.ts
@@ -89,7 +89,7 @@
   }
 }
 
-class AlarmsAtStaleHeads extends TableLog {
+class ReportsStaleHeads extends TableLog {
   override compareHead(head: TableHead | undefined): HeadRelation {
     return super.compareHead(head, this.table.version);
   }
@@ -128,7 +128,7 @@
   },
   "a log that reports a regression for a stale head": {
     ...INTACT_MACHINES,
-    makeLog: () => new AlarmsAtStaleHeads(),
+    makeLog: () => new ReportsStaleHeads(),
   },
   "a log that loads another history": {
     ...INTACT_MACHINES,
--- a/src/agreement/table_push.ts
+++ b/src/agreement/table_push.ts
@@ -1,9 +1,10 @@
 /**
  * Which VMs watch the store, and how an edit gets from a watcher to all VMs of its region.
  *
- * A waiting watch counts as a call, so only a few VMs have one, whatever the size of the region. The others get the
- * edit through a push tree whose inner nodes change with each version. A fixed tree would put the whole fan-out on the
- * same few VMs, and in a region of 67 a push from one VM to all would exceed that VM's budget for control traffic.
+ * A waiting watch counts as a call to the store, so only a few VMs have one, whatever the size of the region. The
+ * others get the edit through a push tree whose inner nodes change with each version. A fixed tree would put the whole
+ * fan-out on the same few VMs, and in a region of 67 a push from one VM to all would exceed that VM's budget for
+ * control traffic.
  *
  * @module
  */
--- a/src/agreement/table_records.ts
+++ b/src/agreement/table_records.ts
@@ -37,7 +37,7 @@
 /** An {@link Edit} as it is stored in the log. */
 export interface LoggedEdit extends Edit {
   /**
-   * The id of the previous edit; empty for the first. It tells an edit of another history, such as that of a restored
+   * The id of the previous edit; empty for the first. It reveals an edit of another history, such as that of a restored
    * backup.
    */
   readonly prevId: string;
--- a/src/agreement/uncommitted_log.ts
+++ b/src/agreement/uncommitted_log.ts
@@ -48,7 +48,7 @@
   get size(): number {
     return this.#entries.length;
   }
-  /** Size of the events in the store. */
+  /** Size that the events will have in the store. */
   get bytes(): number {
     return this.#bytes;
   }
--- a/src/agreement/witness_tracker.ts
+++ b/src/agreement/witness_tracker.ts
@@ -119,10 +119,10 @@
   }
 
   recordSent(vm: VmRef, monoMs: number): void {
-    const hold = this.#witnesses.find((h) => sameVm(h.vm, vm));
-    if (!hold) return;
-    hold.sentMonoMs = monoMs;
-    hold.awaitsAnswer = true;
+    const witness = this.#witnesses.find((state) => sameVm(state.vm, vm));
+    if (!witness) return;
+    witness.sentMonoMs = monoMs;
+    witness.awaitsAnswer = true;
   }
 
   /** Records the answer to a message that was sent at `sentMonoMs` with events up to `uptoN`. */
@@ -132,16 +132,16 @@
     uptoN: number,
     sentMonoMs: number,
   ): void {
-    const hold = this.#witnesses.find((h) => sameVm(h.vm, vm));
-    if (!hold) return;
-    if (hold.sentMonoMs === sentMonoMs) hold.awaitsAnswer = false;
-    hold.hasFailed = !accepted;
+    const witness = this.#witnesses.find((state) => sameVm(state.vm, vm));
+    if (!witness) return;
+    if (witness.sentMonoMs === sentMonoMs) witness.awaitsAnswer = false;
+    witness.hasFailed = !accepted;
     if (!accepted) return;
-    hold.ackedN = Math.max(hold.ackedN, uptoN);
+    witness.ackedN = Math.max(witness.ackedN, uptoN);
     const { promiseMs, promiseMarginMs } = this.#limits;
     // Counted from the time of sending. The witness counts from the receipt, which is later.
-    hold.promisedUntilMonoMs = Math.max(
-      hold.promisedUntilMonoMs,
+    witness.promisedUntilMonoMs = Math.max(
+      witness.promisedUntilMonoMs,
       sentMonoMs + promiseMs - promiseMarginMs,
     );
   }
