--- a/src/services/claims.ts
+++ b/src/services/claims.ts
@@ -2,7 +2,7 @@
  * The claims service: records a call that must run at most once before its first byte goes to an upstream.
  *
  * A claim belongs to a shard in its workspace's home region. One VM there owns the shard; other VMs forward claims to
- * it. If the owner cannot be reached, the claim is refused at once, and the caller is told that its call was not run.
+ * it. If the owner cannot be reached, the claim is refused at once, and the refusal says that the call was not run.
  *
  * @module
  */
@@ -60,14 +60,14 @@
 const VIEW_REFRESH_MS = 250;
 /** `finish`, `release` and `abandon` block the caller for at most this long, then continue in the background. */
 const CHANGE_TIMEOUT_MS = 2000;
-/** Most attempts to make a change in the background. */
+/** Maximum number of attempts to make a change in the background. */
 const MAX_CHANGE_RETRIES = 12;
-/** Most changes that are retried in the background at the same time. */
+/** Maximum number of changes that are retried in the background at the same time. */
 const MAX_BACKGROUND_CHANGES = 500;
 const CHANGE_BACKOFF = { firstMs: 250, maxMs: 10_000 };
 const LOOKUP_TIMEOUT_MS = 3000;
 const REPLICATE_TIMEOUT_MS = 1500;
-/** A refused caller is told to retry after this time, unless the owner names another. */
+/** Retry delay for a refused caller, unless the owner gives another. */
 const RETRY_AFTER_MS = 1000;
 /** Default limit for the store writes of claims per second, in all regions together. */
 const WRITES_PER_S = 60;
@@ -90,7 +90,7 @@
   readonly seed?: number;
 }
 
-/** Routes claims, changes and lookups to the owners of their shards, and runs this VM's part in each shard. */
+/** Routes claims, changes and lookups to the owners of their shards, and runs this VM's role in each shard. */
 export class ClaimsService extends Task<ClaimsMessages> {
   readonly name = "claims";
   readonly #options: ClaimsOptions;
@@ -236,13 +236,13 @@
   /** Changes a claim's state. If the first attempt fails, the caller is answered and retries run in the background. */
   async #change(
     input: ClaimKey & { readonly claimId: string },
-    step: Pick<ClaimChange, "state" | "answer">,
+    newState: Pick<ClaimChange, "state" | "answer">,
   ): Promise<void> {
     const home = await this.#homeOf(input.workspace);
     const change = {
       key: keyDigest(input),
       claimId: input.claimId,
-      ...step,
+      ...newState,
     };
     if (await this.#tryChange(home, change)) return;
     void this.#changeInBackground(home, change);
@@ -288,7 +288,7 @@
     }
     const retryAtMs = this.#clock.nowMs() + RETRY_AFTER_MS;
     const message = "the record of this key cannot be read now";
-    // This VM does not know whether the call ran, so it must not say "not run".
+    // Whether the call ran is unknown here, so the answer must not say "not run".
     return err(
       failure("claimUnavailable", { ran: "unknown", message, retryAtMs }),
     );
--- a/src/services/claims_driver.ts
+++ b/src/services/claims_driver.ts
@@ -27,7 +27,7 @@
 } from "../agreement/mod.ts";
 import type { Clock, Random } from "../base/mod.ts";
 
-/** Most segments that are read in one store call. */
+/** Maximum number of segments read in one store call. */
 const MAX_SEGMENTS_PER_READ = 64;
 
 /** A request to the owner of a shard. */
@@ -208,7 +208,7 @@
         if (parsed.isErr()) return err(segmentError(entry.key, parsed.error));
         segments.push(parsed.value);
       }
-      // Claims in a missing segment would be forgotten, and calls with their keys would run again.
+      // Claims in a missing segment would be lost, and calls with their keys would run again.
       const expected = segmentKey(this.#keys, from + segments.length - 1);
       const last = found.value.entries.at(-1)?.key;
       if (last !== expected) return err(segmentError(expected, "missing"));
--- a/src/services/claims_region_test.ts
+++ b/src/services/claims_region_test.ts
@@ -149,9 +149,9 @@
   });
 
   /*
-   * The owner loses its region and the store at once, as a frozen process does, and is replaced. When it continues it
-   * believes that it still owns the shard. Its write must fail, its caller is told that nothing ran, and its lookups
-   * must not say that there is no record.
+   * The owner loses its region and the store at once, as a frozen process does, and is replaced. When it continues, it
+   * still acts as the owner. Its write must fail, its caller is told that nothing ran, and its lookups must not say
+   * that there is no record.
    */
   it("are not granted by a replaced owner that continues", async (t) => {
     const { regions, owner, other } = await startRegion("r-1", "r-2");
--- a/src/services/claims_router.ts
+++ b/src/services/claims_router.ts
@@ -29,7 +29,7 @@
 const OWNER_RETRY_MS = 100;
 /** The search for an owner ends after this time; a dead owner is detected and replaced well before. */
 const OWNER_TIMEOUT_MS = 6000;
-/** Most VMs that are tried in turn as relays to an owner. */
+/** Maximum number of VMs that are tried in turn as relays to an owner. */
 const MAX_RELAYS = 2;
 /** Timeout of one call to another VM. During a store outage an owner may take some seconds to answer a claim. */
 const CALL_TIMEOUT_MS = 8000;
--- a/src/services/directory.ts
+++ b/src/services/directory.ts
@@ -44,7 +44,7 @@
 
 /**
  * The time after which a caller looks up its VMs again, less a random part. It is long enough that the callers of 4,500
- * workspaces cost little, and short enough that a leaving VM has few callers left when its requests have ended.
+ * workspaces cost little, and short enough that a draining VM has few callers left when its requests have ended.
  */
 const LOOKUP_INTERVAL_MS = 10_000;
 const LOOKUP_JITTER = 0.3;
--- a/src/services/fencing.ts
+++ b/src/services/fencing.ts
@@ -131,7 +131,7 @@
       );
     }
     const rev = await this.#writeRecord(id, step.record, seen.value.rev);
-    // If the write took effect and its answer was lost, the next read finds this VM in the record, and it renews it.
+    // If the write took effect and its answer was lost, the next attempt finds this VM in the record and renews it.
     if (rev === undefined) {
       return err(
         this.#retryableFailure("staleFence", "the number is not settled"),
--- a/src/services/lead_view.ts
+++ b/src/services/lead_view.ts
@@ -21,7 +21,9 @@
 /** The published part of a pool's digest: only what others base decisions on, as every VM of the region relays it. */
 export type PublishedLoad = Pick<PoolDigest, "predictedWaitMs" | "takesIn">;
 
-/** Reduces a digest to its published part. The wait has two digits, so that small changes are not published. */
+/**
+ * Reduces a digest to its published part. The wait has two significant digits, so that small changes are not published.
+ */
 export function toPublishedLoad(
   { predictedWaitMs, takesIn }: PoolDigest,
 ): PublishedLoad {
--- a/src/services/load_poller.ts
+++ b/src/services/load_poller.ts
@@ -1,5 +1,5 @@
 /**
- * The lead of a pool polls the load reports of its upstreams.
+ * Polls the load reports of the upstreams whose pools this VM leads.
  *
  * @module
  */
--- a/src/services/member_digests.ts
+++ b/src/services/member_digests.ts
@@ -28,7 +28,7 @@
   /** Addresses of VMs by region, from the platform's list, which lags. */
   readonly listedAddresses: ReadonlyMap<string, readonly string[]>;
   readonly seeds: readonly string[];
-  /** Asks the VM at this address for the contacts that it knows. */
+  /** Asks the VM at this address for the contacts that it has. */
   readonly sync: (address: string) => Promise<unknown>;
 }
 
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Handles a news item that came with a heartbeat. Statements about VMs are handled elsewhere. */
+  /** Handles a news item that came with a heartbeat. Member records are handled by {@link Membership}. */
   receive(item: NewsItem): void {
     const { clock, machine } = this.#context;
     if (item.type === "topic") {
--- a/src/services/member_messages.ts
+++ b/src/services/member_messages.ts
@@ -25,15 +25,15 @@
   readonly answered: boolean;
 }
 
-/** `members.sync`: all that the sender knows of its region. The reply is a {@link SyncReply}. */
+/** `members.sync`: all records that the sender has of its region. The reply is a {@link SyncReply}. */
 export interface SyncMessage {
   readonly region: string;
   readonly records: readonly MemberRecord[];
 }
 
 /**
- * The reply to `members.sync`. Between regions the records are of no use to the sender, so `records` is empty and the
- * digest of the receiver's region is what counts.
+ * The reply to `members.sync`. Between regions the records are of no use to the sender, so `records` is empty and only
+ * the digest of the receiver's region matters.
  */
 export interface SyncReply extends SyncMessage {
   readonly digest: RegionMessage;
--- a/src/services/member_regions.ts
+++ b/src/services/member_regions.ts
@@ -1,5 +1,5 @@
 /**
- * What this VM knows of the topics in its own region and of other regions. Free of I/O.
+ * Stores the topics of this VM's own region, and the news and contacts of other regions. Free of I/O.
  *
  * @module
  */
@@ -22,7 +22,9 @@
 const CONTACTS_REPEAT_MS = 10_000;
 /** A topic that was not published for this long is dropped: its publisher is gone. */
 const TOPIC_TTL_MS = 15_000;
-/** The interval at which a region's news is gossiped to VMs that do not act on it. Each copy costs every VM bytes. */
+/**
+ * The interval at which a region's news is gossiped to VMs that do not act on it. Each copy is traffic for every VM.
+ */
 const SPREAD_INTERVAL_MS = 5000;
 /** A region with no news for this long is considered unreachable, and its VMs are not offered. */
 const REGION_TTL_MS = 60_000;
@@ -102,7 +104,9 @@
     };
   }
 
-  /** This region's contacts for the region `to`. Each region gets other VMs, so that no VM is the contact of all. */
+  /**
+   * This region's contacts for the region `to`. Each region gets different VMs, so that no VM is the contact of all.
+   */
   contacts(
     to: string,
     present: readonly MemberRecord[],
@@ -161,8 +165,8 @@
   others(nowMs: number): Map<string, VmInfo[]> {
     const others = new Map<string, VmInfo[]>();
     for (const [region, { news, seenAtMs }] of this.#contacts) {
-      const heardMs = this.#regions.get(region)?.seenAtMs ?? seenAtMs;
-      if (nowMs - Math.max(heardMs, seenAtMs) > REGION_TTL_MS) continue;
+      const newsSeenAtMs = this.#regions.get(region)?.seenAtMs ?? seenAtMs;
+      if (nowMs - Math.max(newsSeenAtMs, seenAtMs) > REGION_TTL_MS) continue;
       others.set(region, news.contacts.map((c) => vmInfoOf(region, c)));
     }
     return others;
--- a/src/services/members.ts
+++ b/src/services/members.ts
@@ -315,7 +315,7 @@
     const joined = await Promise.race([Promise.all(joins), timeout]);
     this.#log.info("members joined", {
       asked: joins.length,
-      answered: joined.filter((same) => same).length,
+      answered: joined.filter((isSameRegion) => isSameRegion).length,
       present: this.#machine.present().length,
     });
   }
--- a/src/services/members_test.ts
+++ b/src/services/members_test.ts
@@ -40,7 +40,7 @@
     t.pass();
   });
 
-  // A VM crashes: its connections break and no VM is told. Callers at the other VMs notice nothing as long as those
+  // A VM crashes: its connections break and no VM is notified. Callers at the other VMs notice nothing as long as those
   // detect that it is dead and stop using it. No other VM may be taken for dead meanwhile.
   it("detects a crashed VM and takes no other for dead", async (t) => {
     const vms = await startRegion(t, 5);
--- a/src/services/messages.ts
+++ b/src/services/messages.ts
@@ -53,11 +53,11 @@
 
 /** The messages of the membership service, named `members`. */
 export type MembersMessages = {
-  /** The live and leaving VMs of this region, including this one. */
+  /** The live and draining VMs of this region, including this one. */
   region: { in: void; out: readonly VmInfo[] };
   /** A bounded number of VMs of each other region, as named in its digests. */
   others: { in: void; out: ReadonlyMap<string, readonly VmInfo[]> };
-  /** Starts to leave: all other VMs are told, and the directory no longer lists this VM. */
+  /** Starts to drain: announces it to all other VMs, and the directory no longer lists this VM. */
   leave: { in: void; out: void };
   /** Probes a VM at once instead of at its next turn, because a call to it failed. */
   check: { in: { readonly vmId: string }; out: void };
@@ -104,12 +104,12 @@
 
 /** The messages of the claims service, named `claims`. */
 export type ClaimsMessages = {
-  /** Records a claim before the first byte goes to an upstream. `bodyDigest` tells a reused key from a repeat. */
+  /** Records a claim before the first byte goes to an upstream. `bodyDigest` tells a reused key from a retry. */
   claim: {
     in: ClaimKey & { readonly bodyDigest: string; readonly deadlineMs: number };
     out: ClaimVerdict;
   };
-  /** Stores the answer of a call that ended, for repeats of it. */
+  /** Stores the answer of a call that ended, for retries of it. */
   finish: {
     in: ClaimKey & { readonly claimId: string; readonly answer: ClaimAnswer };
     out: void;
--- a/src/services/publications.ts
+++ b/src/services/publications.ts
@@ -25,7 +25,7 @@
   return weights;
 }
 
-/** A region's entries in the callers' directory: its VMs that are not leaving, all with the same weight. */
+/** A region's entries in the callers' directory: its VMs that are not draining, all with the same weight. */
 export function directoryEntries(vms: readonly VmInfo[]): DirectoryEntry[] {
   return vms
     .filter((vm) => vm.state === "live")
--- a/src/services/remote_slots.ts
+++ b/src/services/remote_slots.ts
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Acquires a slot for a home VM. A request moves once, and is decided on the newer of the two tables: an edit that
-   * forbids the move may have reached only the home VM or only the host.
+   * Acquires a slot for a home VM. A request is moved to another region only once, and is decided on the newer of the
+   * two tables: an edit that forbids the move may have reached only the home VM or only the host.
    */
   async #acquire(request: SlotRequest): Promise<SlotAnswer> {
     const { clock, table } = this.#context;
@@ -217,11 +217,11 @@
       request.deadlineMs,
       clock.nowMs() + MAX_CATCH_UP_MS,
     );
-    const inForce = await table.ask("waitFor", {
+    const tableInForce = await table.ask("waitFor", {
       version: request.tableVersion,
       deadlineMs,
     });
-    if (!inForce) {
+    if (!tableInForce) {
       return refuse(
         clock.nowMs(),
         "this region does not have the table's version yet",
--- a/src/services/slots.ts
+++ b/src/services/slots.ts
@@ -161,7 +161,7 @@
       view,
       onOrder: this.#options.onOrder ?? (() => {}),
       catchUp: (request) => this.#catchUp(request),
-      collect: (pool, heard) => this.#collect(pool, heard),
+      collect: (pool, onHeld) => this.#collect(pool, onHeld),
       handOver: (message) => this.#handOver(message),
     });
     this.#router = new LeadRouter({
@@ -275,7 +275,7 @@
     this.#remoteHost.listen();
   }
 
-  /** If the lead refers a request to another region that grants no slot, the home lead decides it for good. */
+  /** If the lead refers a request to another region that grants no slot, the home lead makes the final decision. */
   async #acquire(request: SlotRequest): Promise<SlotAnswer> {
     if (this.#isBehind(request) && !await this.#awaitTable(request)) {
       return { type: "refuse", failure: failure("canceled", { ran: "no" }) };
--- a/src/services/slots_vms_test.ts
+++ b/src/services/slots_vms_test.ts
@@ -189,7 +189,7 @@
     t.like(await queued, { type: "grant", attemptId: "queued" });
   });
 
-  // A VM is told to leave while it leads. New requests must be decided elsewhere before it stops.
+  // A VM that leads starts to drain. New requests must be decided elsewhere before it stops.
   it("assigns no pools to a leaving VM", async (t) => {
     const { lead, others } = await startRegion(t, 4);
     await lead.members.ask("leave", undefined);
--- a/src/services/suspects.ts
+++ b/src/services/suspects.ts
@@ -48,7 +48,7 @@
   readonly transport: Transport;
 }
 
-/** Tracks suspects, detects crashes behind lost connections, and exchanges them with other VMs. */
+/** Tracks suspects, detects crashes behind lost connections, and exchanges the crashes with other VMs. */
 export class SuspectsService extends Task<SuspectsMessages> {
   readonly name = "suspects";
   readonly #options: SuspectsOptions;
--- a/src/services/table_fleet.ts
+++ b/src/services/table_fleet.ts
@@ -31,7 +31,7 @@
     return await this.#members?.ask("others", undefined) ?? new Map();
   }
 
-  /** All other VMs that this one knows. */
+  /** All known VMs other than this one. */
   async peers(): Promise<VmInfo[]> {
     const [region, others] = [await this.regionVms(), await this.remoteVms()];
     return [...region, ...[...others.values()].flat()]
@@ -51,7 +51,7 @@
     return watchersOf(this.#vm.region, ids);
   }
 
-  /** Whether this VM watches the store. A VM that knows no other VM watches, since nobody would push edits to it. */
+  /** Whether this VM watches the store. A VM without known peers watches, since none would push edits to it. */
   async isWatcher(): Promise<boolean> {
     const watchers = await this.watcherIds();
     return watchers.length === 0 || watchers.includes(this.#vm.id);
--- a/src/services/table_peers.ts
+++ b/src/services/table_peers.ts
@@ -20,13 +20,13 @@
 } from "../agreement/mod.ts";
 import type { VmInfo } from "./messages.ts";
 
-/** Most hops of a push. The tree of a region of 1,400 VMs has six levels. */
+/** Maximum number of hops of a push. The tree of a region of 1,400 VMs is six hops deep. */
 const MAX_HOPS = 8;
-/** Most forwarded versions that are remembered, so that a push does not loop while VMs disagree on the members. */
+/** Number of forwarded versions that are remembered, so that a push does not loop while VMs disagree on the members. */
 const MAX_REMEMBERED_VERSIONS = 64;
 const PULL_TIMEOUT_MS = 2000;
 const PUSH_TIMEOUT_MS = 300;
-/** Most images that are kept for VMs that are still pulling their pages. */
+/** Maximum number of images kept for VMs that are still pulling their pages. */
 const MAX_CACHED_IMAGES = 2;
 
 const pushMessage = z.object({
@@ -176,8 +176,8 @@
 
   /**
    * Sends the push to a child. If the child does not answer, sends it to the child's children instead. Otherwise a dead
-   * or frozen child that is not yet detected would leave all VMs below it without the edit until a heartbeat tells
-   * them, a second or two later.
+   * or frozen child that is not yet detected would leave all VMs below it without the edit until a heartbeat announces
+   * the new version, a second or two later.
    */
   async #sendPush(tree: PushTree, child: string): Promise<void> {
     const { transport, nowMs } = this.#options;
--- a/src/services/table_routes.ts
+++ b/src/services/table_routes.ts
@@ -190,12 +190,12 @@
     key = rawKey;
     field.length = 0;
   }
-  const place = [key, field.join(".")].filter(Boolean).join(": ") || "body";
+  const location = [key, field.join(".")].filter(Boolean).join(": ") || "body";
   const valueText = typeof value === "object"
     ? ""
     : ` is ${JSON.stringify(value)}`;
   return {
-    text: `${place}${valueText}; ${issue.message}`,
+    text: `${location}${valueText}; ${issue.message}`,
     isInRow: key !== undefined,
   };
 }
--- a/src/services/table_service.ts
+++ b/src/services/table_service.ts
@@ -46,7 +46,7 @@
 const REMOTE_PULLS_PER_TICK = 1;
 /** Delay between attempts to get a table while the service starts. */
 const START_RETRY_MS = 100;
-/** Most peers that a starting VM pulls from. */
+/** Maximum number of peers that a starting VM pulls from. */
 const MAX_PEERS_ASKED = 3;
 
 /** Options of {@link TableService}. */
@@ -148,7 +148,7 @@
   }
 
   /**
-   * Called after edits came in force here. Resolves the waiters for their version. Pushes the edits to the region if
+   * Called after edits came into force here. Resolves the waiters for their version. Pushes the edits to the region if
    * `shouldPush` is set or this VM is the root of the version's push tree.
    */
   async onEditsApplied(
@@ -310,8 +310,8 @@
   async #pullFromPeers(): Promise<boolean> {
     const peers = await this.#fleet.peers();
     const order = peers
-      .map((peer) => ({ peer, place: this.#options.random.next() }))
-      .sort((a, b) => a.place - b.place)
+      .map((peer) => ({ peer, sortKey: this.#options.random.next() }))
+      .sort((a, b) => a.sortKey - b.sortKey)
       .slice(0, MAX_PEERS_ASKED);
     const answers = await Promise.all(
       order.map(({ peer }) => this.#pullFrom(peer)),
--- a/src/services/table_service_test.ts
+++ b/src/services/table_service_test.ts
@@ -202,8 +202,8 @@
     const edit = await vms[5].put(makeRegionRow("agadir", 9));
     t.is(edit._unsafeUnwrapErr().failure.code, "storeRegressed");
     for (const vm of vms) t.is(weightOf(vm, "agadir"), 4);
-    const mended = await vms[2].editor.republish();
-    t.deepEqual(mended._unsafeUnwrap(), { version: 4, changed: true });
+    const republished = await vms[2].editor.republish();
+    t.deepEqual(republished._unsafeUnwrap(), { version: 4, changed: true });
     const next = await vms[5].put(makeRegionRow("agadir", 9));
     t.is(next._unsafeUnwrap().version, 5);
     await untilInForce(vms, 5);
@@ -238,7 +238,7 @@
     t.is(weightOf(late, "agadir"), 2);
   });
 
-  // One region cannot reach the store but can reach the other region. An edit made in the other region must come in
+  // One region cannot reach the store but can reach the other region. An edit made in the other region must come into
   // force here too: the watchers see that the other region is ahead, and pull.
   it("pulls edits from a remote region while the store is unreachable", async (t) => {
     const { platform, vms } = await openFleet(t);
--- a/src/services/table_store.ts
+++ b/src/services/table_store.ts
@@ -58,17 +58,19 @@
     const listing = await this.#store.list(HEAD_KEY, { limit: 1 }, "table");
     return listing.andThen(({ entries, rev }) => {
       const [entry] = entries;
-      const at = { storeRev: rev, readAtVersion };
-      if (!entry) return ok({ head: undefined, rev: 0, ...at });
+      const readPoint = { storeRev: rev, readAtVersion };
+      if (!entry) return ok({ head: undefined, rev: 0, ...readPoint });
       return tryParse(() => ({
         head: parseTableHead(JSON.parse(entry.value)),
         rev: entry.rev,
-        ...at,
+        ...readPoint,
       }));
     });
   }
 
-  /** Brings `log` up to the head, with a snapshot if it is far behind. Returns the edits that were applied singly. */
+  /**
+   * Brings `log` up to the head, with a snapshot if it is far behind. Returns the edits that were applied one by one.
+   */
   async catchUp(
     log: TableLog,
     { head }: SeenHead,
@@ -76,8 +78,8 @@
     const applied: LoggedEdit[] = [];
     if (!head || head.version <= log.table.version) return ok(applied);
     const { snapshot } = head;
-    const behind = head.version - log.table.version;
-    if (snapshot && behind > RETAINED_EDITS) {
+    const editsBehind = head.version - log.table.version;
+    if (snapshot && editsBehind > RETAINED_EDITS) {
       const loaded = await this.#loadSnapshot(log, snapshot);
       if (loaded.isErr()) return err(loaded.error);
     }
@@ -216,11 +218,11 @@
       if (seen.isErr()) return err(seen.error);
       const { head, rev } = seen.value;
       if ((head?.snapshot?.version ?? 0) >= ref.version) return ok(undefined);
-      const behind = (head?.version ?? 0) < ref.version;
-      if (behind && advanceToId === undefined) {
+      const isBehind = (head?.version ?? 0) < ref.version;
+      if (isBehind && advanceToId === undefined) {
         return err(missingError("this head"));
       }
-      const { version, id } = behind
+      const { version, id } = isBehind
         ? { version: ref.version, id: advanceToId! }
         : head!;
       const value = JSON.stringify({ version, id, snapshot: ref });
--- a/src/services/table_store_test.ts
+++ b/src/services/table_store_test.ts
@@ -91,7 +91,7 @@
   });
 
   // A snapshot is replaced after a reader has read the head and before it has read the pages. The whole read fails, and
-  // the next attempt finds the new snapshot. A table with only a part of the rows never comes in force.
+  // the next attempt finds the new snapshot. A table with only a part of the rows never comes into force.
   it("that are replaced during a read are never loaded in part", async (t) => {
     const { edit, service, store } = await openVm(t);
     for (let i = 1; i <= RETAINED_EDITS + 50; i++) await edit([put("r1", i)]);
--- a/src/services/table_sync.ts
+++ b/src/services/table_sync.ts
@@ -27,7 +27,7 @@
   readonly log: TableLog;
   readonly store: TableStore;
   readonly random: Random;
-  /** Between reads of the head, which detect a watch that has stopped reporting and a store that was restored. */
+  /** Interval between reads of the head, which detect a watch that has stopped reporting and a restored store. */
   readonly headCheckMs: number;
   /** Receives the edits that the watch reports. */
   readonly onEdits: (edits: readonly LoggedEdit[]) => void;
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Whether a read is due; if so, the next one is due a period later. The first is due a second or two after the first
-   * call, when the watchers should have the table.
+   * Whether a read is due; if so, the next one is due a period later. The first is due about two seconds after the
+   * first call, when the watchers should have the table.
    */
   #takeReadTurn(nowMs: number): boolean {
     const jitter = 0.75 + this.#options.random.next() / 2;
--- a/src/services/table_versions.ts
+++ b/src/services/table_versions.ts
@@ -51,7 +51,7 @@
     options.transport?.handle("table.region", () => this.#ownRegion());
   }
 
-  /** Returns the versions of all regions that this VM knows, its own region first. */
+  /** Returns the versions of all known regions, this VM's own first. */
   async collect(): Promise<RegionTableVersions[]> {
     const { vm, fleet } = this.#options;
     const own: RegionTableVersions = {
--- a/src/services/table_waiters.ts
+++ b/src/services/table_waiters.ts
@@ -39,7 +39,7 @@
     });
   }
 
-  /** Resolves the waiters whose version is reached by this table, which has come in force. */
+  /** Resolves the waiters whose version is reached by this table, which has come into force. */
   resolve(table: Table): void {
     for (const waiter of this.#waiters) {
       if (waiter.version <= table.version) waiter.resolve(table);
