--- a/src/decisions/admission_control.ts
+++ b/src/decisions/admission_control.ts
@@ -122,7 +122,7 @@
     });
   }
 
-  /** Refunds the limits for a queued request that was given up, which used nothing. */
+  /** Refunds what the limits were charged for a queued request that left the queue without running. */
   releaseQueued(entry: QueueEntry): void {
     const nothing = { workTokens: 0, microcents: 0 };
     this.#limiter.release(entry.request.workspace, entry.cost, nothing);
--- a/src/decisions/autoscaler.ts
+++ b/src/decisions/autoscaler.ts
@@ -1,5 +1,5 @@
 /**
- * Autoscaling: computes how many upstreams a pool needs now, so that idle ones can be parked and woken by orders.
+ * Autoscaling: computes how many upstreams a pool needs now, so that the lead can park idle ones and wake them again.
  *
  * @module
  */
@@ -20,11 +20,11 @@
 const LATENCY_TARGET_UTILIZATION = 0.4;
 /** Share of upstreams kept awake beyond the need, so that a burst finds room while others wake. */
 const RESERVE_SHARE = 0.1;
-/** How long there must have been at least one upstream too many before one is parked: it wakes without its cache. */
+/** How long at least one upstream must have been unneeded before one is parked, since it wakes without its cache. */
 const PARK_DELAY_MS = 5000;
 /** A queue wait longer than this wakes an upstream at once, whatever the averages say. */
 const WAKE_QUEUE_MS = 200;
-/** Shortest time between two upstreams woken because of the queue, as the first needs a moment to help. */
+/** Shortest time between two upstreams woken because of the queue, as the first takes a moment to shorten the queue. */
 const MIN_WAKE_INTERVAL_MS = 1000;
 
 /** The input of {@link Autoscaler.plan}. */
@@ -105,7 +105,7 @@
     }
     this.#spareSinceMs ??= view.nowMs;
     if (view.nowMs - this.#spareSinceMs < PARK_DELAY_MS) return KEEP;
-    // Upstreams are parked one at a time: the rest must prove sufficient before the next one is parked.
+    // Upstreams are parked one at a time. The rest must be enough for half the delay before the next one is parked.
     this.#spareSinceMs = view.nowMs - PARK_DELAY_MS / 2;
     return { type: "park" };
   }
--- a/src/decisions/cached_prefixes.ts
+++ b/src/decisions/cached_prefixes.ts
@@ -4,13 +4,13 @@
  * @module
  */
 
-/** Prefix blocks kept for one upstream: at the start and at most (some 200 KB), and at least. */
+/** Bounds of the number of prefix blocks kept for one upstream. It starts at the maximum, which takes some 200 KB. */
 const MAX_BLOCKS = 2048;
 const MIN_BLOCKS = 64;
 /**
  * Factors by which the maximum of kept blocks changes when an expected prefix was not cached, and when it was. The
- * maximum settles where one expectation in twenty is wrong, near the size of the engine's cache, which the lead is not
- * told.
+ * maximum settles where one expectation in twenty is wrong, near the size of the engine's cache, which is not reported
+ * to the lead.
  */
 const MISS_FACTOR = 0.9;
 const HIT_FACTOR = 1.005;
@@ -52,7 +52,7 @@
     this.#evict();
   }
 
-  /** Records that an expected prefix was not cached: it was evicted, and so was surely what was used before it. */
+  /** Records that an expected prefix was not cached: it was evicted, and so probably was what was used before it. */
   recordMiss(): void {
     this.#maxBlocks = Math.max(MIN_BLOCKS, this.#maxBlocks * MISS_FACTOR);
     this.#evict();
--- a/src/decisions/fair_queue.ts
+++ b/src/decisions/fair_queue.ts
@@ -37,7 +37,7 @@
 const MIN_SWEEP_FLOWS = 256;
 /**
  * Removed entries that may stay in the heaps, beyond as many as are queued, before the heaps are rebuilt: a burst of
- * cancellations must not hold memory.
+ * cancellations must not occupy memory for long.
  */
 const REMOVED_SLACK = 64;
 
@@ -160,8 +160,8 @@
 
   /**
    * Estimates the work that starts before a new entry of this flow: what all flows with entries are served until it is
-   * this flow's turn, but at most all queued work. A flow that was idle joins at the current virtual time, where each
-   * other flow may already have up to one entry.
+   * this flow's turn, but at most all queued work. A flow that was idle joins at the current virtual time, where up to
+   * one entry of each other flow may start before it.
    */
   workAhead(flowId: string, weight: number): number {
     if (this.#size === 0) return 0;
@@ -232,7 +232,7 @@
     if (this.#size === 0) this.#activeWeight = 0;
   }
 
-  // An idle flow whose start tag lies in the past is treated like a new flow, so it can be forgotten.
+  // An idle flow whose start tag lies in the past is treated like a new flow, so it can be removed.
   #sweep(): void {
     for (const [id, flow] of this.#flows) {
       if (
--- a/src/decisions/fleet.ts
+++ b/src/decisions/fleet.ts
@@ -51,10 +51,10 @@
     const previous = this.#byId;
     this.#byId = new Map();
     for (const row of rows) {
-      const known = previous.get(row.id) ?? new Upstream(row);
-      known.row = row;
-      known.health.resize(row.slots);
-      this.#byId.set(row.id, known);
+      const upstream = previous.get(row.id) ?? new Upstream(row);
+      upstream.row = row;
+      upstream.health.resize(row.slots);
+      this.#byId.set(row.id, upstream);
     }
     this.#list = [...this.#byId.values()];
     this.#refreshActive();
@@ -143,7 +143,6 @@
     return sum;
   }
 
-  /** Records the first token of an attempt. */
   recordFirstToken(
     held: HeldAttempt,
     firstTokenMs: number,
@@ -161,7 +160,6 @@
     } else upstream.health.eject(nowMs);
   }
 
-  /** Records the end of an attempt. */
   recordEnd(
     held: HeldAttempt,
     outcome: SlotReport["outcome"],
@@ -180,9 +178,9 @@
   }
 
   /**
-   * Checks every upstream and ejects those that are far slower than the median. When an upstream turns slow or silent,
-   * its first tokens are late long before it answers, so an overdue attempt already counts as evidence and new work
-   * goes elsewhere within a second.
+   * Checks every upstream and ejects those that are far slower than the median. When an upstream becomes slow or stops
+   * answering, its first tokens are overdue long before a late one is reported, so an overdue attempt already counts as
+   * evidence and new work goes elsewhere within a second.
    */
   updateHealth(nowMs: number): void {
     for (const upstream of this.#list) this.#applyOverdue(upstream, nowMs);
--- a/src/decisions/granted_slots.ts
+++ b/src/decisions/granted_slots.ts
@@ -8,8 +8,8 @@
 import type { HeldAttempt } from "./upstream.ts";
 
 /**
- * The granted slots by attempt. An entry VM that dies renews nothing, so its slots are freed without anyone noticing
- * its death.
+ * The granted slots by attempt. The slots of an entry VM that dies are not renewed, so they are freed without any check
+ * of whether VMs are alive.
  */
 export class GrantedSlots {
   readonly #held = new Map<string, HeldAttempt>();
--- a/src/decisions/lanes.ts
+++ b/src/decisions/lanes.ts
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Returns an entry of the lane whose prefix this upstream has cached, unless its workspace is too far ahead of its
-   * share. Of many that wait, it costs the upstream least, as long as fairness allows it to go first.
+   * Returns the lane's first entry whose prefix this upstream has cached, which costs the upstream less than other
+   * entries. Returns nothing if the entry's workspace is too far ahead of its share.
    */
   peekCached(lane: LaneName, upstreamId: string): QueueEntry | undefined {
     const waiting = this.#prefixTickets[lane].get(upstreamId);
@@ -199,14 +199,14 @@
   }
 
   #indexPrefix(upstreamId: string, ticket: Ticket<QueueEntry>): void {
-    const lane = this.#prefixTickets[ticket.value.lane];
-    let waiting = lane.get(upstreamId);
+    const byUpstream = this.#prefixTickets[ticket.value.lane];
+    let waiting = byUpstream.get(upstreamId);
     if (!waiting) {
       waiting = new TinyQueue<Ticket<QueueEntry>>(
         [],
         (a, b) => a.rank - b.rank,
       );
-      lane.set(upstreamId, waiting);
+      byUpstream.set(upstreamId, waiting);
     }
     waiting.push(ticket);
   }
--- a/src/decisions/limits.ts
+++ b/src/decisions/limits.ts
@@ -17,7 +17,7 @@
   type LimitScope,
 } from "./limit_parts.ts";
 
-/** A rate's bucket holds this much of it: callers send in bursts, and one second smooths them. */
+/** A rate's bucket holds what the rate allows in this time, since callers send in bursts. */
 const RATE_BURST_MS = 1000;
 const HOUR_MS = 3_600_000;
 /**
@@ -25,12 +25,11 @@
  * wherever they start, cost more than the limit.
  */
 const SPEND_BURST_SHARE = 1 / 12;
-/** Retry delay at a concurrency limit, which has no known time: it frees when one of the workspace's requests ends. */
-const CONCURRENCY_RETRY_MS = 500;
 /**
- * Retry delay at a limit of zero, which never frees by itself: callers are told to come back when an operator may have
- * raised it.
+ * Retry delay at a concurrency limit. When it frees is unknown, as one of the workspace's requests has to end first.
  */
+const CONCURRENCY_RETRY_MS = 500;
+/** Retry delay at a limit of zero, which never frees by itself: by then an operator may have raised it. */
 const ZERO_LIMIT_RETRY_MS = 60_000;
 /** Meters idle for {@link IDLE_MS} are dropped only once there are this many. */
 const MIN_SWEEP_METERS = 512;
--- a/src/decisions/placement.ts
+++ b/src/decisions/placement.ts
@@ -13,8 +13,8 @@
  * Longest prefill backlog of an upstream on which another request is placed. A request that waits in the engine can no
  * longer be reordered, moved or refused, so all but the next few passes stay in the lead's queue. With less than two
  * ticks of the lead (50 ms each) and the delay of a report, the engine would run out of work in between. An upstream
- * that has the prefix cached may have a backlog longer by what that saves: going elsewhere would cost the same time,
- * and would also cost everyone there a prefill.
+ * that has the prefix cached may have a backlog longer by what that saves: going elsewhere would take the same time,
+ * and the prefill would also delay all requests there.
  */
 export const MAX_BACKLOG_MS = 150;
 /**
@@ -46,7 +46,9 @@
  * A prompt that takes an engine longer than this to prefill is long: a short request placed behind it would be late.
  */
 export const LONG_PREFILL_MS = 250;
-/** How much more a ms of prefill weighs than a ms of waiting when the pool is full; see `costOf`. */
+/**
+ * Weight of a ms of prefill when the pool is full, added to the ms that it adds to the first-token time; see `costOf`.
+ */
 const FULL_POOL_PREFILL_WEIGHT = 2;
 
 /** An upstream where a request may run, and what is expected of the request there. */
--- a/src/decisions/pool.ts
+++ b/src/decisions/pool.ts
@@ -98,12 +98,15 @@
     return this.#dispatch("all", nowMs);
   }
 
-  /** Replaces what is known of other regions. */
+  /** Replaces the latest digests of other regions. */
   setRemoteRegions(regions: readonly RemoteRegion[], _nowMs: number): void {
     this.#regionRouter.setRemoteRegions(regions);
   }
 
-  /** Takes over slots that entry VMs hold. A new lead starts cautiously until it has heard of them. */
+  /**
+   * Takes over slots that entry VMs hold. A new lead starts cautiously, as it gets these slots only with the next
+   * renewals.
+   */
   adopt(held: readonly HeldSlot[], nowMs: number): PoolOutput[] {
     for (const slot of held) this.#dispatcher.adopt(slot, nowMs);
     return this.#dispatch("all", nowMs);
@@ -129,7 +132,8 @@
     return { ...this.options, ...this.#dispatcher.dump() };
   }
 
-  // Answers are given in the step in which they become known, as a caller that is told early can still go elsewhere.
+  // A request is answered in the step in which its answer is decided, as a caller that is refused early can still go
+  // elsewhere.
   #dispatch(changed: ChangedUpstreams, nowMs: number): PoolOutput[] {
     const refused = this.#admission.refuseLate(nowMs);
     return [...refused, ...this.#dispatcher.dispatch(changed, nowMs)];
--- a/src/decisions/pool_messages.ts
+++ b/src/decisions/pool_messages.ts
@@ -42,7 +42,7 @@
   readonly seenAtMs: number;
 }
 
-/** What a region tells other regions of one of its pools. */
+/** The state of a pool, as its region reports it to other regions. */
 export interface PoolDigest {
   /** See {@link RemoteRegion.predictedWaitMs}; {@link NEVER_MS} if no upstream can take a request. */
   readonly predictedWaitMs: number;
@@ -55,7 +55,7 @@
 /** Stands for an unknown or infinite time where a message needs a number. */
 export const NEVER_MS = 1e9;
 
-/** A slot that an entry VM holds, as told to a new lead. */
+/** A slot that an entry VM holds, as reported to a new lead. */
 export interface HeldSlot {
   readonly attemptId: string;
   readonly upstreamId: string;
--- a/src/decisions/queue_entry.ts
+++ b/src/decisions/queue_entry.ts
@@ -9,7 +9,7 @@
 
 /** The two lanes of a pool's queue. */
 export type LaneName = "short" | "long";
-/** Both lanes; the one that is served first comes first. */
+/** Both lanes, in a fixed order. `Lanes.laneOrder` returns the order in which they are served. */
 export const LANES: readonly LaneName[] = ["short", "long"];
 
 /** A queued request. */
--- a/src/decisions/recent_usage.ts
+++ b/src/decisions/recent_usage.ts
@@ -15,8 +15,8 @@
  */
 const OVER_SHARE_FACTOR = 2;
 /**
- * Its use must also exceed this part of all use: where many share a pool, twice a small share takes nothing from
- * anyone.
+ * Its use must also exceed this part of all use: where many workspaces share a pool, twice a small share delays no
+ * other workspace.
  */
 const MIN_OVER_SHARE = 0.2;
 /** Use older than this many windows is negligible. */
--- a/src/decisions/region_router.ts
+++ b/src/decisions/region_router.ts
@@ -49,7 +49,7 @@
     this.#table = table;
   }
 
-  /** Replaces what the digests of other regions say. */
+  /** Replaces the latest digests of other regions. */
   setRemoteRegions(regions: readonly RemoteRegion[]): void {
     this.#remoteRegions = regions;
   }
--- a/src/decisions/scheduler.ts
+++ b/src/decisions/scheduler.ts
@@ -131,7 +131,7 @@
     return over ? { ...view, isOverShare: over } : view;
   }
 
-  /** Takes the next request that can be placed out of the queue. */
+  /** Removes from the queue the next request that can be placed, and returns it with its upstream. */
   takeNext(nowMs: number): Assignment | undefined {
     const view = this.placementView(nowMs);
     for (const lane of this.#lanes.laneOrder()) {
--- a/src/decisions/slots.ts
+++ b/src/decisions/slots.ts
@@ -6,7 +6,7 @@
 
 import type { Failure } from "../base/mod.ts";
 
-/** A request for a slot: what a pool's lead must know of a request, and nothing of its content. */
+/** A request for a slot: what a pool's lead needs to place a request, without its content. */
 export interface SlotRequest {
   /** Unique for each attempt. */
   readonly attemptId: string;
@@ -55,7 +55,7 @@
   readonly failure: Failure;
 };
 
-/** What became of an attempt, reported to the lead so that it updates its estimates and frees the slot. */
+/** The outcome of an attempt, reported to the lead so that it updates its estimates and frees the slot. */
 export interface SlotReport {
   readonly attemptId: string;
   readonly service: string;
@@ -74,7 +74,7 @@
     | "unreachable";
   /** Time from the grant to the first token (for a plain service, to the answer's headers). */
   readonly firstTokenMs?: number;
-  /** Prompt tokens that the engine says it had cached, if the usage in its answer tells. */
+  /** Prompt tokens that the engine had cached, if the usage in its answer reports them. */
   readonly cachedTokens?: number;
   readonly outputTokens: number;
   readonly totalMs: number;
--- a/src/decisions/upstream.ts
+++ b/src/decisions/upstream.ts
@@ -1,5 +1,5 @@
 /**
- * What a lead knows of one upstream: what it runs, how fast it is, and whether it can take more.
+ * The state that a lead keeps for one upstream: what it runs, how fast it is, and whether it can take more.
  *
  * @module
  */
@@ -184,7 +184,6 @@
     }
   }
 
-  /** Records the first token of an attempt. */
   recordFirstToken(held: HeldAttempt): void {
     this.#markStarted(held);
   }
--- a/src/decisions/wait_model.ts
+++ b/src/decisions/wait_model.ts
@@ -69,10 +69,12 @@
 
 /** Share of the admitted requests whose wait should stay within the forecast. */
 const COVERED_SHARE = 0.9;
-/** Step of the correction per observation: about fifty observations change it by a factor of two. */
+/**
+ * Step of the correction per observation: 16 waits above the forecast double it, and 139 within the forecast halve it.
+ */
 const CORRECTION_GAIN = 0.05;
 const CORRECTION_RANGE = { min: 0.7, max: 5 };
-/** Added to both waits before their ratio is taken, because ratios of short waits say nothing. */
+/** Added to both waits before their ratio is taken, because ratios of short waits are mostly noise. */
 const RATIO_OFFSET_MS = 1000;
 
 /**
--- a/src/decisions/work.ts
+++ b/src/decisions/work.ts
@@ -14,7 +14,10 @@
  */
 export const OUTPUT_TOKEN_COST = 5;
 
-/** Minimum work of a request. Calls of plain services have no tokens; at zero they would escape fairness and limits. */
+/**
+ * Minimum work of a request. Calls of plain services have no tokens; with no work, fair queueing and limits would not
+ * apply to them.
+ */
 export const MIN_WORK_TOKENS = 64;
 
 /** Returns the work of a request whose first `cachedTokens` are cached, in prefill-equivalent tokens. */
