--- a/src/routing/cold.ts
+++ b/src/routing/cold.ts
@@ -41,7 +41,7 @@
     return true;
   }
 
-  /** Whether {@link ColdRateLimiter.tryTake} would succeed. */
+  /** Whether {@link ColdRateLimiter.tryTake} would succeed with a limit. */
   canTake(nowMs: number): boolean {
     return nowMs >= this.#nextAtMs;
   }
--- a/src/routing/directory.ts
+++ b/src/routing/directory.ts
@@ -1,5 +1,5 @@
 /**
- * Selects the VMs that callers are told to use.
+ * Selects the VMs that the directory names to callers.
  *
  * @module
  */
@@ -22,8 +22,8 @@
 
 /**
  * Selects the VMs that callers of a region should use. These are VMs of the same region, since bodies that are bound to
- * a home region may not pass through others. While all VMs of the region are draining, one after another, the VM that
- * serves longest is listed before VMs of other regions. Those are listed only if the region has no VM left.
+ * a home region may not pass through others. While all VMs of the region are draining, one after another, only the VM
+ * that serves longest is listed. VMs of other regions are listed only if no VM of the region serves long enough.
  */
 export function selectVms<V extends DirectoryVm>(
   vms: readonly V[],
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -31,7 +31,9 @@
 const REPLACED_ASIDE_MS = 5_000;
 /** After an upstream sheds a request, other upstreams are tried first for as long as a few requests take to finish. */
 const SHED_ASIDE_MS = 100;
-/** Interval between single requests (probes) to an upstream that has answered nothing since it was set aside. */
+/**
+ * Interval between single requests (probes) to an upstream that has answered nothing since its last lost connection.
+ */
 const PROBE_INTERVAL_MS = 500;
 /** Weight of one outcome in the moving share of failures. The last ten outcomes or so determine the share. */
 const FAILURE_WEIGHT = 0.1;
@@ -46,7 +48,7 @@
   #asideUntilMs = -Infinity;
   #asideMs = LOST_ASIDE_MS;
   #failureShare = 0;
-  /** Whether the upstream has answered nothing since it was last set aside. */
+  /** Whether the upstream has answered nothing since its last lost connection. */
   #isProbing = false;
   #lastSentMs = -Infinity;
 
@@ -74,7 +76,10 @@
     this.#failureShare += FAILURE_WEIGHT * (failed - this.#failureShare);
   }
 
-  /** Whether the upstream is set aside now. After that time it gets one request at a time until it has answered one. */
+  /**
+   * Whether the upstream is set aside now. After a lost connection, it then gets one probe per interval until it has
+   * answered a request.
+   */
   isAside(nowMs: number): boolean {
     return nowMs < this.#asideUntilMs ||
       (this.#isProbing && nowMs - this.#lastSentMs < PROBE_INTERVAL_MS);
--- a/src/routing/step.ts
+++ b/src/routing/step.ts
@@ -131,17 +131,17 @@
  */
 function pickRegion(
   regions: readonly RegionCapacity[],
-  capacityOf: (room: RegionCapacity) => number,
+  capacityOf: (region: RegionCapacity) => number,
   draw: number,
 ): string | undefined {
-  const withCapacity = regions.filter((room) => capacityOf(room) > 0);
+  const withCapacity = regions.filter((region) => capacityOf(region) > 0);
   const notScarce = withCapacity.filter(({ isScarce }) => !isScarce);
   const eligible = notScarce.length > 0 ? notScarce : withCapacity;
-  const total = eligible.reduce((sum, room) => sum + capacityOf(room), 0);
+  const total = eligible.reduce((sum, region) => sum + capacityOf(region), 0);
   let point = draw * total;
-  for (const room of eligible) {
-    if (point < capacityOf(room)) return room.region;
-    point -= capacityOf(room);
+  for (const region of eligible) {
+    if (point < capacityOf(region)) return region.region;
+    point -= capacityOf(region);
   }
   return eligible.at(-1)?.region;
 }
@@ -150,7 +150,7 @@
  * Decides the next step of a request. The order is made for a region that is at peak load while others are idle, or
  * whose upstreams are gone. Free capacity in this region comes first, as its engines have cached the prompts. Free
  * capacity in other regions comes next, which is better than queueing here as long as the relay leaves enough time. The
- * queues of the upstreams here come last, as far as a request starts there in time. A request that fits nowhere is
+ * queues of the upstreams here come last, if the request can start there in time. A request that fits nowhere is
  * refused early, with a time to retry, so that its caller loses nothing by waiting here.
  */
 export function nextStep<C extends StepCandidate>(
@@ -180,14 +180,14 @@
     return { type: "send", candidate: ranked[0] };
   }
   const regions = leftMs > RELAY_MS ? input.regions : [];
-  const freeRegion = pickRegion(regions, (room) => room.free, draw);
+  const freeRegion = pickRegion(regions, (region) => region.free, draw);
   if (freeRegion !== undefined) return { type: "relay", region: freeRegion };
   const queueable = ranked.find((candidate) => canQueue(candidate, criteria));
   if (queueable) return { type: "send", candidate: queueable };
-  // Only a request without an upstream here waits in another region. The queue of a full region would fill the queues
-  // of the others and arrive there late.
+  // Only a request without an upstream here waits in another region. Otherwise the requests that wait in a full region
+  // would fill the queues of the others and arrive there late.
   const queueRegion = input.candidates.length === 0
-    ? pickRegion(regions, (room) => room.queue, draw)
+    ? pickRegion(regions, (region) => region.queue, draw)
     : undefined;
   if (queueRegion !== undefined) return { type: "relay", region: queueRegion };
   // All remaining upstreams were lost a moment ago. A connection that fails has sent nothing, so trying one costs
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types that requests are routed by: routes, services, upstreams, limits and parts of prompts.
+ * Types for routing requests: routes, services, upstreams, limits and parts of prompts.
  *
  * @module
  */
