--- a/src/suspects/crash_history.ts
+++ b/src/suspects/crash_history.ts
@@ -14,8 +14,8 @@
    */
   | "suspected"
   /**
-   * Chance does not explain any further crash. The request runs once more, with the store's permission, and is cleared
-   * or rejected by the result.
+   * Chance would not explain another crash. The request runs once more, with the store's permission, and is cleared or
+   * rejected by the result.
    */
   | "onTrial"
   /** The request is not run. */
@@ -61,8 +61,8 @@
   #hasSuspects = false;
 
   /**
-   * Whether any request is suspected; if not, no request needs to be hashed. Crashes that expire take effect here at
-   * the next sweep.
+   * Whether any request is suspected; if not, no request needs to be hashed. The expiry of crashes shows here only
+   * after the next sweep.
    */
   get hasSuspects(): boolean {
     return this.#hasSuspects;
--- a/src/suspects/suspect_tracker.ts
+++ b/src/suspects/suspect_tracker.ts
@@ -126,12 +126,12 @@
 
   /** Decides whether a request may run now. `hasLeave` is true if it already has the permission for its trial. */
   async decide(digest: string, hasLeave: boolean): Promise<SuspectVerdict> {
-    const standing = this.statusOf(digest);
-    if (standing === "rejected") return this.#reject(digest);
-    if (standing !== "onTrial" || hasLeave) return { type: "runs", hasLeave };
+    const status = this.statusOf(digest);
+    if (status === "rejected") return this.#reject(digest);
+    if (status !== "onTrial" || hasLeave) return { type: "runs", hasLeave };
     const isTaken = await this.#records.acquireTrial(digest);
     this.#publisher.noteEvent({ type: "trial", request: digest, isTaken });
-    // Its last run may have crashed an upstream elsewhere meanwhile.
+    // Meanwhile the request's run on another VM may have crashed an upstream.
     if (this.statusOf(digest) === "rejected") return this.#reject(digest);
     return isTaken ? { type: "runs", hasLeave: true } : {
       type: "refused",
@@ -151,13 +151,13 @@
     if (rows.length === 0) return upstreamKey;
     const [[, upstream]] = rows;
     const crashCount = this.#history.crashCount(digest, nowMs);
-    const standing = this.statusOf(digest);
+    const status = this.statusOf(digest);
     this.#publisher.noteEvent({
       type: "ended",
       request: digest,
       upstream,
       ends: crashCount,
-      standing,
+      standing: status,
     });
     this.#publishOwn(rows, nowMs);
     if (crashCount >= CRASHES_BEFORE_TRIAL) void this.#storeSuspect(digest);
@@ -192,7 +192,7 @@
     return this.#history.merge(rows, this.#nowMs());
   }
 
-  /** Loads what all VMs knew before they were restarted. Resolves to whether the store answered. */
+  /** Loads the suspects that were stored before a restart of all VMs. Resolves to whether the store answered. */
   async loadRecords(): Promise<boolean> {
     const stored = await this.#records.list();
     const rows = stored?.flatMap(({ digest, upstreams }) =>
