--- a/src/quota/local_quota.ts
+++ b/src/quota/local_quota.ts
@@ -13,7 +13,7 @@
   SPARE_SLACK_SHARE,
 } from "./part_usage.ts";
 
-/** A VM that starts doesn't know what it used before; half of the burst is available to its first callers. */
+/** What a VM used before a restart is unknown, so half of the burst is available to its first callers. */
 const INITIAL_LEVEL = 0.5;
 const HASH_RANGE = 0x1_0000_0000;
 const MS_PER_S = 1_000;
@@ -44,45 +44,52 @@
   }
 
   /** How long until the use fits, in ms; 0 if it fits now. `vms` is the number of VMs that share the limit. */
-  waitMs({ workspace, units }: QuotaUse, vms: number, nowMs: number): number {
+  waitMs(
+    { workspace, units }: QuotaUse,
+    vmCount: number,
+    nowMs: number,
+  ): number {
     const limit = this.#limitOf(workspace);
     if (!limit) return 0;
-    const { bucket } = this.#usageOf(workspace, vms, nowMs)!;
-    const isLarge = units > limit.burstUnits / vms;
-    if (isLarge && !this.#mayPassLarge(workspace, units, vms)) return Infinity;
+    const { bucket } = this.#usageOf(workspace, vmCount, nowMs)!;
+    const isLarge = units > limit.burstUnits / vmCount;
+    if (isLarge && !this.#mayPassLarge(workspace, units, vmCount)) {
+      return Infinity;
+    }
     return bucket.readyAtMs(units, nowMs) - nowMs;
   }
 
   /** Counts a request that is sent. */
-  take({ workspace, units }: QuotaUse, vms: number, nowMs: number): void {
-    this.#usageOf(workspace, vms, nowMs)?.bucket.take(units, nowMs);
+  take({ workspace, units }: QuotaUse, vmCount: number, nowMs: number): void {
+    this.#usageOf(workspace, vmCount, nowMs)?.bucket.take(units, nowMs);
   }
 
-  /** Gives back the units of a counted request that did not run. */
+  /** Refunds the units of a counted request that did not run. */
   refund({ workspace, units }: QuotaUse): void {
     this.#usages.get(workspace)?.bucket.refund(units);
   }
 
   /** Whether this VM is one of those that admit requests larger than their part. */
-  #mayPassLarge(workspace: string, units: number, vms: number): boolean {
+  #mayPassLarge(workspace: string, units: number, vmCount: number): boolean {
     const { excess, slackUnits, windowMs } = this.#slack;
     const { unitsPerS, burstUnits } = this.#limitOf(workspace)!;
     const windowUnits = unitsPerS * windowMs / MS_PER_S + burstUnits;
     const toleratedUnits = windowUnits * excess +
       slackUnits * (1 - SPARE_SLACK_SHARE);
     const maxVms = toleratedUnits / units;
-    return mix32(hash32(workspace), this.#vmHash) / HASH_RANGE < maxVms / vms;
+    return mix32(hash32(workspace), this.#vmHash) / HASH_RANGE <
+      maxVms / vmCount;
   }
 
   #usageOf(
     workspace: string,
-    vms: number,
+    vmCount: number,
     nowMs: number,
   ): PartUsage | undefined {
     const limit = this.#limitOf(workspace);
     if (!limit) return undefined;
     let usage = this.#usages.get(workspace);
-    const part = { share: 1 / vms, spareUnits: 0 };
+    const part = { share: 1 / vmCount, spareUnits: 0 };
     if (usage) usage.resize(limit, part, nowMs);
     else {
       usage = new PartUsage(limit, part, INITIAL_LEVEL, this.#startedMs);
--- a/src/quota/mod.ts
+++ b/src/quota/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Workspace limits that apply over all VMs and regions: how much of each limit a region or a VM may admit. Free of I/O.
+ * Workspace limits that apply over all VMs and regions: how much of each limit a region or a VM may admit. The modules
+ * do no I/O.
  *
  * @module
  */
--- a/src/quota/moving_shares.ts
+++ b/src/quota/moving_shares.ts
@@ -48,7 +48,7 @@
   readonly heardMs: number;
 }
 
-/** What one region knows of the shares of one workspace. */
+/** One region's state of the shares of one workspace. */
 class Ledger {
   /** Total given to each region, and total taken from it, in millionths. */
   readonly given = new Map<string, number>();
@@ -129,8 +129,8 @@
   }
 
   /**
-   * Forgets which regions have reported, because another VM may have led meanwhile and given shares away. This VM knows of
-   * that only if the other one has just replicated its state here.
+   * Clears the regions that have reported, because another VM may have led meanwhile and given shares away. This VM has
+   * the counters of such gifts only if the other one has just replicated its state here.
    */
   startLeading(nowMs: number): void {
     this.#startedMs = nowMs;
--- a/src/quota/region_quota.ts
+++ b/src/quota/region_quota.ts
@@ -80,7 +80,7 @@
     this.#shares.noteDemand(workspace, units, nowMs);
   }
 
-  /** Gives back the units of a counted request that did not run. */
+  /** Refunds the units of a counted request that did not run. */
   refund({ workspace, units }: QuotaUse): void {
     this.#usages.get(workspace)?.bucket.refund(units);
   }
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -39,7 +39,10 @@
   readonly level: number;
 }
 
-/** The shares that regions have of the workspaces' limits, as one region knows them. Times are of a monotonic clock. */
+/**
+ * The shares that regions have of the workspaces' limits, as far as one region has them reported. Times are of a
+ * monotonic clock.
+ */
 export abstract class Shares {
   protected readonly self: string;
   /** All regions, this one included. */
