--- a/src/region/known_vms.ts
+++ b/src/region/known_vms.ts
@@ -1,5 +1,5 @@
 /**
- * The VMs that a VM knows of, with the source and time of what it heard.
+ * The other VMs that this VM hears or has seen named in messages, with their latest messages.
  *
  * @module
  */
@@ -18,12 +18,16 @@
 import { LEAD_COUNT, orderLeads, STANDBY_COUNT } from "./lead_order.ts";
 import { toVmRecord, type VmRecord } from "./record.ts";
 
-/** Minimum silence after which a VM is taken for gone: four missed reports, as the worst links lose 1 datagram in 40. */
+/**
+ * Minimum silence after which a VM is considered gone: four missed reports, as the worst links lose 1 datagram in 40.
+ */
 const MIN_SILENT_MS = 1_000;
 const MISSED_REPORTS = 4;
-/** A lead is taken for silent when no roster came for this long: two lost rosters in a row are tolerated, not three. */
+/**
+ * A lead is considered silent when no roster came for this long: two lost rosters in a row are tolerated, not three.
+ */
 export const ROSTER_TIMEOUT_MS = 1_300;
-/** A silent VM may only be cut off, so it is counted and searched for until this time has passed. */
+/** A silent VM may be running but cut off, so it is counted and searched for until this time has passed. */
 const FORGET_MS = 15_000;
 /** Maximum VMs remembered that are named in messages and not heard. A few suffice for cut halves of a region to rejoin. */
 const MAX_UNHEARD_VMS = 256;
--- a/src/region/lead_order.ts
+++ b/src/region/lead_order.ts
@@ -28,11 +28,11 @@
  * most cores comes first, since a lead does its work in addition to that for its callers.
  */
 export function orderLeads<V extends VmRecord>(vms: readonly V[]): V[] {
-  const byStrength = vms
+  const byCores = vms
     .map((vm) => ({ vm, weight: hash32(vm.id) }))
     .sort((a, b) => b.vm.cores - a.vm.cores || b.weight - a.weight);
   const vmsPerDomain = new Map<string, number>();
-  const rounds = byStrength.map(({ vm }, rank) => {
+  const rounds = byCores.map(({ vm }, rank) => {
     const round = vmsPerDomain.get(vm.failureDomain) ?? 0;
     vmsPerDomain.set(vm.failureDomain, round + 1);
     return { vm, round, rank };
--- a/src/region/load_tracker.ts
+++ b/src/region/load_tracker.ts
@@ -6,7 +6,7 @@
 
 import type { Load, UpstreamLoad, VmLoad } from "./messages.ts";
 
-/** A request that a VM was told to send and that its reported load does not include yet. */
+/** A request that the lead granted to a VM and that the VM's reported load does not include yet. */
 interface Grant {
   readonly question: number;
   readonly upstreamKey: string;
@@ -41,7 +41,7 @@
     );
   }
 
-  /** Counts a request that a VM is told to send; `question` is the number of the VM's question to the lead. */
+  /** Counts a request that is granted to a VM; `question` is the number of the VM's question to the lead. */
   grant(
     vmId: string,
     question: number,
--- a/src/region/messages.ts
+++ b/src/region/messages.ts
@@ -22,7 +22,7 @@
 /** Loads by upstream key. */
 export type Load = Readonly<Record<string, UpstreamLoad>>;
 
-/** Places that a region offers, by service. */
+/** Capacity that a region offers to others, by service. */
 export type Room = Readonly<Record<string, OfferedCapacity>>;
 
 /** The outcome of one send to an upstream. */
@@ -47,7 +47,7 @@
   readonly asked: number;
 }
 
-/** Heartbeat of a VM to the leads of its region. A VM that stays silent is taken for gone. */
+/** Heartbeat of a VM to the leads of its region. A VM that stays silent is considered gone. */
 export interface Report extends VmRecord, VmState, VmLoad {
   /** Time to the next report, in ms. */
   readonly everyMs: number;
--- a/src/region/mod.ts
+++ b/src/region/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Membership: the VMs of a region, its leads, and the messages between VMs and between regions. Free of I/O.
+ * Membership: the VMs of a region, its leads, and the messages between VMs and between regions. The modules do no I/O.
  *
  * @module
  */
--- a/src/region/record.ts
+++ b/src/region/record.ts
@@ -1,5 +1,5 @@
 /**
- * The identity of a VM as it tells it to other VMs.
+ * The identity of a VM, as it is sent to other VMs.
  *
  * @module
  */
--- a/src/region/remote_regions.ts
+++ b/src/region/remote_regions.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM knows of other regions from the latest digests of their leads.
+ * The state of other regions, by the latest digests of their leads.
  *
  * @module
  */
--- a/src/region/view.ts
+++ b/src/region/view.ts
@@ -257,8 +257,8 @@
   #leadMessages(nowMs: number): DueMessage[] {
     const due: DueMessage[] = [];
     this.#noteOwnChange(nowMs);
-    const mayTell = nowMs >= this.#rosterSentMs + MIN_ROSTER_GAP_MS;
-    if (nowMs >= this.#rosterDueMs && mayTell) {
+    const isGapOver = nowMs >= this.#rosterSentMs + MIN_ROSTER_GAP_MS;
+    if (nowMs >= this.#rosterDueMs && isGapOver) {
       const isChanged = nowMs < this.#changedUntilMs;
       const withNames = isChanged || nowMs >= this.#namedDueMs;
       if (withNames) this.#namedDueMs = nowMs + NAMED_EVERY_MS;
