--- a/src/base/backoff.ts
+++ b/src/base/backoff.ts
@@ -14,7 +14,7 @@
 
 /**
  * The wait before attempt `attempt` (counted from 0): exponential, with jitter over its upper half. After an outage all VMs
- * return at once. Without jitter their calls would arrive at the same instant and bring the store down again.
+ * retry at once. Without jitter their calls would arrive at the same instant and bring the store down again.
  */
 export function backoffMs(
   attempt: number,
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -46,7 +46,7 @@
 /** The machine's clocks. */
 export const systemClock: Clock = new SystemClock();
 
-interface Pending {
+interface PendingTimer {
   dueMs: number;
   readonly run: () => void;
   readonly periodMs?: number;
@@ -55,7 +55,7 @@
 /** A clock that moves only when {@link ManualClock.advance} is called. */
 export class ManualClock extends Clock {
   #nowMs: number;
-  #pending: Pending[] = [];
+  #pending: PendingTimer[] = [];
 
   constructor(startMs = 1_700_000_000_000) {
     super();
@@ -78,7 +78,7 @@
     const endMs = this.#nowMs + ms;
     for (;;) {
       await settle();
-      const next = this.#next(endMs);
+      const next = this.#findNextDue(endMs);
       if (!next) break;
       this.#nowMs = Math.max(this.#nowMs, next.dueMs);
       if (next.periodMs) next.dueMs += next.periodMs;
@@ -88,14 +88,16 @@
     this.#nowMs = endMs;
     await settle();
   }
-  #next(endMs: number): Pending | undefined {
-    let best: Pending | undefined;
+  #findNextDue(endMs: number): PendingTimer | undefined {
+    let earliest: PendingTimer | undefined;
     for (const p of this.#pending) {
-      if (p.dueMs <= endMs && (!best || p.dueMs < best.dueMs)) best = p;
+      if (p.dueMs <= endMs && (!earliest || p.dueMs < earliest.dueMs)) {
+        earliest = p;
+      }
     }
-    return best;
+    return earliest;
   }
-  #add(pending: Pending): Timer {
+  #add(pending: PendingTimer): Timer {
     this.#pending.push(pending);
     return {
       close: () =>
--- a/src/base/describe.ts
+++ b/src/base/describe.ts
@@ -9,7 +9,7 @@
 
 const blockNames: string[] = [];
 
-// The logs kept of a test's processes are named after the test's file.
+// The logs of the processes that a test starts are named after the test's file.
 process.env.IBISGAP_TEST_FILE = basename(
   new URL(test.meta.file).pathname,
   ".js",
--- a/src/base/hash.ts
+++ b/src/base/hash.ts
@@ -34,7 +34,7 @@
 
 /**
  * Orders `members` for `key` by rendezvous hashing, best first. Leads and shard owners are chosen this way because, when a
- * member goes, only the keys for which it was the best move, each to its own next member.
+ * member leaves, only the keys move for which it was the best member, and each moves to its own next best member.
  */
 export function rendezvous<T>(
   key: string,
@@ -51,7 +51,7 @@
     .map((scored) => scored.member);
 }
 
-/** The SHA-256 digest of a secret, in hex. Settings and table contain it instead of the secret. */
+/** The SHA-256 digest of a secret, in hex. The settings and the table contain it instead of the secret. */
 export function secretDigest(secret: string): string {
   return createHash("sha256").update(secret).digest("hex");
 }
--- a/src/base/lag_detector.ts
+++ b/src/base/lag_detector.ts
@@ -7,12 +7,12 @@
 import type { Clock, Timer } from "./clock.ts";
 
 const TICK_MS = 50;
-/** A timer tick that comes later than this means that the process sees events well after they happened. */
+/** If a timer tick is late by more than this, the process handles events well after they happened. */
 const LATE_MS = 100;
-/** After a delay, the events that had to wait are handled within this time. */
+/** After a late tick, the events that had to wait are handled within this time. */
 const LAG_KEPT_MS = 500;
 
-/** Watches the delay of a periodic timer. */
+/** Detects late ticks of a periodic timer. */
 export class LagDetector {
   readonly #clock: Clock;
   readonly #timer: Timer;
--- a/src/base/mod.ts
+++ b/src/base/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Basics that every folder may use: result codes, time, random numbers, hashing, backoff, detection of pauses.
+ * Basics that every folder may use: result codes, time, random numbers, hashing, backoff, detection of lag and pauses.
  *
  * @module
  */
--- a/src/base/pause_detector.ts
+++ b/src/base/pause_detector.ts
@@ -6,7 +6,10 @@
 
 import type { Clock, Timer } from "./clock.ts";
 
-/** Shorter than the time in which other VMs declare a VM dead, as a VM that was paused for longer may have been replaced. */
+/**
+ * Minimum length of a pause that is detected. It is shorter than the time after which other VMs declare a VM dead, because
+ * a VM that was paused for longer may have been replaced.
+ */
 export const MIN_PAUSE_MS = 1500;
 
 const TICK_MS = 250;
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -1,5 +1,5 @@
 /**
- * The micro-kernel: starts services by name, in order, and closes them in reverse.
+ * The micro-kernel: starts the daemon's tasks in order, finds them by name, and closes them in reverse order.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 /** A {@link Task} with any messages. */
 export type AnyTask = Pick<Task, "name" | "start" | "close" | "dump">;
 
-/** Starts, finds and closes the daemon's services; see {@link Task}. */
+/** Starts, finds and closes the daemon's tasks; see {@link Task}. */
 export class Kernel implements TaskHost {
   readonly clock: Clock;
   readonly log: Log;
@@ -22,7 +22,7 @@
     this.log = log;
   }
 
-  /** Starts a service. If that fails, the services started before stay open until {@link Kernel.close}. */
+  /** Starts a task. If that fails, the tasks started before stay open until {@link Kernel.close}. */
   async start(task: AnyTask): Promise<void> {
     if (this.#tasks.has(task.name)) {
       throw new Error(`service "${task.name}" is already started`);
@@ -32,26 +32,26 @@
     this.log.info("service started", { service: task.name });
   }
 
-  /** The port of a started service. */
+  /** The port of a started task. Throws if there is none of this name. */
   get<M extends Messages>(name: string): TaskPort<M> {
     const task = this.#tasks.get(name);
     if (!task) throw new Error(`no service named "${name}"`);
     return task as unknown as TaskPort<M>;
   }
 
-  /** Whether a service of this name was started. */
+  /** Whether a task of this name was started. */
   has(name: string): boolean {
     return this.#tasks.has(name);
   }
 
-  /** Every service's state by name. */
+  /** Every task's state by name. */
   dump(): Record<string, unknown> {
     const state: Record<string, unknown> = {};
     for (const [name, task] of this.#tasks) state[name] = task.dump();
     return state;
   }
 
-  /** Closes all services in reverse order. Each one may use the time that is left until `deadlineMs`. */
+  /** Closes all tasks in reverse order. Each one may use the time that is left until `deadlineMs`. */
   async close(deadlineMs: number): Promise<void> {
     for (const task of [...this.#tasks.values()].reverse()) {
       try {
--- a/src/kernel/task.ts
+++ b/src/kernel/task.ts
@@ -27,25 +27,25 @@
 export interface TaskHost {
   readonly clock: Clock;
   readonly log: Log;
-  /** The port of a service that was started earlier. Throws if there is none of this name. */
+  /** The port of a task that was started earlier. Throws if there is none of this name. */
   get<M extends Messages>(name: string): TaskPort<M>;
-  /** Whether a service of this name was started. */
+  /** Whether a task of this name was started. */
   has(name: string): boolean;
-  /** Every service's state by name. */
+  /** Every task's state by name. */
   dump(): Record<string, unknown>;
 }
 
-/** A service of the daemon. The kernel starts services in order and closes them in reverse. */
+/** A task: one of the daemon's services. The kernel starts tasks in order and closes them in reverse order. */
 export abstract class Task<M extends Messages = Messages>
   implements TaskPort<M> {
   /** The name by which others find it. */
   abstract readonly name: string;
   protected abstract readonly handlers: Handlers<M>;
 
-  /** Opens sockets and timers. Services started earlier can be found through `kernel`. */
+  /** Opens sockets and timers. Tasks started earlier can be found through `kernel`. */
   abstract start(kernel: TaskHost): Promise<void>;
 
-  /** Accepts no more work, finishes the work in hand until `deadlineMs` (wall clock), then releases all resources. */
+  /** Accepts no more work, finishes open work until `deadlineMs` (wall clock), then releases all resources. */
   abstract close(deadlineMs: number): Promise<void>;
 
   /** The task's state for `ibisgap dump`; it never contains a secret. */
--- a/src/platform/callers.ts
+++ b/src/platform/callers.ts
@@ -27,7 +27,7 @@
   readonly expectedOutputTokens: number;
   /** Id of the event after which the caller continues a broken stream, if it does. */
   readonly resumesAfter: string | undefined;
-  /** SHA-256 digest of its key, in hex; the key itself is not kept. `undefined` if it sends no readable key. */
+  /** SHA-256 digest of the caller's key, in hex; the key itself is not kept. `undefined` if no readable key was sent. */
   readonly keyDigest: string | undefined;
 }
 
@@ -127,8 +127,8 @@
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /**
- * Encodes a failure of the gateway for a caller. With a `retryAfterMs` of 0 it states no time. A request that was not run
- * and may be retried gets a status that guarantees this; one that may have run never gets such a status.
+ * Encodes a failure of the gateway for a caller. If `retryAfterMs` is 0, there is no `Retry-After` header. A request that
+ * was not run and may be retried gets a status that guarantees this; one that may have run never gets such a status.
  */
 export function encodeFailure(
   failure: Failure,
--- a/src/platform/keys.ts
+++ b/src/platform/keys.ts
@@ -15,7 +15,7 @@
 
 /** Prefix of the entries for requests that crashed upstreams, by their digests; the gateway defines their format. */
 export const SUSPECT_PREFIX = "ibisgap/suspects/";
-/** Prefix of the entries that name the VM which retries such a request, so that no other VM does. */
+/** Prefix of the entries that name the VM which retries a suspect request, so that no other VM does. */
 export const TRIAL_PREFIX = "ibisgap/trials/";
 
 const EVACUATE_PREFIX = "op/evacuate/";
--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -20,7 +20,10 @@
 } from "../adapters/mod.ts";
 import { isNotSent } from "../adapters/not_sent.ts";
 
-/** A call without an answer by then is lost: sixty times the store's usual 4 ms, with a margin of eight times that. */
+/**
+ * A call without an answer after this time counts as lost. The store usually answers in 4 ms; the timeout allows for
+ * sixty times that, with a margin of a factor of eight.
+ */
 const CALL_TIMEOUT_MS = 2_000;
 /** How long one poll for changes may wait at the store; short, so that a silent connection is detected soon. */
 const WATCH_WAIT_MS = 3_000;
--- a/src/platform/upstream_entry.ts
+++ b/src/platform/upstream_entry.ts
@@ -28,8 +28,8 @@
 }
 
 /**
- * Decodes the entry of the upstream `id`. Other writers may have written the entry, so it may not describe an upstream.
- * Throws {@link RecordError} then.
+ * Decodes the entry of the upstream `id`. Throws {@link RecordError} if the entry does not describe an upstream, which
+ * can happen because others may write such entries too.
  */
 export function decodeUpstream(id: string, text: string): UpstreamRecord {
   const record = parseRecord(text);
--- a/src/platform/upstream_wire.ts
+++ b/src/platform/upstream_wire.ts
@@ -95,7 +95,7 @@
 export interface SendHeaderOptions {
   /** The upstream that the request is for; any other one refuses it. */
   readonly upstreamId: string;
-  /** How long the upstream may work on it, in ms from its arrival. */
+  /** How long the upstream may work on the request, in ms from its arrival. */
   readonly workMs: number;
   /** `IP:PORT` of an engine from which the upstream may copy the prompt's shared parts. */
   readonly fetchFrom?: string;
@@ -126,8 +126,8 @@
 export const MOVE_PATH = "/api/kv-move";
 
 /**
- * Encodes a request that an engine stop a run and copy its memory to the engine at `target` (`IP:PORT`). The stream of the
- * stopped run breaks off without an end event.
+ * Encodes the request that makes an engine stop a run and copy its memory to the engine at `target` (`IP:PORT`). The
+ * stream of the stopped run breaks off without an end event.
  */
 export function encodeMove(attemptId: string, target: string): string {
   return JSON.stringify({ id: attemptId, target, last: true });
--- a/src/workspaces/caller.ts
+++ b/src/workspaces/caller.ts
@@ -18,7 +18,7 @@
 /** A caller that may use the route. */
 export interface KnownCaller {
   readonly type: "known";
-  /** `undefined` if the caller's key belongs to no workspace and the route or the configuration requires none. */
+  /** `undefined` if the caller's key belongs to no workspace and the route or the configuration requires no key. */
   readonly workspace: WorkspaceRow | undefined;
   readonly priority: number;
   /** Regions that may serve it; empty means all. */
@@ -35,18 +35,20 @@
 
 /** The regions that both lists allow; `undefined` if there are none. An empty list allows all regions. */
 function intersectRegions(
-  ofRoute: readonly string[],
-  ofWorkspace: readonly string[],
+  routeRegions: readonly string[],
+  workspaceRegions: readonly string[],
 ): readonly string[] | undefined {
-  if (ofRoute.length === 0) return ofWorkspace;
-  if (ofWorkspace.length === 0) return ofRoute;
-  const shared = ofRoute.filter((region) => ofWorkspace.includes(region));
+  if (routeRegions.length === 0) return workspaceRegions;
+  if (workspaceRegions.length === 0) return routeRegions;
+  const shared = routeRegions.filter((region) =>
+    workspaceRegions.includes(region)
+  );
   return shared.length > 0 ? shared : undefined;
 }
 
 /**
  * Identifies a caller by its key. An unknown key is refused here, before the body is read or an upstream is chosen.
- * Otherwise a request that has to be refused anyway would take a place from one that is allowed.
+ * Otherwise a request that has to be refused anyway would take the place of one that is allowed.
  */
 export function identifyCaller(
   workspaces: Workspaces,
