--- a/src/edge/attempts.ts
+++ b/src/edge/attempts.ts
@@ -41,7 +41,7 @@
     this.startedAtMs = context.clock.nowMs();
   }
 
-  /** Reports the first token, so that the lead learns of a slow upstream now and not at the end of the answer. */
+  /** Reports the first token, so that the lead can detect a slow upstream before the answer ends. */
   reportStarted(firstTokenAtMs: number): void {
     void this.#context.slots.ask(
       "report",
--- a/src/edge/call.ts
+++ b/src/edge/call.ts
@@ -1,5 +1,5 @@
 /**
- * What the edge knows about a caller's request before it reads the body.
+ * The data of a caller's request that the edge has before it reads the body.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   /** Time by which the response must begin. If absent, the service's default deadline counts from the arrival. */
   readonly deadlineMs?: number;
   readonly idempotencyKey?: string;
-  /** Whether the caller requires that the request is served in its home region. */
+  /** Whether the caller requires that the request is served in its workspace's home region. */
   readonly bound: boolean;
 }
 
--- a/src/edge/call_handler.ts
+++ b/src/edge/call_handler.ts
@@ -23,7 +23,7 @@
   protected readonly context: EdgeContext;
   protected readonly call: Call;
   protected readonly stats: RequestStats;
-  /** Whether an attempt so far has run the call, which failures report to the caller. */
+  /** Whether an attempt so far has run the call. Failures report it to the caller. */
   protected ran: Ran = "no";
   /** The failure that the caller gets if no further attempt is made. */
   protected lastFailure: Failure = failure("noUpstream");
@@ -37,7 +37,7 @@
   /** Runs the call and responds to the caller. */
   abstract run(): Promise<void>;
 
-  /** Creates the check whether upstreams crashed under this call, which is made before each attempt. */
+  /** Creates the check for upstreams that crashed under this call. It is made before each attempt. */
   protected createSuspectCheck(body: Buffer): SuspectCheck {
     return new SuspectCheck(this.context, this.call, this.stats, body);
   }
--- a/src/edge/edge.ts
+++ b/src/edge/edge.ts
@@ -49,7 +49,7 @@
   readonly name = "edge";
   readonly #options: EdgeOptions;
   readonly #upstreams: HttpUpstreamClient;
-  readonly #active = new Set<AbortController>();
+  readonly #openCalls = new Set<AbortController>();
   #kernel!: Kernel;
   #context!: EdgeContext;
   #isDraining = false;
@@ -64,7 +64,7 @@
   constructor(options: EdgeOptions) {
     super();
     this.#options = options;
-    // The relay detects stalled streams itself, since it knows when it pauses them. This timeout is for other answers.
+    // The relay detects stalled streams itself and does not count its own pauses. This timeout is for other answers.
     this.#upstreams = new HttpUpstreamClient(
       2 * options.limits.upstreamStallMs,
     );
@@ -94,14 +94,14 @@
 
   async close(deadlineMs: number): Promise<void> {
     await this.#drain(deadlineMs);
-    for (const controller of this.#active) controller.abort();
+    for (const controller of this.#openCalls) controller.abort();
     await this.#options.listener.close();
     await this.#upstreams.close();
   }
 
   dump(): unknown {
     return {
-      open: this.#active.size,
+      open: this.#openCalls.size,
       served: this.#servedCount,
       draining: this.#isDraining,
     };
@@ -110,10 +110,12 @@
   async #drain(deadlineMs: number): Promise<number> {
     this.#isDraining = true;
     this.#options.listener.closeIdleConnections();
-    while (this.#active.size > 0 && this.#context.clock.nowMs() < deadlineMs) {
+    while (
+      this.#openCalls.size > 0 && this.#context.clock.nowMs() < deadlineMs
+    ) {
       await this.#context.clock.sleep(DRAIN_POLL_MS);
     }
-    return this.#active.size;
+    return this.#openCalls.size;
   }
 
   #createApp(): Koa {
@@ -211,12 +213,12 @@
     });
     const call = await this.#admit(ctx.req, ctx.res, controller.signal);
     if (!call) return;
-    this.#active.add(controller);
+    this.#openCalls.add(controller);
     try {
       await run(call);
       this.#servedCount++;
     } finally {
-      this.#active.delete(controller);
+      this.#openCalls.delete(controller);
     }
   }
 
@@ -234,7 +236,7 @@
         failure("draining", { goTo, retryAtMs: nowMs }),
       );
     }
-    if (this.#active.size >= this.#context.limits.openRequests) {
+    if (this.#openCalls.size >= this.#context.limits.openRequests) {
       return this.#refuse(
         response,
         failure("queueFull", { retryAtMs: nowMs + 1000 }),
@@ -376,10 +378,11 @@
 
   /** Lists the VMs that a caller may use. A `workspace` parameter other than the key's workspace is refused. */
   async #findVms(call: Call): Promise<void> {
-    const named = new URL(call.request.url!, "http://vm").searchParams.get(
-      "workspace",
-    );
-    if (named !== null && named !== call.workspace.id) {
+    const namedWorkspaceId = new URL(call.request.url!, "http://vm")
+      .searchParams.get(
+        "workspace",
+      );
+    if (namedWorkspaceId !== null && namedWorkspaceId !== call.workspace.id) {
       return sendFailure(
         call.response,
         failure("forbidden"),
--- a/src/edge/headers.ts
+++ b/src/edge/headers.ts
@@ -26,8 +26,8 @@
 ]);
 
 /**
- * Returns the headers that are forwarded to the other side. The gateway's own headers (`x-ibisgap-*`) are dropped, so
- * that a caller that sends them is not mistaken for the gateway.
+ * Returns the headers that are forwarded to the upstream or back to the caller. The gateway's own headers
+ * (`x-ibisgap-*`) are dropped, so that a caller that sends them is not mistaken for the gateway.
  */
 export function selectForwardedHeaders(
   headers: IncomingHttpHeaders | Readonly<Record<string, string>>,
--- a/src/edge/model_call.ts
+++ b/src/edge/model_call.ts
@@ -23,7 +23,7 @@
 import { StreamCheck } from "./stream_check.ts";
 import type { SuspectCheck } from "./suspect_check.ts";
 
-/** How often a broken stream is resumed at its engine at most. An engine that keeps breaking it is not waited for. */
+/** Maximum number of times that a broken stream is resumed at its engine, as an engine may break it again and again. */
 const MAX_RESUMES = 3;
 /** Statuses by which engines refuse more work. By their contract, they did not run the call. */
 const REFUSAL_STATUSES = new Set([429, 503]);
@@ -204,33 +204,35 @@
 
   async #streamAnswer(
     attempt: Attempt,
-    first: UpstreamAnswer,
+    firstAnswer: UpstreamAnswer,
     body: Buffer,
     signal: AbortSignal,
   ): Promise<AttemptResult> {
-    let answer = first;
+    let answer = firstAnswer;
     for (let resumes = 0;; resumes++) {
-      const end = await this.#relayAnswer(attempt, answer);
-      if (end.type === "whole") {
+      const relayResult = await this.#relayAnswer(attempt, answer);
+      if (relayResult.type === "whole") {
         this.call.response.end();
         this.#suspectCheck.reportServed();
         this.finish(attempt, "done", 0);
         return "answered";
       }
-      if (end.type === "gone" || this.call.signal.aborted) {
+      if (relayResult.type === "gone" || this.call.signal.aborted) {
         this.finish(attempt, "canceled", 4007);
         return "answered";
       }
       this.context.log.warn("stream broken", {
         attempt: attempt.grant.attemptId,
         upstream: attempt.grant.upstreamId,
-        reason: end.reason,
+        reason: relayResult.reason,
       });
       await this.#suspectCheck.reportBrokenConnection(attempt);
       const resumed = resumes < MAX_RESUMES
         ? await this.#resume(attempt, body, signal)
         : undefined;
-      if (!resumed) return this.#handleBrokenStream(attempt, end.reason);
+      if (!resumed) {
+        return this.#handleBrokenStream(attempt, relayResult.reason);
+      }
       answer = resumed;
     }
   }
--- a/src/edge/model_request.ts
+++ b/src/edge/model_request.ts
@@ -1,5 +1,5 @@
 /**
- * Parses the body of a model call and extracts what placement needs to know of it.
+ * Parses the body of a model call and extracts the data by which the call is placed.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { z } from "zod";
 import { type Failure, failure, hash32 } from "../base/mod.ts";
 
-/** Characters of one prefix block. Engines cache blocks of about 16 tokens; larger blocks here keep the list short. */
+/** Length of a prefix block, in characters. Engines cache blocks of about 16 tokens; larger blocks here keep the list short. */
 const PREFIX_BLOCK_CHARS = 512;
 /** Maximum number of blocks that are hashed. A shared prefix longer than this does not change the placement. */
 const MAX_PREFIX_BLOCKS = 64;
--- a/src/edge/plain_call.ts
+++ b/src/edge/plain_call.ts
@@ -22,7 +22,8 @@
 /** Methods that HTTP defines as idempotent; they may be retried too if the service is not `atMostOnce`. */
 const IDEMPOTENT_METHODS = new Set([...SAFE_METHODS, "PUT", "DELETE"]);
 /**
- * Maximum length of an answer that is stored for repeated requests. A longer one is omitted, and the repeat is told so.
+ * Maximum length of an answer that is stored for repeated requests. A longer one is omitted, and a header of the response
+ * to the repeated request says so.
  */
 const MAX_KEPT_ANSWER_BYTES = 16 << 10;
 /** Work assumed for a plain call, in tokens: it has no prefill, and the length of its answer is not known. */
@@ -113,7 +114,7 @@
     }
     const controller = new AbortController();
     const abort = () => controller.abort();
-    // A call under a claim continues after its caller disconnects: its answer is stored for the caller's next try.
+    // A call under a claim continues after its caller disconnects: its answer is stored for the caller's retry.
     if (!this.#needsClaim) {
       this.call.signal.addEventListener("abort", abort, { once: true });
     }
@@ -319,7 +320,7 @@
     }
   }
 
-  /** Ends the call after all attempts failed. The claim is released only if no byte was sent, otherwise abandoned. */
+  /** Ends the call with a failure. Its claim is released only if the call was certainly not run, otherwise abandoned. */
   async #finishWithFailure(error: Failure): Promise<void> {
     const claim = this.#claim;
     if (claim) {
--- a/src/edge/relay.ts
+++ b/src/edge/relay.ts
@@ -60,7 +60,7 @@
     stallTimer.close();
     body.destroy();
   }
-  // An engine that crashes may close its connection cleanly. Only its end marker shows that the answer is complete.
+  // An engine that crashes may close its connection cleanly. Only the end mark shows that the answer is complete.
   return response.destroyed
     ? { type: "gone" }
     : { type: "broken", reason: "the stream ended before its end mark" };
@@ -104,23 +104,23 @@
   return new Promise((resolve) => {
     const timer = options.clock.after(
       options.stalledCallerMs,
-      () => done(false),
+      () => settle(false),
     );
-    const done = (isAlive: boolean) => {
+    const settle = (isAlive: boolean) => {
       timer.close();
       response.off("drain", onDrain);
       response.off("close", onClose);
       if (!isAlive) response.destroy();
       resolve(isAlive);
     };
-    const onDrain = () => done(true);
-    const onClose = () => done(false);
+    const onDrain = () => settle(true);
+    const onClose = () => settle(false);
     response.once("drain", onDrain);
     response.once("close", onClose);
   });
 }
 
-/** Number of timer ticks without an event after which the upstream counts as stalled. */
+/** Number of timer ticks that may pass without data. At the next tick, the upstream counts as stalled. */
 const STALL_TICKS = 4;
 
 /**
--- a/src/edge/stream_check.ts
+++ b/src/edge/stream_check.ts
@@ -71,7 +71,7 @@
 
   /**
    * Checks that an event belongs to this answer. An engine under load may send another request's tokens on this
-   * connection; the caller then gets a fluent answer to another caller's question. Engines put the id of the answer
+   * connection; the caller would get a well-formed answer to another caller's request. Engines put the id of the answer
    * into every event, and engines that accept the attempt's id include it there. If the id is not the attempt's, or if
    * it changes, the stream counts as broken before the event is forwarded.
    */
