--- a/src/adapters/etcd_codec.ts
+++ b/src/adapters/etcd_codec.ts
@@ -71,7 +71,7 @@
 
 /**
  * Builds the request of `/v3/kv/txn`. If a compare fails, the transaction reads the compared keys, so that the writer
- * that lost gets the stored entries.
+ * gets the stored entries.
  */
 export function toTxnRequest(writes: readonly EtcdWrite[]): unknown {
   const compared = writes.filter((write) => write.ifRev !== undefined);
--- a/src/adapters/etcd_key_value.ts
+++ b/src/adapters/etcd_key_value.ts
@@ -208,8 +208,10 @@
   ): Promise<Result<T, StoreError>> {
     this.#counts[purpose]++;
     const answer = await this.#client.call("POST", path, body);
-    return answer.andThen((it: PlatformAnswer): Result<T, StoreError> =>
-      it.status === 200 ? ok(it.body as T) : err(toPlatformError(it))
+    return answer.andThen((response: PlatformAnswer): Result<T, StoreError> =>
+      response.status === 200
+        ? ok(response.body as T)
+        : err(toPlatformError(response))
     );
   }
 }
--- a/src/adapters/key_value.ts
+++ b/src/adapters/key_value.ts
@@ -1,6 +1,6 @@
 /**
- * The interface of the platform's key-value service: compare-and-swap, leases and watches. One subclass implements the
- * real service's protocol; the tests check the same contract on every subclass.
+ * The interface of the platform's key-value service: compare-and-swap, leases and watches. Each subclass implements one
+ * protocol or a stand-in. A test checks the same contract on the etcd client and on the in-memory stand-in.
  *
  * @module
  */
--- a/src/adapters/platform_client.ts
+++ b/src/adapters/platform_client.ts
@@ -121,8 +121,8 @@
 }
 
 /**
- * Converts an answer that is not a success to an error. The platform answers 503 before a call takes effect; it may
- * answer another 5xx status after that.
+ * Converts an answer that is not a success to an error. The platform answers 503 with code 14 before a call takes effect,
+ * unless the message says that the call timed out. After any other 5xx answer the call may have taken effect.
  */
 export function toPlatformError(answer: PlatformAnswer): PlatformError {
   const { message = "", code } = (answer.body ?? {}) as {
--- a/src/adapters/suspect_store.ts
+++ b/src/adapters/suspect_store.ts
@@ -11,8 +11,8 @@
 /** The longest lease that the store grants. A restart of all VMs takes only seconds. */
 const RECORD_LEASE_MS = 10 * 60_000;
 /**
- * By then a trial run has crashed its upstream or survived. If the VM that holds the permission is lost, the next trial
- * run waits this long.
+ * Within this time a trial run has either crashed its upstream or succeeded. If the VM that holds the permission is lost,
+ * the next trial run waits this long.
  */
 const TRIAL_LEASE_MS = 15_000;
 /**
--- a/src/adapters/transport.ts
+++ b/src/adapters/transport.ts
@@ -24,7 +24,7 @@
   readonly region: string;
 }
 
-/** Handles the calls of one method. The caller gets an error that it throws as a `failed` {@link CallError}. */
+/** Handles the calls of one method. If the handler throws, the caller gets a `failed` {@link CallError}. */
 export type Handler = (
   params: unknown,
   from: Sender,
--- a/src/adapters/ws_link.ts
+++ b/src/adapters/ws_link.ts
@@ -59,11 +59,11 @@
   readonly #pendingMethods = new Map<number, string>();
   #socket: PeerSocket | undefined;
   #connecting: Promise<Result<PeerSocket, CallError>> | undefined;
-  #failures = 0;
+  #failureCount = 0;
   #reconnectAtMonoMs = 0;
-  #silentCalls = 0;
+  #silentCallCount = 0;
   #nextId = 0;
-  #closed = false;
+  #isClosed = false;
 
   constructor(address: string, context: LinkContext) {
     this.address = address;
@@ -113,25 +113,30 @@
   }
 
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     this.#socket?.close();
     this.#failPending("the link was closed");
   }
 
   /** Ends the connection at once, without a closing handshake. */
   terminate(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     this.#socket?.terminate();
   }
 
   #send(request: { id: number; method: string }): void {
-    const sent = this.#socket?.send(
+    const sendResult = this.#socket?.send(
       JSON.stringify(request),
       (bytes) => this.#context.bytes.add(request.method, bytes, 0),
     ) ?? "closed";
-    if (sent === "sent") return;
+    if (sendResult === "sent") return;
     this.#client.receive(
-      createJSONRPCErrorResponse(request.id, LOCAL_ERROR_CODE, sent, NOT_SENT),
+      createJSONRPCErrorResponse(
+        request.id,
+        LOCAL_ERROR_CODE,
+        sendResult,
+        NOT_SENT,
+      ),
     );
   }
 
@@ -154,14 +159,14 @@
   }
 
   #connect(): Promise<Result<PeerSocket, CallError>> {
-    if (this.#closed) return Promise.resolve(unreachableError("closed"));
+    if (this.#isClosed) return Promise.resolve(unreachableError("closed"));
     if (this.#connecting) return this.#connecting;
     if (this.#context.clock.monoMs() < this.#reconnectAtMonoMs) {
       return Promise.resolve(unreachableError("waiting to reconnect"));
     }
     this.#connecting = this.#dial().then((result) => {
       this.#connecting = undefined;
-      if (result.isOk()) this.#failures = 0;
+      if (result.isOk()) this.#failureCount = 0;
       else this.#backOff();
       return result;
     });
@@ -170,7 +175,7 @@
 
   #backOff(): void {
     const waitMs = backoffMs(
-      this.#failures++,
+      this.#failureCount++,
       RECONNECT_BACKOFF,
       this.#context.random,
     );
@@ -211,13 +216,13 @@
         true,
         (text, bytes) => this.#receive(text, bytes),
       );
-      if (this.#closed || this.#context.faults.blocks(peer)) {
+      if (this.#isClosed || this.#context.faults.blocks(peer)) {
         peerSocket.terminate();
         resolve(unreachableError("the handshake timed out"));
         return;
       }
       this.#socket = peerSocket;
-      this.#silentCalls = 0;
+      this.#silentCallCount = 0;
       resolve(ok(peerSocket));
     });
     socket.on("close", () => {
@@ -229,7 +234,7 @@
   }
 
   #receive(text: string, bytes: number): void {
-    this.#silentCalls = 0;
+    this.#silentCallCount = 0;
     let response: JSONRPCResponse;
     try {
       response = JSON.parse(text);
@@ -246,8 +251,8 @@
     const socket = this.#socket;
     this.#client.receive(lostResponse(id, "no answer before the deadline"));
     if (!socket || socket.lastReceivedMonoMs > sentMonoMs) return;
-    this.#silentCalls++;
-    if (this.#silentCalls >= MAX_SILENT_CALLS) socket.terminate();
+    this.#silentCallCount++;
+    if (this.#silentCallCount >= MAX_SILENT_CALLS) socket.terminate();
   }
 
   #failPending(message: string): void {
--- a/src/adapters/ws_transport.ts
+++ b/src/adapters/ws_transport.ts
@@ -75,7 +75,7 @@
   readonly #links = new Map<string, WsLink>();
   readonly #sweepTimer: Timer;
   readonly #pauseDetector: PauseDetector;
-  #closed = false;
+  #isClosed = false;
 
   private constructor(options: WsTransportOptions) {
     super();
@@ -125,12 +125,12 @@
     params: unknown,
     deadlineMs: number,
   ): Promise<Result<unknown, CallError>> {
-    if (this.#closed) return err({ kind: "unreachable", message: "closed" });
+    if (this.#isClosed) return err({ kind: "unreachable", message: "closed" });
     return await this.#getLink(address).call(method, params, deadlineMs);
   }
 
   notify(address: string, method: string, params: unknown): void {
-    if (!this.#closed) this.#getLink(address).notify(method, params);
+    if (!this.#isClosed) this.#getLink(address).notify(method, params);
   }
 
   bytes(): { readonly sent: number; readonly received: number } {
@@ -145,7 +145,7 @@
   /** Returns the open links and the number of accepted connections for a dump. */
   dump(): unknown {
     return {
-      address: this.#closed ? undefined : this.address,
+      address: this.#isClosed ? undefined : this.address,
       links: [...this.#links.keys()],
       accepted: this.#wsServer.clients.size,
       bytes: this.bytesByService(),
@@ -160,8 +160,8 @@
   }
 
   async close(): Promise<void> {
-    if (this.#closed) return;
-    this.#closed = true;
+    if (this.#isClosed) return;
+    this.#isClosed = true;
     this.#sweepTimer.close();
     this.#pauseDetector.close();
     for (const link of this.#links.values()) link.close();
@@ -218,8 +218,10 @@
 
   /** Returns the HTTP status with which a handshake is answered; 101 accepts it. */
   #checkHandshake(request: IncomingMessage): 101 | 400 | 401 | 426 {
-    const given = request.headers.authorization ?? "";
-    const secret = given.startsWith("Bearer ") ? given.slice(7) : "";
+    const authorization = request.headers.authorization ?? "";
+    const secret = authorization.startsWith("Bearer ")
+      ? authorization.slice(7)
+      : "";
     const isKnown = this.#secretDigests.some((digest) =>
       secretMatches(secret, digest)
     );
@@ -279,11 +281,11 @@
     counter.add(request.method, 0, bytes);
     const response = await this.#rpcServer.receive(request, from);
     if (!response) return;
-    const sent = peerSocket.send(
+    const sendResult = peerSocket.send(
       JSON.stringify(response),
       (size) => counter.add(request.method, size, 0),
     );
-    if (sent !== "tooLarge") return;
+    if (sendResult !== "tooLarge") return;
     const error = { code: -32001, message: "the answer is too large" };
     peerSocket.send(
       JSON.stringify({ jsonrpc: "2.0", id: request.id, error }),
