--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -77,7 +77,7 @@
   readonly #closeables: readonly { close(): Promise<void> }[];
   #closing: Promise<void> | undefined;
 
-  /** Called by {@link openDaemon}; other code uses that function. */
+  /** Use {@link openDaemon}. */
   constructor(parts: {
     kernel: Kernel;
     url: string;
@@ -121,7 +121,7 @@
   }
 }
 
-/** What the services of one VM are built from. */
+/** The settings, clients and listeners with which the services of one VM are created. */
 interface ServiceParts {
   readonly settings: Settings;
   readonly kernel: Kernel;
@@ -233,8 +233,8 @@
 }
 
 /**
- * An order that can't be sent by then is dropped. An order names the wanted state, and the lead repeats it for as long
- * as it wants that state.
+ * An order that can't be sent within this time is dropped. An order names the wanted state, and the lead repeats it for as
+ * long as that state is wanted.
  */
 const ORDER_TIMEOUT_MS = 5000;
 
--- a/src/daemon/ibisgapd.ts
+++ b/src/daemon/ibisgapd.ts
@@ -17,11 +17,11 @@
 async function runUntilStopped(
   open: (stop: () => void) => Promise<{ close(): Promise<void> }>,
 ): Promise<void> {
-  let stopping = false;
+  let isStopping = false;
   const opening = open(() => stop());
   const stop = () => {
-    if (stopping) return;
-    stopping = true;
+    if (isStopping) return;
+    isStopping = true;
     void opening.then((opened) => opened.close()).then(() => process.exit(0));
   };
   process.on("SIGTERM", stop);
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -33,13 +33,13 @@
   bodyWaitMs: z.number().int().min(10).max(600_000).default(30_000),
   /** A caller that reads nothing of its answer for this long is disconnected. */
   stalledCallerMs: z.number().int().min(10).max(600_000).default(30_000),
-  /** The answer of an upstream that sends nothing for this long in the middle of it is abandoned. */
+  /** An answer is abandoned if the upstream sends nothing for this long in the middle of it. */
   upstreamStallMs: z.number().int().min(10).max(600_000).default(15_000),
   /** Maximum number of open requests at this VM; further requests are refused at once. */
   openRequests: z.number().int().min(1).max(1_000_000).default(10_000),
   /** Maximum number of attempts for one request, including the first. */
   attempts: z.number().int().min(1).max(10).default(3),
-  /** How long a planned stop waits for in-flight requests. */
+  /** How long a planned stop waits for open requests. */
   drainMs: z.number().int().min(0).max(86_400_000).default(600_000),
 });
 
