--- a/src/explain/explanation.ts
+++ b/src/explain/explanation.ts
@@ -9,7 +9,7 @@
 /** The log lines of a request and the cause of its outcome. */
 export interface Explanation {
   readonly attempt: string;
-  /** The lines of the request and of what happened meanwhile at the places that it was sent to, in order of time. */
+  /** The lines of the request, and of events meanwhile at the upstreams and VMs that it was sent to, in order of time. */
   readonly lines: readonly ParsedLine[];
   /** The cause as a sentence for people. */
   readonly cause: string;
@@ -17,7 +17,7 @@
 
 /** Events of an upstream or a VM are included if they occur at most this long before the request's first line. */
 const CONTEXT_MS = 5_000;
-/** Events that tell what happened to a place, which is an upstream or a VM. */
+/** Events of an upstream, a VM or the store that may explain a request's outcome. */
 const CONTEXT_EVENTS = new Set([
   "upstream silent",
   "upstream gone",
@@ -29,7 +29,7 @@
   "store lost",
 ]);
 
-/** Events that tell whether a request, in any of its attempts, is suspected of crashing upstreams. */
+/** Events about a request that is suspected of crashing upstreams, in any of its attempts. */
 const SUSPECT_EVENTS = new Set([
   "upstream ended under",
   "suspect cleared",
@@ -73,10 +73,10 @@
   "the upstream began to answer and was too slow to end before the deadline";
 
 function causeOf(
-  last: ParsedLine | undefined,
+  endLine: ParsedLine | undefined,
   lines: readonly ParsedLine[],
 ): string {
-  if (!last) {
+  if (!endLine) {
     return "no VM logged its end: its line was left out, or the VM was lost";
   }
   const {
@@ -93,7 +93,7 @@
     countedBy,
     configVersion,
     ends,
-  } = last.fields;
+  } = endLine.fields;
   const wasSlow = outcome === "upstreamTimeout" && firstByteMs !== undefined;
   const parts = [
     wasSlow ? TOO_SLOW_CAUSE : CAUSE_BY_OUTCOME[outcome] ?? outcome,
@@ -124,9 +124,9 @@
 /** Collects the lines of a request and finds its cause; gives `undefined` if no line names the request. */
 export function explainRequest(
   attempt: string,
-  all: readonly ParsedLine[],
+  allLines: readonly ParsedLine[],
 ): Explanation | undefined {
-  const ownLines = all.filter(({ fields }) => fields.attempt === attempt);
+  const ownLines = allLines.filter(({ fields }) => fields.attempt === attempt);
   if (ownLines.length === 0) return undefined;
   const places = new Set(
     ownLines.map(({ fields }) => fields.place).filter(Boolean),
@@ -135,7 +135,7 @@
   const firstMs = Math.min(...ownLines.map(({ timeMs }) => timeMs)) -
     CONTEXT_MS;
   const lastMs = Math.max(...ownLines.map(({ timeMs }) => timeMs));
-  const contextLines = all.filter(({ timeMs, event, vm, fields }) =>
+  const contextLines = allLines.filter(({ timeMs, event, vm, fields }) =>
     CONTEXT_EVENTS.has(event) && timeMs >= firstMs && timeMs <= lastMs &&
     vms.has(vm) &&
     (places.has(fields.upstream ?? fields.peer ?? "") ||
@@ -144,13 +144,13 @@
   const digests = new Set(
     ownLines.map(({ fields }) => fields.request).filter(Boolean),
   );
-  const suspectLines = all.filter(({ event, fields }) =>
+  const suspectLines = allLines.filter(({ event, fields }) =>
     SUSPECT_EVENTS.has(event) && digests.has(fields.request)
   );
   const lines = [...ownLines, ...contextLines, ...suspectLines].sort((a, b) =>
     a.timeMs - b.timeMs
   );
-  // The outcome is taken from the VM that the caller was connected to, because the other VMs answered to it.
+  // The outcome is taken from the VM that the caller was connected to, because the other VMs sent their answers there.
   const endLines = ownLines.filter(({ event }) => event === "request");
   const last = endLines.find(({ fields }) => fields.relayed !== "true") ??
     endLines.at(-1);
